--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -10,14 +10,18 @@
 
 def arguments(doc: str | None) -> argparse.Namespace:
     """`quick`, `seed` and `json`, as all benchmarks take them."""
-    parser = argparse.ArgumentParser(description=doc, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=doc, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--quick", action="store_true")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--json", metavar="FILE")
     return parser.parse_args()
 
 
-def tell(title: str, figures: dict[str, Any], rules: Sequence[tuple[str, bool]], path: str | None) -> int:
+def tell(
+    title: str, figures: dict[str, Any], rules: Sequence[tuple[str, bool]], path: str | None
+) -> int:
     """Prints the table, then the object; returns the exit code, 1 where a rule is broken."""
     print(f"\n{title} (simulated peers on loopback)")
     width = max(map(len, figures))
--- a/corklift/__main__.py
+++ b/corklift/__main__.py
@@ -14,6 +14,7 @@
     """The balancer, unless a command is given: only then is the command line imported."""
     if len(sys.argv) > 1:
         from corklift.cli import main as command
+
         command(prog_name="corklift")
     return balance()
 
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -14,7 +14,9 @@
 class _Address(click.ParamType):
     name = "IPv4:PORT"
 
-    def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> tuple[str, int]:
+    def convert(
+        self, value: object, param: click.Parameter | None, ctx: click.Context | None
+    ) -> tuple[str, int]:
         host, _, port = str(value).rpartition(":")
         if not host or not port.isdecimal() or int(port) > 65535:
             self.fail(f"{value!r} is no address and port", param, ctx)
@@ -30,6 +32,7 @@
 @main.command(help="The balancer, configured by BALANCER_CONFIG; the same as no command.")
 def run() -> None:
     from corklift.service import balance
+
     sys.exit(balance())
 
 
@@ -40,6 +43,7 @@
     from corklift.net.limits import BadConfig
     from corklift.serve import check as look
     from corklift.serve import main as start
+
     if not check:
         sys.exit(start(file))
     try:
@@ -48,7 +52,9 @@
         raise click.ClickException(str(problem)) from None
 
 
-@main.group(help="Balancers that know each other: who lives, by one of them. See docs/operate/peers.md.")
+@main.group(
+    help="Balancers that know each other: who lives, by one of them. See docs/operate/peers.md."
+)
 def peers() -> None:
     pass
 
@@ -56,40 +62,55 @@
 def _ask_peer(address: tuple[str, int], path: str, request: bytes) -> bytes:
     from corklift.membership.peers import question
     from corklift.rpc.core import RpcError
+
     try:
         return bytes(question(address, path, request))
     except RpcError as problem:
         raise click.ClickException(f"{address[0]}:{address[1]}: {problem}") from None
 
 
-@peers.command("status", help="Whom one balancer holds for living, suspect, dead or gone, and what it counts.")
+@peers.command(
+    "status", help="Whom one balancer holds for living, suspect, dead or gone, and what it counts."
+)
 @click.argument("address", type=_Address())
 @click.option("--json", "as_json", is_flag=True)
 def peers_status(address: tuple[str, int], as_json: bool) -> None:
     import json
 
     from corklift.membership.peers import STATUS
+
     content = _ask_peer(address, STATUS, b"")
     if as_json:
         click.echo(content)
         return
     told = json.loads(content)
-    click.echo(f"{told['name']} counts {told['count']} balancers" + ("" if told["joined"] else ", has not joined yet"))
+    click.echo(
+        f"{told['name']} counts {told['count']} balancers"
+        + ("" if told["joined"] else ", has not joined yet")
+    )
     for row in told["members"]:
-        click.echo(f"{row['name']:20} {row['standing']:8} {row['address']:22} incarnation {row['incarnation']:<4} "
-                   f"{row['zone']} {row['version']}")
+        click.echo(
+            f"{row['name']:20} {row['standing']:8} {row['address']:22} incarnation {row['incarnation']:<4} "
+            f"{row['zone']} {row['version']}"
+        )
 
 
-@peers.command("forget", help="Says for a balancer that is held for dead that it is gone for good: it is counted no longer.")
+@peers.command(
+    "forget",
+    help="Says for a balancer that is held for dead that it is gone for good: it is counted no longer.",
+)
 @click.argument("address", type=_Address())
 @click.argument("name")
 def peers_forget(address: tuple[str, int], name: str) -> None:
     from corklift.membership.peers import FORGET
+
     _ask_peer(address, FORGET, name.encode())
     click.echo(f"{name} is gone")
 
 
-@main.group(help="What a balancer or the control service keeps on the disk. See docs/operate/power.md.")
+@main.group(
+    help="What a balancer or the control service keeps on the disk. See docs/operate/power.md."
+)
 def store() -> None:
     pass
 
@@ -97,6 +118,7 @@
 def _loaded(path: str) -> Any:
     from corklift.store.files import Disk
     from corklift.store.form import Refused, load
+
     try:
         disk = Disk(path, make=False)
         return load(disk.names(), disk.read)
@@ -107,14 +129,19 @@
 _Folder = click.Path(exists=True, file_okay=False)
 
 
-@store.command("check", help="Reads all; says what a start would find, or where it is damaged. Changes nothing.")
+@store.command(
+    "check",
+    help="Reads all; says what a start would find, or where it is damaged. Changes nothing.",
+)
 @click.argument("folder", type=_Folder)
 def store_check(folder: str) -> None:
     found = _loaded(folder)
     if not found.segment:
         click.echo(f"{folder}: no store is here")
         return
-    click.echo(f"{folder}: store {found.store.hex()}, {len(found.state)} keys, commit {found.sequence}, segment {found.segment}")
+    click.echo(
+        f"{folder}: store {found.store.hex()}, {len(found.state)} keys, commit {found.sequence}, segment {found.segment}"
+    )
     for cut in found.cuts:
         click.echo(f"a torn end, left out: {cut.name} at byte {cut.offset}, {cut.length} bytes")
 
@@ -124,6 +151,7 @@
 @click.option("--prefix", default="")
 def store_dump(folder: str, prefix: str) -> None:
     import msgspec
+
     for key, value in sorted(_loaded(folder).state.items()):
         if key.startswith(prefix.encode()):
             try:
@@ -138,6 +166,7 @@
 
     from corklift.store.files import Disk
     from corklift.store.log import Store
+
     if os.path.isdir(to) and os.listdir(to):
         raise click.ClickException(f"{to} is not empty")
     disk = Disk(to)
@@ -149,15 +178,24 @@
         disk.end()
 
 
-@store.command("init", help="Says that there is nothing to remember: for a fleet's first balancer, that can reach no other.")
+@store.command(
+    "init",
+    help="Says that there is nothing to remember: for a fleet's first balancer, that can reach no other.",
+)
 @click.argument("path", type=click.Path(file_okay=False))
-@click.option("--boot", default="/proc/sys/kernel/random/boot_id", show_default=True, help="As in the balancer's file.")
+@click.option(
+    "--boot",
+    default="/proc/sys/kernel/random/boot_id",
+    show_default=True,
+    help="As in the balancer's file.",
+)
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.facts import ENDED, Fact, encoded
     from corklift.recovery.part import boot_of
     from corklift.store.form import Refused
     from corklift.store.keeper import Folders
     from corklift.store.log import InUse, NotKept, Store
+
     try:
         made = Store(Folders(path).newest())
         if made.items():
@@ -169,12 +207,16 @@
     click.echo(f"{path}: nothing to remember")
 
 
-@store.command("salvage", help="Writes what can be read of a damaged store into an empty folder, and says what is lost.")
+@store.command(
+    "salvage",
+    help="Writes what can be read of a damaged store into an empty folder, and says what is lost.",
+)
 @click.argument("folder", type=_Folder)
 @click.option("--to", required=True, type=click.Path(file_okay=False))
 def store_salvage(folder: str, to: str) -> None:
     from corklift.store.files import Disk
     from corklift.store.form import salvage
+
     disk = Disk(folder, make=False)
     found = salvage(disk.names(), disk.read)
     for lost in found.lost:
@@ -183,7 +225,10 @@
     click.echo(f"{to}: {len(found.state)} keys")
 
 
-@store.command("copy", help="Writes what is kept into an empty folder, as a store of its own. Only while no process has it.")
+@store.command(
+    "copy",
+    help="Writes what is kept into an empty folder, as a store of its own. Only while no process has it.",
+)
 @click.argument("folder", type=_Folder)
 @click.argument("to", type=click.Path(file_okay=False))
 def store_copy(folder: str, to: str) -> None:
@@ -192,8 +237,13 @@
     click.echo(f"{to}: {len(found.state)} keys")
 
 
-@main.group(invoke_without_command=True, help="The control service: placement choices for proxies, through xDS.")
-@click.option("--config", type=click.Path(dir_okay=False), help="TOML; see docs/operate/control.md.")
+@main.group(
+    invoke_without_command=True,
+    help="The control service: placement choices for proxies, through xDS.",
+)
+@click.option(
+    "--config", type=click.Path(dir_okay=False), help="TOML; see docs/operate/control.md."
+)
 @click.option("--check", is_flag=True, help="Only read the configuration and say whether it holds.")
 @click.pass_context
 def control(context: click.Context, config: str | None, check: bool) -> None:
@@ -203,6 +253,7 @@
         raise click.UsageError("--config is missing")
     if check:
         from corklift.control.config import BadConfig, read
+
         try:
             given = read(config)
         except BadConfig as problem:
@@ -210,6 +261,7 @@
         click.echo(f"{config}: {len(given.workloads)} workloads, {len(given.doors)} listeners")
         return
     from corklift.control.program import main as serve
+
     sys.exit(serve(config))
 
 
@@ -219,10 +271,13 @@
 @click.option("--json", "as_json", is_flag=True)
 def status(address: tuple[str, int], node: str, as_json: bool) -> None:
     from corklift.control.status import main as tell
+
     sys.exit(tell(address, node, as_json))
 
 
-@main.group(help="The lab: fleets in virtual time, experiments, exploration. See docs/operate/lab.md.")
+@main.group(
+    help="The lab: fleets in virtual time, experiments, exploration. See docs/operate/lab.md."
+)
 def lab() -> None:
     pass
 
@@ -230,6 +285,7 @@
 def _experiment(path: str) -> Any:
     from corklift.lab.experiment import load
     from corklift.lab.scenario import BadScenario
+
     try:
         return load(path)
     except BadScenario as problem:
@@ -241,16 +297,24 @@
 def _table(results: list[dict[str, Any]]) -> None:
     for found in results:
         changes = " ".join(f"{key}={value}" for key, value in found["varied"].items())
-        rules = " ".join(f"rule {rule}: {number}" for rule, number in found["rules"].items()) or "rules kept"
-        click.echo(f"{found['policy']:18} seed {found['seed']:<4} service {found['service']:.4f}  {rules}  {changes}")
-
-
-@lab.command("run", help="Plays an experiment; lines go to --out, where an interrupted one goes on.")
+        rules = (
+            " ".join(f"rule {rule}: {number}" for rule, number in found["rules"].items())
+            or "rules kept"
+        )
+        click.echo(
+            f"{found['policy']:18} seed {found['seed']:<4} service {found['service']:.4f}  {rules}  {changes}"
+        )
+
+
+@lab.command(
+    "run", help="Plays an experiment; lines go to --out, where an interrupted one goes on."
+)
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), help="JSON lines; FILE.jsonl by default.")
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
 def lab_run(file: str, out: str | None, processes: int) -> None:
     from corklift.lab.experiment import carry_out
+
     given = _experiment(file)
     try:
         for result in carry_out(given, out or f"{file}.jsonl", processes):
@@ -262,12 +326,20 @@
 @lab.command(help="Differences between policies, pair by pair, with 95 % intervals.")
 @click.argument("results", type=click.Path(exists=True, dir_okay=False))
 @click.option("--against", default="module", show_default=True)
-@click.option("--figure", type=click.Choice(["service", "answers", "on_time"]), default="service", show_default=True)
+@click.option(
+    "--figure",
+    type=click.Choice(["service", "answers", "on_time"]),
+    default="service",
+    show_default=True,
+)
 def compare(results: str, against: str, figure: str) -> None:
     from corklift.lab.experiment import differences, read
+
     _, found = read(results)
     for row in sorted(differences(found, against, figure), key=lambda row: -row.mean):
-        click.echo(f"{row.policy:18} {row.mean:+.4f}  ({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)")
+        click.echo(
+            f"{row.policy:18} {row.mean:+.4f}  ({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)"
+        )
 
 
 @lab.command(help="The runs in which a policy does worst against the one that sees the true state.")
@@ -276,10 +348,18 @@
 @click.option("--most", type=click.IntRange(1, 1000), default=5, show_default=True)
 def sweep(results: str, policy: str, most: int) -> None:
     from corklift.lab.experiment import read
+
     _, found = read(results)
-    mark = {(run["seed"], str(run["varied"])): run["service"] for run in found if run["policy"] == "true state"}
-    mine = [(run["service"] - mark.get((run["seed"], str(run["varied"])), run["service"]), run)
-            for run in found if run["policy"] == policy]
+    mark = {
+        (run["seed"], str(run["varied"])): run["service"]
+        for run in found
+        if run["policy"] == "true state"
+    }
+    mine = [
+        (run["service"] - mark.get((run["seed"], str(run["varied"])), run["service"]), run)
+        for run in found
+        if run["policy"] == policy
+    ]
     for apart, run in sorted(mine, key=lambda pair: pair[0])[:most]:
         click.echo(f"{apart:+.4f} ", nl=False)
         _table([run])
@@ -291,6 +371,7 @@
 def report(results: str, out: str) -> None:
     from corklift.lab.experiment import commit, read
     from corklift.lab.report import page
+
     given, found = read(results)
     with open(out, "w", encoding="utf-8") as file:
         file.write(page(given, found, commit()))
@@ -298,27 +379,56 @@
 
 
 @lab.command(help="Every order of events in a small world, to a depth; then random walks.")
-@click.option("--world", type=click.Choice(["placing", "views", "members", "recovery"]), default="placing", show_default=True,
-              help="The decision module, the control service's views with one proxy, three members, or three recoveries.")
+@click.option(
+    "--world",
+    type=click.Choice(["placing", "views", "members", "recovery"]),
+    default="placing",
+    show_default=True,
+    help="The decision module, the control service's views with one proxy, three members, or three recoveries.",
+)
 @click.option("--incremental", is_flag=True, help="Of views: that variant.")
 @click.option("--depth", type=click.IntRange(1, 40), default=5, show_default=True)
 @click.option("--states", type=click.IntRange(10, 10_000_000), default=20_000, show_default=True)
 @click.option("--walks", type=click.IntRange(0, 10_000_000), default=500, show_default=True)
 @click.option("--balancers", type=click.IntRange(1, 2), default=1, show_default=True)
 @click.option("--servers", type=click.IntRange(2, 3), default=2, show_default=True)
-@click.option("--effect", type=click.Choice(["repeatable", "tagged", "once-only"]), default="repeatable", show_default=True)
+@click.option(
+    "--effect",
+    type=click.Choice(["repeatable", "tagged", "once-only"]),
+    default="repeatable",
+    show_default=True,
+)
 @click.option("--out", type=click.Path(dir_okay=False), help="Where a counterexample goes.")
-def explore(world: str, incremental: bool, depth: int, states: int, walks: int, balancers: int, servers: int, effect: str,
-            out: str | None) -> None:
+def explore(
+    world: str,
+    incremental: bool,
+    depth: int,
+    states: int,
+    walks: int,
+    balancers: int,
+    servers: int,
+    effect: str,
+    out: str | None,
+) -> None:
     from corklift.lab import explore as lab_explore
     from corklift.lab.explore_members import Fleet
     from corklift.lab.explore_recovery import Returns
-    shape = (lab_explore.Small(balancers=balancers, servers=servers, effect=effect) if world == "placing"
-             else Fleet() if world == "members" else Returns() if world == "recovery" else lab_explore.Followed(incremental))
+
+    shape = (
+        lab_explore.Small(balancers=balancers, servers=servers, effect=effect)
+        if world == "placing"
+        else Fleet()
+        if world == "members"
+        else Returns()
+        if world == "recovery"
+        else lab_explore.Followed(incremental)
+    )
     make = lambda: lab_explore.world(world, shape._asdict())  # noqa: E731
     found = lab_explore.explore(make, depth, states)
-    click.echo(f"{found.states} states to depth {found.depth}, {found.steps} events played"
-               + ("" if found.complete else ", not all orders"))
+    click.echo(
+        f"{found.states} states to depth {found.depth}, {found.steps} events played"
+        + ("" if found.complete else ", not all orders")
+    )
     if not found.what and walks:
         found = lab_explore.wander(make, walks, 60, 1)
         click.echo(f"{walks} walks, {found.steps} events played")
@@ -336,6 +446,7 @@
     import json
 
     from corklift.lab import explore as lab_explore
+
     with open(file, encoding="utf-8") as content:
         given = json.load(content)
     world = lab_explore.world(given["world"], given["shape"])
@@ -351,23 +462,54 @@
     sys.exit(1 if world.broken() else 0)
 
 
-@lab.command(help="Balancers, stand-in transcribers and clients on loopback: placements a second, latency, limits.")
+@lab.command(
+    help="Balancers, stand-in transcribers and clients on loopback: placements a second, latency, limits."
+)
 @click.option("--balancers", type=click.IntRange(1, 16), default=1, show_default=True)
 @click.option("--servers", type=click.IntRange(1, 200), default=4, show_default=True)
-@click.option("--rate", type=click.FloatRange(1, 5000), default=100.0, show_default=True, help="Logins a second.")
+@click.option(
+    "--rate",
+    type=click.FloatRange(1, 5000),
+    default=100.0,
+    show_default=True,
+    help="Logins a second.",
+)
 @click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True)
-@click.option("--hold", type=click.FloatRange(0.1, 600), default=5.0, show_default=True, help="Mean length of a connection, s.")
-@click.option("--sockets", type=click.IntRange(32, 20_000), default=4096, show_default=True, help="A balancer's limit.")
+@click.option(
+    "--hold",
+    type=click.FloatRange(0.1, 600),
+    default=5.0,
+    show_default=True,
+    help="Mean length of a connection, s.",
+)
+@click.option(
+    "--sockets",
+    type=click.IntRange(32, 20_000),
+    default=4096,
+    show_default=True,
+    help="A balancer's limit.",
+)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
-def load(balancers: int, servers: int, rate: float, seconds: float, hold: float, sockets: int, seed: int,
-         as_json: bool) -> None:
+def load(
+    balancers: int,
+    servers: int,
+    rate: float,
+    seconds: float,
+    hold: float,
+    sockets: int,
+    seed: int,
+    as_json: bool,
+) -> None:
     import json
 
     from corklift.lab.load import Load, Shape
+
     try:
-        tool = Load(Shape(balancers, servers, rate, seconds, hold, sockets=sockets, seed=seed),
-                    (lambda text: None) if as_json else click.echo)
+        tool = Load(
+            Shape(balancers, servers, rate, seconds, hold, sockets=sockets, seed=seed),
+            (lambda text: None) if as_json else click.echo,
+        )
     except ValueError as problem:
         raise click.ClickException(str(problem)) from None
     figures = tool.run()
@@ -379,13 +521,16 @@
     sys.exit(0 if figures["balancers_alive"] and not tool.problems else 1)
 
 
-@main.group(help="The rig: real processes of serve with faults between them, and a checker. See docs/design/rig.md.")
+@main.group(
+    help="The rig: real processes of serve with faults between them, and a checker. See docs/design/rig.md."
+)
 def rig() -> None:
     pass
 
 
 def _scenario(path: str) -> Any:
     from corklift.rig.scenario import BadScenario, read
+
     try:
         return read(path)
     except BadScenario as problem:
@@ -394,6 +539,7 @@
 
 def _verdict(events: Any) -> int:
     from corklift.rig.checker import around, judge
+
     found = judge(events, max(event.at for event in events))
     if found:
         first = found[0]
@@ -403,26 +549,54 @@
     return 1 if found else 0
 
 
-def _play_rig(given: Any, peers: bool, seed: int, spoil: dict[str, str], out: str | None, verbose: bool) -> int:
+def _play_rig(
+    given: Any, peers: bool, seed: int, spoil: dict[str, str], out: str | None, verbose: bool
+) -> int:
     import msgspec
 
     from corklift.rig.scenario import play, written
-    played = play(given, peers=peers, seed=seed, spoil=spoil, show=click.echo if verbose else lambda text: None)
+
+    played = play(
+        given,
+        peers=peers,
+        seed=seed,
+        spoil=spoil,
+        show=click.echo if verbose else lambda text: None,
+    )
     if out:
         with open(out, "w", encoding="utf-8") as file:
-            head = {"scenario": msgspec.to_builtins(given), "peers": peers, "seed": seed, "spoil": spoil}
+            head = {
+                "scenario": msgspec.to_builtins(given),
+                "peers": peers,
+                "seed": seed,
+                "spoil": spoil,
+            }
             file.write(msgspec.json.encode(head).decode() + "\n" + written(played.events))
     return _verdict(played.events)
 
 
 @rig.command("run", help="Plays a scenario and judges it; exits 1 where a promise is broken.")
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--out", type=click.Path(dir_okay=False), help="Where the events go, for replay and report.")
-@click.option("--peers/--no-peers", default=True, show_default=True, help="Off: the same balancers, that do not know each other.")
+@click.option(
+    "--out", type=click.Path(dir_okay=False), help="Where the events go, for replay and report."
+)
+@click.option(
+    "--peers/--no-peers",
+    default=True,
+    show_default=True,
+    help="Off: the same balancers, that do not know each other.",
+)
 @click.option("--seed", type=int, help="Instead of the file's.")
-@click.option("--spoil", multiple=True, metavar="BALANCER=FAULT", help="A deliberate fault of `rig list`, put into it at its start.")
+@click.option(
+    "--spoil",
+    multiple=True,
+    metavar="BALANCER=FAULT",
+    help="A deliberate fault of `rig list`, put into it at its start.",
+)
 @click.option("--verbose", is_flag=True, help="What the rig sees and does, as it happens.")
-def rig_run(file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool) -> None:
+def rig_run(
+    file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool
+) -> None:
     given = _scenario(file)
     spoilt = dict(item.partition("=")[::2] for item in spoil)
     sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, spoilt, out, verbose))
@@ -434,10 +608,13 @@
     import os
 
     from corklift.rig.spoilt import FAULTS
+
     for name in sorted(os.listdir(folder)):
         if name.endswith(".toml"):
             given = _scenario(os.path.join(folder, name))
-            click.echo(f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  {given.name}")
+            click.echo(
+                f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  {given.name}"
+            )
     for fault_name, made in FAULTS.items():
         click.echo(f"{fault_name:24} {(made.__doc__ or '').strip()}")
 
@@ -450,9 +627,19 @@
     import msgspec
 
     from corklift.rig.scenario import Scenario
+
     with open(file, encoding="utf-8") as content:
         head = json.loads(content.readline())
-    sys.exit(_play_rig(msgspec.convert(head["scenario"], Scenario), head["peers"], head["seed"], head["spoil"], None, False))
+    sys.exit(
+        _play_rig(
+            msgspec.convert(head["scenario"], Scenario),
+            head["peers"],
+            head["seed"],
+            head["spoil"],
+            None,
+            False,
+        )
+    )
 
 
 @rig.command("report", help="The time line of what `run --out` wrote, as one HTML page.")
@@ -461,6 +648,7 @@
 def rig_report(file: str, out: str) -> None:
     from corklift.rig.report import page
     from corklift.rig.scenario import events_of
+
     with open(file, encoding="utf-8") as content:
         head = content.readline()
         events = events_of(content.read())
--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -92,10 +92,29 @@
         given = need(config, "limits", dict)
         given = given | {"sockets": allow_sockets(need(given, "sockets", int, "limits."))}
         try:
-            limits = Limits.of(given, connect_time, len(known.entries), longest, arguments["ask_within"],
-                               arguments["ask_for_list"], operated)
+            limits = Limits.of(
+                given,
+                connect_time,
+                len(known.entries),
+                longest,
+                arguments["ask_within"],
+                arguments["ask_for_list"],
+                operated,
+            )
         except OverflowError:
             raise BadConfig(f"config: limits holds {given!r:.60}") from None
-        return cls(listen, discovery, seed, known, limits, arguments, names, told,
-                   _names(settings, "localities"), _names(settings, "skus"),
-                   need(allow, "keepalive-ns", int, "settings.permissions."), admin, config)
+        return cls(
+            listen,
+            discovery,
+            seed,
+            known,
+            limits,
+            arguments,
+            names,
+            told,
+            _names(settings, "localities"),
+            _names(settings, "skus"),
+            need(allow, "keepalive-ns", int, "settings.permissions."),
+            admin,
+            config,
+        )
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -94,7 +94,9 @@
 
 class KeptTable(Table):
     path: Annotated[str, Meta(min_length=1, max_length=1000)]  # a folder of this service alone
-    patience_ms: Span = 3000  # for the disk's first answer; then it starts with what discovery tells
+    patience_ms: Span = (
+        3000  # for the disk's first answer; then it starts with what discovery tells
+    )
 
 
 class ControlTable(Table):
@@ -123,7 +125,9 @@
         if int(port) > 65535:
             raise ValueError
     except (OSError, ValueError):
-        raise BadConfig(f"config: {key} holds {text!r}, an IPv4 address and a port are needed") from None
+        raise BadConfig(
+            f"config: {key} holds {text!r}, an IPv4 address and a port are needed"
+        ) from None
     return host, int(port)
 
 
@@ -132,9 +136,14 @@
 
     def __init__(self, table: ControlTable) -> None:
         self.table = table
-        self.listen, self.discovery = _address(table.listen, "listen"), _address(table.discovery, "discovery")
-        self.workloads = [Workload(w.name, w.importance, w.soft_limit_ms * MS, w.time_limit_ms * MS)
-                          for w in table.workloads]
+        self.listen, self.discovery = (
+            _address(table.listen, "listen"),
+            _address(table.discovery, "discovery"),
+        )
+        self.workloads = [
+            Workload(w.name, w.importance, w.soft_limit_ms * MS, w.time_limit_ms * MS)
+            for w in table.workloads
+        ]
         names = [workload.name for workload in self.workloads]
         if len(set(names)) < len(names):
             raise BadConfig("config: workloads has a name twice")
@@ -145,47 +154,89 @@
         for at, given in enumerate(table.listeners):
             for number, route in enumerate(given.routes):
                 if route.workload not in names:
-                    raise BadConfig(f"config: listeners[{at}].routes[{number}].workload names {route.workload!r}, "
-                                    "which workloads does not have")
+                    raise BadConfig(
+                        f"config: listeners[{at}].routes[{number}].workload names {route.workload!r}, "
+                        "which workloads does not have"
+                    )
             if given.protocol == "tcp" and (given.address is None or len(given.routes) > 1):
-                raise BadConfig(f"config: listeners[{at}].protocol is tcp: it needs an address and one route")
+                raise BadConfig(
+                    f"config: listeners[{at}].protocol is tcp: it needs an address and one route"
+                )
             address = _address(given.address, f"listeners[{at}].address") if given.address else None
-            self.doors.append(Door(given.name, tuple(Route(r.prefix, r.workload) for r in given.routes), address,
-                                   given.protocol == "tcp"))
+            self.doors.append(
+                Door(
+                    given.name,
+                    tuple(Route(r.prefix, r.workload) for r in given.routes),
+                    address,
+                    given.protocol == "tcp",
+                )
+            )
         if len({door.name for door in self.doors}) < len(self.doors):
             raise BadConfig("config: listeners has a name twice")
         fresh = table.freshness
         self.stale_after, self.ttl = fresh.endpoint_stale_after_ms * MS, fresh.ttl_ms * MS
         shortest = min((span for span in (self.stale_after, self.ttl) if span), default=0)
         if 0 < shortest < 300 * MS:
-            raise BadConfig("config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: proxies would run dry")
+            raise BadConfig(
+                "config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: proxies would run dry"
+            )
         limits = table.limits
         self.views = views.Settings(
-            ack_wait=fresh.ack_wait_ms * MS, hold_time=fresh.hold_ms * MS, refresh=shortest // 3,
-            heartbeats=bool(self.ttl) and not self.stale_after, names=limits.names)
+            ack_wait=fresh.ack_wait_ms * MS,
+            hold_time=fresh.hold_ms * MS,
+            refresh=shortest // 3,
+            heartbeats=bool(self.ttl) and not self.stale_after,
+            names=limits.names,
+        )
         self.weights = weights.Settings(table.weights.every_ms * MS, table.weights.dead_band)
         self.span = table.weights.every_ms * MS
         self.rpc = RpcLimits(
-            connections=limits.proxies, message=limits.message_bytes, control_frames=limits.control_frames,
-            stall_time=limits.stall_ms * MS, ping_after=limits.ping_after_ms * MS, ping_wait=limits.ping_wait_ms * MS)
-        self.net = Limits(clients=0, waiting=0, probes=max(64, limits.proxies), connect_time=table.connect_time_ms * MS,
-                          stop_time=table.stop.grace_ms * MS)
-        self.report_names = {name: ours for ours in ("count", "pressure", "busy")
-                             if (name := getattr(table.report, ours)) is not None}
+            connections=limits.proxies,
+            message=limits.message_bytes,
+            control_frames=limits.control_frames,
+            stall_time=limits.stall_ms * MS,
+            ping_after=limits.ping_after_ms * MS,
+            ping_wait=limits.ping_wait_ms * MS,
+        )
+        self.net = Limits(
+            clients=0,
+            waiting=0,
+            probes=max(64, limits.proxies),
+            connect_time=table.connect_time_ms * MS,
+            stop_time=table.stop.grace_ms * MS,
+        )
+        self.report_names = {
+            name: ours
+            for ours in ("count", "pressure", "busy")
+            if (name := getattr(table.report, ours)) is not None
+        }
 
     def arguments(self) -> dict[str, Any]:
         """The settings of the decisions: this service is one of `services` balancers that place alike."""
         cold = self.table.cold
         return dict(
-            zone=0, balancers=self.table.services, workloads=self.workloads, per_work=False,
-            cold=ColdRule(cold.start_share, cold.ramp_ms * MS, cold.multiple, cold.span_ms * MS), max_hand_offs=1,
-            cancel_allowed=False, max_retry_after=0, probes_allowed=True, ask_for_list=False, ask_within=10 * SECOND,
-            grouped=False, weight_varies=False, memory=0, crossing_price=0.0, probe_price=0.0)
+            zone=0,
+            balancers=self.table.services,
+            workloads=self.workloads,
+            per_work=False,
+            cold=ColdRule(cold.start_share, cold.ramp_ms * MS, cold.multiple, cold.span_ms * MS),
+            max_hand_offs=1,
+            cancel_allowed=False,
+            max_retry_after=0,
+            probes_allowed=True,
+            ask_for_list=False,
+            ask_within=10 * SECOND,
+            grouped=False,
+            weight_varies=False,
+            memory=0,
+            crossing_price=0.0,
+            probe_price=0.0,
+        )
 
 
 def read(path: str) -> Control:
     """Raises:
-        BadConfig: names the key at fault, or the file.
+    BadConfig: names the key at fault, or the file.
     """
     try:
         with open(path, "rb") as file:
--- a/corklift/control/kept.py
+++ b/corklift/control/kept.py
@@ -27,10 +27,26 @@
 class Kept(Quiet):
     """Drives the recovery's facts, alone: there is nobody to ask."""
 
-    def __init__(self, scheduler: Scheduler, path: str, patience: int, listed: Callable[[Scope, Listing], None],
-                 say: Callable[..., None]) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        path: str,
+        patience: int,
+        listed: Callable[[Scope, Listing], None],
+        say: Callable[..., None],
+    ) -> None:
         self._scheduler, self._patience, self._listed, self._say = scheduler, patience, listed, say
-        self._core = Recovery(self, Random(), Terms(), scheduler.now(), name="control", life=1, boot="", expected=1, alone=True)
+        self._core = Recovery(
+            self,
+            Random(),
+            Terms(),
+            scheduler.now(),
+            name="control",
+            life=1,
+            boot="",
+            expected=1,
+            alone=True,
+        )
         self._keeper = Keeper(scheduler, Folders(path), self._opened)
         self._known: Listing | None = None  # as it was told last, whole
         self._waits: list[Task] = []
@@ -47,7 +63,9 @@
         self._scheduler.sleep(self._patience)
         self._go_on()
 
-    def _opened(self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str) -> None:
+    def _opened(
+        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+    ) -> None:
         now = self._scheduler.now()
         facts = []
         for _, value in items:
@@ -58,12 +76,29 @@
         if notes is None:
             self._core.unread(now, why)
         else:
-            self._core.read(now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble)
+            self._core.read(
+                now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+            )
         kept = self._core.facts.get(LIST)
         if self._known is None and kept is not None:
-            entries = tuple(Entry(line.name, (line.host, line.port), line.zone, line.kind, line.cell, Status(line.status), line.weight, 0)
-                            for line in servers(kept))
-            self._scheduler.spawn(self._listed, Scope.FULL, self._believed(now, Listing(kept.number[0], True, entries, 0), False))
+            entries = tuple(
+                Entry(
+                    line.name,
+                    (line.host, line.port),
+                    line.zone,
+                    line.kind,
+                    line.cell,
+                    Status(line.status),
+                    line.weight,
+                    0,
+                )
+                for line in servers(kept)
+            )
+            self._scheduler.spawn(
+                self._listed,
+                Scope.FULL,
+                self._believed(now, Listing(kept.number[0], True, entries, 0), False),
+            )
         self._go_on()
 
     def _go_on(self) -> None:
@@ -79,11 +114,26 @@
             self._scheduler.wait({}, self._until)
         now = self._scheduler.now()
         believed = self._believed(now, content, True)
-        known = {} if content.whole or self._known is None else {entry.name: entry for entry in self._known.entries}
+        known = (
+            {}
+            if content.whole or self._known is None
+            else {entry.name: entry for entry in self._known.entries}
+        )
         known |= {entry.name: entry for entry in content.entries}
-        self._known = Listing(content.version, True, tuple(e for e in known.values() if e.status is not Status.GONE), 0)
-        self._core.listed(now, [Server(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight) for e in self._known.entries],
-                          content.version)
+        self._known = Listing(
+            content.version,
+            True,
+            tuple(e for e in known.values() if e.status is not Status.GONE),
+            0,
+        )
+        self._core.listed(
+            now,
+            [
+                Server(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
+                for e in self._known.entries
+            ],
+            content.version,
+        )
         until = now + WAIT
         while self._under_way and self._scheduler.now() < until:
             self._scheduler.sleep(MS)
@@ -92,9 +142,22 @@
     def _believed(self, now: int, content: Listing, news: bool) -> Listing:
         entries = []
         for entry in content.entries:
-            leaves = (self._core.drained(now, entry.name, entry.started_at, content.version, entry.status is not Status.READY) if news
-                      else self._core.facts.leaves(entry.name, entry.started_at, content.version))
-            entries.append(entry._replace(status=Status.DRAINING) if leaves and entry.status is Status.READY else entry)
+            leaves = (
+                self._core.drained(
+                    now,
+                    entry.name,
+                    entry.started_at,
+                    content.version,
+                    entry.status is not Status.READY,
+                )
+                if news
+                else self._core.facts.leaves(entry.name, entry.started_at, content.version)
+            )
+            entries.append(
+                entry._replace(status=Status.DRAINING)
+                if leaves and entry.status is Status.READY
+                else entry
+            )
         return content._replace(entries=tuple(entries))
 
     def end(self) -> None:
@@ -110,6 +173,7 @@
         def kept(sequence: int, why: str) -> None:
             self._under_way -= 1
             self._core.kept(self._scheduler.now(), number, sequence, why)
+
         self._keeper.keep(dict(map(encoded, facts)), kept)
 
     def forget(self, facts: tuple[Fact, ...]) -> None:
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -33,7 +33,9 @@
 from corklift.rpc.server import Server
 
 TURN = 50 * MS  # between two looks at what is due
-READY_TIME = 1500 * MS  # after the first list, for a first count of each server; then the view stands without
+READY_TIME = (
+    1500 * MS
+)  # after the first list, for a first count of each server; then the view stands without
 STANDARD_FILES = 32  # descriptors beside those for proxies and probes
 KEPT_FOR = 30 * SECOND  # a connection for probes idles so long
 
@@ -50,7 +52,12 @@
         self._task: Any = None
         self._second, self._left = 0, self.A_SECOND
         self._log = structlog.wrap_logger(
-            self, processors=[structlog.processors.TimeStamper(fmt="iso"), structlog.processors.JSONRenderer()])
+            self,
+            processors=[
+                structlog.processors.TimeStamper(fmt="iso"),
+                structlog.processors.JSONRenderer(),
+            ],
+        )
 
     def msg(self, line: str) -> None:
         """What structlog hands a line to."""
@@ -90,21 +97,39 @@
 
 
 class Program:
-    def __init__(self, config: Control, path: str | None = None, now: Callable[[], int] | None = None) -> None:
+    def __init__(
+        self, config: Control, path: str | None = None, now: Callable[[], int] | None = None
+    ) -> None:
         self.config, self._path = config, path
         self.counters = Counters()
         self.scheduler = scheduler = Scheduler(now or wall_clock(), self._failed)
         self.lines = Lines(scheduler, self.counters)
-        self.facade = Facade(scheduler, config.table.seed, config.arguments(), config.report_names, None, [], [], 0,
-                             lambda text: self.lines.say("decisions", text=text), self.counters)
+        self.facade = Facade(
+            scheduler,
+            config.table.seed,
+            config.arguments(),
+            config.report_names,
+            None,
+            [],
+            [],
+            0,
+            lambda text: self.lines.say("decisions", text=text),
+            self.counters,
+        )
         self.weights = Weights(config.weights)
         self._places: dict[str, Place] = {}  # all that the list has, by name
         self._states: dict[str, Status] = {}
         self._started: dict[str, int] = {}
         self._known_at: int | None = None  # when the first list came
-        self.service = Service(scheduler, self.counters, lambda host: Views(host, config.views),
-                               self.facade_placed, self.lines.say, ttl=config.ttl,
-                               report_every=config.table.load_reports.every_ms * MS)
+        self.service = Service(
+            scheduler,
+            self.counters,
+            lambda host: Views(host, config.views),
+            self.facade_placed,
+            self.lines.say,
+            ttl=config.ttl,
+            report_every=config.table.load_reports.every_ms * MS,
+        )
         self.views = self.service.views
         self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
@@ -112,9 +137,20 @@
         printer = Printer(config.net, scheduler.now, self.counters)
         printer.say = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
-        self.kept = Kept(scheduler, store.path, store.patience_ms * MS, self.listed, self.lines.say) if store else None
-        self.watch = Watch(scheduler, config.net, self.counters, printer, self.kept or self, config.discovery,  # type: ignore[arg-type]
-                           Random(config.table.seed ^ 1))
+        self.kept = (
+            Kept(scheduler, store.path, store.patience_ms * MS, self.listed, self.lines.say)
+            if store
+            else None
+        )
+        self.watch = Watch(
+            scheduler,
+            config.net,
+            self.counters,
+            printer,
+            self.kept or self,
+            config.discovery,  # type: ignore[arg-type]
+            Random(config.table.seed ^ 1),
+        )
         self._stopping = False
 
     def facade_placed(self, workload: str, server: str, number: int, failed: int) -> None:
@@ -132,15 +168,24 @@
         gone = {entry.name for entry in content.entries if entry.status is Status.GONE}
         marked = self._marked()
         # One that started anew is out until it is weighed as cold; one at another address is told at once.
-        anew = {entry.name for entry in content.entries if entry.started_at > self._started.get(entry.name, entry.started_at)}
-        moved = {entry.name for entry in content.entries
-                 if entry.name in self._places and self._places[entry.name].address != entry.address}
+        anew = {
+            entry.name
+            for entry in content.entries
+            if entry.started_at > self._started.get(entry.name, entry.started_at)
+        }
+        moved = {
+            entry.name
+            for entry in content.entries
+            if entry.name in self._places and self._places[entry.name].address != entry.address
+        }
         if content.whole:
             gone |= self._states.keys() - named
         for entry in content.entries:
             self._states[entry.name] = entry.status
             self._started[entry.name] = entry.started_at
-            self._places[entry.name] = Place(entry.name, entry.address, entry.zone, entry.status is Status.DRAINING)
+            self._places[entry.name] = Place(
+                entry.name, entry.address, entry.zone, entry.status is Status.DRAINING
+            )
         for name in gone:
             for held in (self._states, self._places, self._started):
                 held.pop(name, None)
@@ -148,7 +193,11 @@
             self._known_at = now
             self.lines.say("list known", servers=len(self._places))
         changed = self.weights.left(left | gone | anew)
-        changed += [name for name, told in self.weights.told.items() if name not in changed and moved & told.weights.keys()]
+        changed += [
+            name
+            for name, told in self.weights.told.items()
+            if name not in changed and moved & told.weights.keys()
+        ]
         if self._marked() != marked:
             changed = list(self.weights.told)
         if changed and self.views.known:
@@ -167,7 +216,9 @@
         # Guards against an empty view, after which proxies would have nowhere to place, before the list is known.
         if self._known_at is None:
             return
-        if not self.views.known and not (self.facade.all_heard() or now - self._known_at >= READY_TIME):
+        if not self.views.known and not (
+            self.facade.all_heard() or now - self._known_at >= READY_TIME
+        ):
             return
         ready = [name for name, state in self._states.items() if state is Status.READY]
         changed = []
@@ -175,8 +226,17 @@
             if self.weights.due(now, workload.name):
                 chances = self.facade.chances(workload.name, self.config.span)
                 if self.config.table.weights.log:
-                    self.lines.say("weighed", workload=workload.name, chances={n: round(c, 6) for n, c in chances.items()})
-                if self.weights.weighed(now, workload.name, {n: c for n, c in chances.items() if n in self._places}, ready):
+                    self.lines.say(
+                        "weighed",
+                        workload=workload.name,
+                        chances={n: round(c, 6) for n, c in chances.items()},
+                    )
+                if self.weights.weighed(
+                    now,
+                    workload.name,
+                    {n: c for n, c in chances.items() if n in self._places},
+                    ready,
+                ):
                     changed.append(workload.name)
         if not self.views.known:
             self.views.changed(now, self._all_tables())
@@ -190,7 +250,9 @@
         draining = self._marked()
         for workload in workloads:
             told = self.weights.told.get(workload, Told({}, 0))
-            table[workload] = resources.endpoints(workload, told, self._places, draining, self.config.stale_after)
+            table[workload] = resources.endpoints(
+                workload, told, self._places, draining, self.config.stale_after
+            )
         return table
 
     def _marked(self) -> list[Place]:
@@ -203,9 +265,13 @@
         names = [workload.name for workload in self.config.workloads]
         connect_time = self.config.net.connect_time
         clusters = {name: resources.cluster(name, connect_time) for name in names}
-        tables = {Kind.CLUSTERS: clusters,
-                  Kind.LISTENERS: {door.name: resources.listener(door) for door in self.config.doors},
-                  Kind.ROUTES: {door.name: resources.routes(door) for door in self.config.doors if not door.plain}}
+        tables = {
+            Kind.CLUSTERS: clusters,
+            Kind.LISTENERS: {door.name: resources.listener(door) for door in self.config.doors},
+            Kind.ROUTES: {
+                door.name: resources.routes(door) for door in self.config.doors if not door.plain
+            },
+        }
         known = self._endpoints(names)
         return tables | {Kind.ENDPOINTS: {name: known[name] for name in names}}
 
@@ -234,17 +300,29 @@
             ready = [name for name, state in self._states.items() if state is Status.READY]
             for workload in new.workloads:
                 if workload.name not in self.weights.told:
-                    self.weights.weighed(now, workload.name, self.facade.chances(workload.name, new.span), ready)
+                    self.weights.weighed(
+                        now, workload.name, self.facade.chances(workload.name, new.span), ready
+                    )
             self.views.changed(now, self._all_tables())
         self.lines.say("configuration taken")
 
     def start(self) -> None:
         spawn = self.scheduler.spawn
         spawn(self.lines.keep_printing)
-        for job in (self.facade.keep_ticking, self.probes.keep_probing, self.watch.keep_watching, self.keep_weighing,
-                    self.server.keep_accepting, *(self.kept.jobs() if self.kept else ())):
+        for job in (
+            self.facade.keep_ticking,
+            self.probes.keep_probing,
+            self.watch.keep_watching,
+            self.keep_weighing,
+            self.server.keep_accepting,
+            *(self.kept.jobs() if self.kept else ()),
+        ):
             spawn(self._keep, job)
-        self.lines.say("started", listen=f"{self.config.listen[0]}:{self.port}", discovery=self.config.table.discovery)
+        self.lines.say(
+            "started",
+            listen=f"{self.config.listen[0]}:{self.port}",
+            discovery=self.config.table.discovery,
+        )
 
     def _keep(self, job: Callable[[], None]) -> None:
         """Runs one of the jobs that all proxies live on, and runs it again if an exception ends it."""
@@ -269,8 +347,11 @@
         self.lines.print_all()
 
     def tell_counters(self) -> None:
-        self.lines.say("counters", **{name.replace(" ", "_"): value for name, value in sorted(self.counters.items())},
-                       proxies=len(self.views.streams))
+        self.lines.say(
+            "counters",
+            **{name.replace(" ", "_"): value for name, value in sorted(self.counters.items())},
+            proxies=len(self.views.streams),
+        )
 
     def leave(self) -> None:
         """Proxies are told to go elsewhere (GOAWAY, and their streams end), then the program ends."""
@@ -304,7 +385,9 @@
         allowed = allow_sockets(wanted)
         program = Program(config, path)
         if allowed < wanted:
-            program.lines.say("fewer descriptors than the limits ask for", allowed=allowed, wanted=wanted)
+            program.lines.say(
+                "fewer descriptors than the limits ask for", allowed=allowed, wanted=wanted
+            )
     except BadConfig as problem:
         print(f"corklift: {problem}", file=sys.stderr)
         return 2
--- a/corklift/control/resources.py
+++ b/corklift/control/resources.py
@@ -16,7 +16,9 @@
 from envoy.config.listener.v3 import listener_pb2
 from envoy.config.route.v3 import route_pb2
 from envoy.extensions.filters.http.router.v3 import router_pb2
-from envoy.extensions.filters.network.http_connection_manager.v3 import http_connection_manager_pb2 as hcm_pb2
+from envoy.extensions.filters.network.http_connection_manager.v3 import (
+    http_connection_manager_pb2 as hcm_pb2,
+)
 from envoy.extensions.filters.network.tcp_proxy.v3 import tcp_proxy_pb2
 from envoy.service.discovery.v3 import ads_pb2, discovery_pb2  # noqa: F401  (ads_pb2 registers the service)
 from envoy.type.v3 import percent_pb2
@@ -27,10 +29,12 @@
 from corklift.control.weights import WHOLE, Told
 
 PREFIX = "type.googleapis.com/"
-TYPES = {Kind.CLUSTERS: PREFIX + "envoy.config.cluster.v3.Cluster",
-         Kind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
-         Kind.LISTENERS: PREFIX + "envoy.config.listener.v3.Listener",
-         Kind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration"}
+TYPES = {
+    Kind.CLUSTERS: PREFIX + "envoy.config.cluster.v3.Cluster",
+    Kind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
+    Kind.LISTENERS: PREFIX + "envoy.config.listener.v3.Listener",
+    Kind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
+}
 KINDS = {url: kind for kind, url in TYPES.items()}
 WRAPPED = PREFIX + "envoy.service.discovery.v3.Resource"
 REFUSED = "refused"  # the category under which proxies count what they turn away for us
@@ -62,7 +66,9 @@
     name: str
     routes: tuple[Route, ...]
     address: tuple[str, int] | None = None
-    plain: bool = False  # lines or any other bytes over TCP: the first route's workload has all of it
+    plain: bool = (
+        False  # lines or any other bytes over TCP: the first route's workload has all of it
+    )
 
 
 def _bytes(message: Message) -> bytes:
@@ -76,17 +82,20 @@
 
 
 def _over_ads() -> config_source_pb2.ConfigSource:
-    return config_source_pb2.ConfigSource(ads=config_source_pb2.AggregatedConfigSource(),
-                                          resource_api_version=config_source_pb2.V3)
+    return config_source_pb2.ConfigSource(
+        ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
+    )
 
 
 def cluster(workload: str, connect_time: int) -> Resource:
     """A workload's cluster: its endpoints come over ADS, their weights count, loads are reported to this service."""
     message = cluster_pb2.Cluster(
-        name=workload, type=cluster_pb2.Cluster.EDS,
+        name=workload,
+        type=cluster_pb2.Cluster.EDS,
         eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_over_ads()),
         lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
-        lrs_server=config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource()))
+        lrs_server=config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource()),
+    )
     message.connect_timeout.FromNanoseconds(connect_time)
     message.common_lb_config.locality_weighted_lb_config.SetInParent()
     # A proxy must not go back to servers that the view leaves out because it finds the others unwell.
@@ -94,8 +103,13 @@
     return Resource.of(workload, _bytes(message))
 
 
-def endpoints(workload: str, told: Told, places: Mapping[str, Place], draining: Iterable[Place] = (),
-              stale_after: int = 0) -> Resource:
+def endpoints(
+    workload: str,
+    told: Told,
+    places: Mapping[str, Place],
+    draining: Iterable[Place] = (),
+    stale_after: int = 0,
+) -> Resource:
     """A workload's servers. Each is a locality of its own, named by the server: a draw among localities is by weight
     in every proxy, gRPC clients among them, and their load reports tell localities apart."""
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=workload)
@@ -116,7 +130,9 @@
     return Resource.of(workload, _bytes(message))
 
 
-def _locality(message: endpoint_pb2.ClusterLoadAssignment, place: Place) -> endpoint_components_pb2.LocalityLbEndpoints:
+def _locality(
+    message: endpoint_pb2.ClusterLoadAssignment, place: Place
+) -> endpoint_components_pb2.LocalityLbEndpoints:
     locality = message.endpoints.add()
     locality.locality.zone, locality.locality.sub_zone = place.zone, place.name
     address = locality.lb_endpoints.add().endpoint.address.socket_address
@@ -126,13 +142,17 @@
 
 def listener(door: Door) -> Resource:
     manager = hcm_pb2.HttpConnectionManager(
-        stat_prefix=door.name, rds=hcm_pb2.Rds(config_source=_over_ads(), route_config_name=door.name),
-        http_filters=[hcm_pb2.HttpFilter(name=ROUTER, typed_config=_packed(router_pb2.Router()))])
+        stat_prefix=door.name,
+        rds=hcm_pb2.Rds(config_source=_over_ads(), route_config_name=door.name),
+        http_filters=[hcm_pb2.HttpFilter(name=ROUTER, typed_config=_packed(router_pb2.Router()))],
+    )
     message = listener_pb2.Listener(name=door.name)
     if door.address is None:
         message.api_listener.api_listener.CopyFrom(_packed(manager))
     else:
-        message.address.socket_address.address, message.address.socket_address.port_value = door.address
+        message.address.socket_address.address, message.address.socket_address.port_value = (
+            door.address
+        )
         inner: Message = manager
         name = "envoy.filters.network.http_connection_manager"
         if door.plain:
@@ -158,13 +178,21 @@
     url = TYPES[told.kind]
     if incremental:
         message = discovery_pb2.DeltaDiscoveryResponse(
-            system_version_info=told.version, type_url=url, nonce=told.nonce, removed_resources=told.removed,
-            control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER))
+            system_version_info=told.version,
+            type_url=url,
+            nonce=told.nonce,
+            removed_resources=told.removed,
+            control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER),
+        )
         for resource in told.resources:
             _fill(message.resources.add(), resource, url, ttl, told.heartbeat)
         return bytes(message.SerializeToString())
-    answer = discovery_pb2.DiscoveryResponse(version_info=told.version, type_url=url, nonce=told.nonce,
-                                             control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER))
+    answer = discovery_pb2.DiscoveryResponse(
+        version_info=told.version,
+        type_url=url,
+        nonce=told.nonce,
+        control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER),
+    )
     for resource in told.resources:
         if ttl:
             wrapped = discovery_pb2.Resource()
@@ -175,7 +203,9 @@
     return bytes(answer.SerializeToString())
 
 
-def _fill(message: discovery_pb2.Resource, resource: Resource, url: str, ttl: int, heartbeat: bool) -> None:
+def _fill(
+    message: discovery_pb2.Resource, resource: Resource, url: str, ttl: int, heartbeat: bool
+) -> None:
     message.name, message.version = resource.name, resource.version
     if not heartbeat:
         message.resource.type_url, message.resource.value = url, resource.body
@@ -199,21 +229,38 @@
 
 def request(content: bytes, incremental: bool) -> Request:
     """Raises:
-        BadRequest: it can't be read, or its type is not served.
+    BadRequest: it can't be read, or its type is not served.
     """
-    message: Whatever = discovery_pb2.DeltaDiscoveryRequest() if incremental else discovery_pb2.DiscoveryRequest()
+    message: Whatever = (
+        discovery_pb2.DeltaDiscoveryRequest() if incremental else discovery_pb2.DiscoveryRequest()
+    )
     parsed(message, content)
     kind = KINDS.get(message.type_url)
     if kind is None:
         raise BadRequest(f"no resources of type {message.type_url:.200}")
-    problem = f"{message.error_detail.code}: {message.error_detail.message:.1000}" if message.HasField("error_detail") else None
+    problem = (
+        f"{message.error_detail.code}: {message.error_detail.message:.1000}"
+        if message.HasField("error_detail")
+        else None
+    )
     if incremental:
-        return Request(message.node.id[:256], kind, message.response_nonce, problem,
-                       subscribe=tuple(message.resource_names_subscribe),
-                       unsubscribe=tuple(message.resource_names_unsubscribe),
-                       had=dict(message.initial_resource_versions))
-    return Request(message.node.id[:256], kind, message.response_nonce, problem, tuple(message.resource_names),
-                   message.version_info)
+        return Request(
+            message.node.id[:256],
+            kind,
+            message.response_nonce,
+            problem,
+            subscribe=tuple(message.resource_names_subscribe),
+            unsubscribe=tuple(message.resource_names_unsubscribe),
+            had=dict(message.initial_resource_versions),
+        )
+    return Request(
+        message.node.id[:256],
+        kind,
+        message.response_nonce,
+        problem,
+        tuple(message.resource_names),
+        message.version_info,
+    )
 
 
 def parsed(message: Message, content: bytes) -> None:
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -28,14 +28,26 @@
 STATUS_TURN = 25  # proxies looked at in one go
 MOST_COUNTED = 5_000  # servers in one report
 MOST_PLACED = 1_000_000  # logins on one server in one report: more is no count
-STATES = {"accepted": dump_pb2.ACKED, "refused": dump_pb2.NACKED, "sent": dump_pb2.REQUESTED,
-          "missing": dump_pb2.DOES_NOT_EXIST}
+STATES = {
+    "accepted": dump_pb2.ACKED,
+    "refused": dump_pb2.NACKED,
+    "sent": dump_pb2.REQUESTED,
+    "missing": dump_pb2.DOES_NOT_EXIST,
+}
 
 
 class Service:
-    def __init__(self, scheduler: Scheduler, counters: Counters, views_of: Callable[[Service], Views],
-                 placed: Callable[[str, str, int, int], None], log: Callable[..., None], *, ttl: int,
-                 report_every: int) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        counters: Counters,
+        views_of: Callable[[Service], Views],
+        placed: Callable[[str, str, int, int], None],
+        log: Callable[..., None],
+        *,
+        ttl: int,
+        report_every: int,
+    ) -> None:
         self._scheduler, self._counters, self._log, self._placed = scheduler, counters, log, placed
         self.ttl, self.report_every = ttl, report_every
         self.views = views_of(self)
@@ -45,10 +57,13 @@
         self.leaving = False
 
     def handlers(self) -> dict[str, Handler]:
-        return {ADS + "StreamAggregatedResources": lambda call: self._follow(call, False),
-                ADS + "DeltaAggregatedResources": lambda call: self._follow(call, True),
-                LRS: self._take_reports,
-                CSDS + "StreamClientStatus": self._stream_status, CSDS + "FetchClientStatus": self._fetch_status}
+        return {
+            ADS + "StreamAggregatedResources": lambda call: self._follow(call, False),
+            ADS + "DeltaAggregatedResources": lambda call: self._follow(call, True),
+            LRS: self._take_reports,
+            CSDS + "StreamClientStatus": self._stream_status,
+            CSDS + "FetchClientStatus": self._fetch_status,
+        }
 
     # What the views call
 
@@ -86,8 +101,17 @@
             raise RpcError(Code.UNAVAILABLE, "this control service goes away")
         except (BadRequest, TooMany) as problem:
             self._counters["bad requests of proxies"] += 1
-            self._log("request refused", peer=call.peer, node=views.streams[number].node, reason=str(problem))
-            code = Code.INVALID_ARGUMENT if isinstance(problem, BadRequest) else Code.RESOURCE_EXHAUSTED
+            self._log(
+                "request refused",
+                peer=call.peer,
+                node=views.streams[number].node,
+                reason=str(problem),
+            )
+            code = (
+                Code.INVALID_ARGUMENT
+                if isinstance(problem, BadRequest)
+                else Code.RESOURCE_EXHAUSTED
+            )
             raise RpcError(code, str(problem)) from None
         finally:
             views.closed(number)
@@ -100,14 +124,33 @@
             self.views.named(number, request.node)
         if request.problem is not None:
             self._counters["refusals of proxies"] += 1
-            self._log("a proxy refuses what it was sent", node=stream.node, kind=request.kind.name.lower(),
-                      reason=request.problem)
+            self._log(
+                "a proxy refuses what it was sent",
+                node=stream.node,
+                kind=request.kind.name.lower(),
+                reason=request.problem,
+            )
         if incremental:
-            self.views.requested_changes(now, number, request.kind, request.subscribe, request.unsubscribe, request.had,
-                                         request.nonce, request.problem)
+            self.views.requested_changes(
+                now,
+                number,
+                request.kind,
+                request.subscribe,
+                request.unsubscribe,
+                request.had,
+                request.nonce,
+                request.problem,
+            )
         else:
-            self.views.requested(now, number, request.kind, request.names, request.version, request.nonce,
-                                 request.problem)
+            self.views.requested(
+                now,
+                number,
+                request.kind,
+                request.names,
+                request.version,
+                request.nonce,
+                request.problem,
+            )
 
     # LRS
 
@@ -127,7 +170,10 @@
                     answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True)
                     answer.load_reporting_interval.FromNanoseconds(self.report_every)
                     call.post(answer.SerializeToString())
-                if sum(len(stats.upstream_locality_stats) for stats in request.cluster_stats) > MOST_COUNTED:
+                if (
+                    sum(len(stats.upstream_locality_stats) for stats in request.cluster_stats)
+                    > MOST_COUNTED
+                ):
                     raise BadRequest(f"a report of more than {MOST_COUNTED} servers")
                 for stats in request.cluster_stats:
                     self._take_report(stats)
@@ -143,12 +189,16 @@
         self._counters["load reports"] += 1
         for drops in stats.dropped_requests:
             if drops.category == REFUSED:
-                self._counters["logins turned away by proxies"] += min(drops.dropped_count, MOST_PLACED)
+                self._counters["logins turned away by proxies"] += min(
+                    drops.dropped_count, MOST_PLACED
+                )
         for locality in stats.upstream_locality_stats:
             issued, failed = locality.total_issued_requests, locality.total_error_requests
             if locality.locality.sub_zone and issued <= MOST_PLACED:
                 self._counters["logins placed by proxies"] += issued
-                self._placed(stats.cluster_name, locality.locality.sub_zone, issued, min(failed, issued))
+                self._placed(
+                    stats.cluster_name, locality.locality.sub_zone, issued, min(failed, issued)
+                )
 
     # CSDS
 
@@ -169,10 +219,17 @@
         except BadRequest as problem:
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
         wanted = [matcher.node_id for matcher in request.node_matchers]
-        if any(not matcher.exact and not matcher.prefix and not matcher.suffix and not matcher.contains for matcher in wanted):
-            raise RpcError(Code.UNIMPLEMENTED, "nodes are matched by exact, prefix, suffix or contains")
+        if any(
+            not matcher.exact and not matcher.prefix and not matcher.suffix and not matcher.contains
+            for matcher in wanted
+        ):
+            raise RpcError(
+                Code.UNIMPLEMENTED, "nodes are matched by exact, prefix, suffix or contains"
+            )
         answer = csds_pb2.ClientStatusResponse()
-        for at, stream in enumerate(sorted(self.views.streams.values(), key=lambda stream: (stream.node, stream.number))):
+        for at, stream in enumerate(
+            sorted(self.views.streams.values(), key=lambda stream: (stream.node, stream.number))
+        ):
             if at % STATUS_TURN == STATUS_TURN - 1:
                 self._scheduler.wait({}, self._scheduler.now())  # a drain may be waiting
             if stream.number not in self.views.streams:
@@ -182,14 +239,31 @@
             config = answer.config.add()
             config.node.id = stream.node
             call = self._calls.get(stream.number)
-            config.client_scope = (f"{'incremental' if stream.incremental else 'state of the world'}, stream "
-                                   f"{stream.number} from {call.peer if call else '?'}")
+            config.client_scope = (
+                f"{'incremental' if stream.incremental else 'state of the world'}, stream "
+                f"{stream.number} from {call.peer if call else '?'}"
+            )
             for status in self.views.statuses(stream.number):
-                self._fill(config.generic_xds_configs.add(), status, request.exclude_resource_contents, stream.number)
+                self._fill(
+                    config.generic_xds_configs.add(),
+                    status,
+                    request.exclude_resource_contents,
+                    stream.number,
+                )
         return bytes(answer.SerializeToString())
 
-    def _fill(self, config: csds_pb2.ClientConfig.GenericXdsConfig, status: Status, bare: bool, number: int) -> None:
-        config.type_url, config.name, config.version_info = TYPES[status.kind], status.name, status.accepted
+    def _fill(
+        self,
+        config: csds_pb2.ClientConfig.GenericXdsConfig,
+        status: Status,
+        bare: bool,
+        number: int,
+    ) -> None:
+        config.type_url, config.name, config.version_info = (
+            TYPES[status.kind],
+            status.name,
+            status.accepted,
+        )
         subscription = self.views.streams[number].kinds[status.kind]
         refused = status.refused is not None and status.accepted != status.in_force
         if not status.exists and not status.accepted:
@@ -197,7 +271,9 @@
         elif refused:
             config.client_status = STATES["refused"]
         else:
-            config.client_status = STATES["accepted" if status.accepted and status.accepted == status.sent else "sent"]
+            config.client_status = STATES[
+                "accepted" if status.accepted and status.accepted == status.sent else "sent"
+            ]
         if refused:
             config.config_status = csds_pb2.ERROR
         elif status.accepted == status.in_force:
@@ -216,7 +292,13 @@
 
 
 def _matches(matcher: object, node: str) -> bool:
-    exact, prefix, suffix, contains = (getattr(matcher, name) for name in ("exact", "prefix", "suffix", "contains"))
+    exact, prefix, suffix, contains = (
+        getattr(matcher, name) for name in ("exact", "prefix", "suffix", "contains")
+    )
     if exact:
         return bool(node == exact)
-    return bool((prefix and node.startswith(prefix)) or (suffix and node.endswith(suffix)) or (contains and contains in node))
+    return bool(
+        (prefix and node.startswith(prefix))
+        or (suffix and node.endswith(suffix))
+        or (contains and contains in node)
+    )
--- a/corklift/control/status.py
+++ b/corklift/control/status.py
@@ -21,9 +21,11 @@
 from corklift.rpc.core import SECOND, RpcError, RpcLimits
 
 
-def fetch(address: tuple[str, int], node: str = "", wait: int = 5 * SECOND) -> csds_pb2.ClientStatusResponse:
+def fetch(
+    address: tuple[str, int], node: str = "", wait: int = 5 * SECOND
+) -> csds_pb2.ClientStatusResponse:
     """Raises:
-        RpcError: the service can't be asked.
+    RpcError: the service can't be asked.
     """
     failures: list[str] = []
     scheduler = Scheduler(wall_clock(), failures.append)
@@ -36,7 +38,9 @@
 
     def ask() -> None:
         try:
-            content = channel.unary(CSDS + "FetchClientStatus", request.SerializeToString(), scheduler.now() + wait)
+            content = channel.unary(
+                CSDS + "FetchClientStatus", request.SerializeToString(), scheduler.now() + wait
+            )
             answer = csds_pb2.ClientStatusResponse()
             answer.ParseFromString(content)
             found.append(answer)
@@ -45,6 +49,7 @@
         finally:
             channel.close()
             scheduler.stop()
+
     scheduler.spawn(channel.keep_connected)
     scheduler.spawn(ask)
     scheduler.run()
@@ -57,10 +62,16 @@
     """One a resource that a proxy's stream asks for."""
     for config in answer.config:
         for held in config.generic_xds_configs:
-            yield {"node": config.node.id, "stream": config.client_scope, "kind": KINDS[held.type_url].name.lower(),
-                   "name": held.name, "version": held.version_info,
-                   "state": dump_pb2.ClientResourceStatus.Name(held.client_status).lower(),
-                   "view": csds_pb2.ConfigStatus.Name(held.config_status).lower(), "refused": held.error_state.details}
+            yield {
+                "node": config.node.id,
+                "stream": config.client_scope,
+                "kind": KINDS[held.type_url].name.lower(),
+                "name": held.name,
+                "version": held.version_info,
+                "state": dump_pb2.ClientResourceStatus.Name(held.client_status).lower(),
+                "view": csds_pb2.ConfigStatus.Name(held.config_status).lower(),
+                "refused": held.error_state.details,
+            }
 
 
 def main(address: tuple[str, int], node: str, as_json: bool) -> int:
@@ -74,7 +85,9 @@
         print(json.dumps(found, indent=1))
         return 0
     old = sum(row["view"] != "synced" for row in found)
-    print(f"{len(answer.config)} streams of proxies, {len(found)} resources held, {old} not on the view in force")
+    print(
+        f"{len(answer.config)} streams of proxies, {len(found)} resources held, {old} not on the view in force"
+    )
     heads = ("node", "kind", "name", "version", "state", "view", "refused")
     widths = [max([len(head), *(len(row[head]) for row in found)]) for head in heads]
     for line in (dict(zip(heads, heads)), *found):
--- a/corklift/control/views.py
+++ b/corklift/control/views.py
@@ -73,12 +73,18 @@
 
 
 class Settings(NamedTuple):
-    ack_wait: int = 2 * SECOND  # an answer to weights is waited for so long before newer ones follow
-    hold_time: int = 3 * SECOND  # a route waits so long for its clusters to be accepted; a cluster for its routes to go
+    ack_wait: int = (
+        2 * SECOND
+    )  # an answer to weights is waited for so long before newer ones follow
+    hold_time: int = (
+        3 * SECOND
+    )  # a route waits so long for its clusters to be accepted; a cluster for its routes to go
     refresh: int = 0  # endpoints are sent again after so long without a change; 0: never
     heartbeats: bool = False  # and then as a heartbeat, without content
     names: int = 5_000  # a stream may ask for, of one kind
-    unanswered: int = 16  # answers of one kind that a stream may owe before older ones are forgotten
+    unanswered: int = (
+        16  # answers of one kind that a stream may owe before older ones are forgotten
+    )
 
 
 class TooMany(Exception):
@@ -94,16 +100,24 @@
         self.every = False
         self.named = False  # names were once given, so that none means none
         self.names: set[str] = set()
-        self.sent: dict[str, Resource | None] = {}  # as last sent; None: told that it does not exist
+        self.sent: dict[
+            str, Resource | None
+        ] = {}  # as last sent; None: told that it does not exist
         self.accepted: dict[str, Resource] = {}
-        self.foreign: dict[str, str] = {}  # versions that it came with, as accepted from whoever sent them
-        self.open: OrderedDict[str, tuple[str, tuple[tuple[str, Resource | None], ...]]] = OrderedDict()
+        self.foreign: dict[
+            str, str
+        ] = {}  # versions that it came with, as accepted from whoever sent them
+        self.open: OrderedDict[str, tuple[str, tuple[tuple[str, Resource | None], ...]]] = (
+            OrderedDict()
+        )
         self.last_nonce = ""
         self.sent_version = self.accepted_version = ""
         self.answered = False  # something was sent on this stream, or it came with what is in force
         self.sent_at = 0
         self.refused: Refused | None = None
-        self.again: set[str] = set()  # names in responses that were refused whole: told anew with the next one
+        self.again: set[str] = (
+            set()
+        )  # names in responses that were refused whole: told anew with the next one
         self.urgent = False  # what is owed does not wait for answers
         self.held_since: int | None = None  # what is owed waits for another kind
 
@@ -141,7 +155,9 @@
         self._host, self.settings = host, settings
         self._view: dict[Kind, Table] = {kind: {} for kind in Kind}
         self._versions: dict[Kind, str] = {kind: version_of(()) for kind in Kind}
-        self._retired: dict[str, tuple[Resource, Resource | None, int]] = {}  # clusters, their endpoints, since when
+        self._retired: dict[
+            str, tuple[Resource, Resource | None, int]
+        ] = {}  # clusters, their endpoints, since when
         self.known = False  # there is a view; until then nobody is sent anything
         self.streams: dict[int, Stream] = {}
 
@@ -151,7 +167,11 @@
         """A new view is in force; kinds that are not named stay. Urgent: something was taken away."""
         old = self._view
         self._view = {kind: tables.get(kind, old[kind]) for kind in Kind}
-        touched = [kind for kind in Kind if kind in tables and (not self.known or tables[kind] != old[kind])]
+        touched = [
+            kind
+            for kind in Kind
+            if kind in tables and (not self.known or tables[kind] != old[kind])
+        ]
         for kind in touched:
             self._versions[kind] = version_of(self._view[kind].values())
         if Kind.CLUSTERS in touched:
@@ -185,8 +205,16 @@
             if stream.owed:
                 self._settle(now, stream)
 
-    def requested(self, now: int, number: int, kind: Kind, names: Collection[str], version: str, nonce: str,
-                  problem: str | None) -> None:
+    def requested(
+        self,
+        now: int,
+        number: int,
+        kind: Kind,
+        names: Collection[str],
+        version: str,
+        nonce: str,
+        problem: str | None,
+    ) -> None:
         """State of the world: a subscription, an acceptance or a refusal.
 
         Raises:
@@ -202,7 +230,9 @@
         if not first:
             self._answered(now, subscription, nonce, problem)
         if len(names) > self.settings.names:
-            raise TooMany(f"{len(names)} names of {kind.name.lower()}, {self.settings.names} are allowed")
+            raise TooMany(
+                f"{len(names)} names of {kind.name.lower()}, {self.settings.names} are allowed"
+            )
         plain = set(names) - {EVERY}
         same = not first and plain == subscription.names
         subscription.named = subscription.named or bool(plain)
@@ -213,7 +243,12 @@
             if not subscription.every:
                 subscription.sent.pop(name, None)
                 subscription.accepted.pop(name, None)
-        if first and version and self.known and version == self._scope_version(stream, subscription):
+        if (
+            first
+            and version
+            and self.known
+            and version == self._scope_version(stream, subscription)
+        ):
             # It came back with just what is in force: nothing is owed.
             subscription.answered = True
             subscription.sent_version = subscription.accepted_version = version
@@ -225,9 +260,17 @@
         if not same or stream.owed or self._retired:
             self._settle(now, stream)
 
-    def requested_changes(self, now: int, number: int, kind: Kind, subscribe: Collection[str],
-                          unsubscribe: Collection[str], had: Mapping[str, str], nonce: str,
-                          problem: str | None) -> None:
+    def requested_changes(
+        self,
+        now: int,
+        number: int,
+        kind: Kind,
+        subscribe: Collection[str],
+        unsubscribe: Collection[str],
+        had: Mapping[str, str],
+        nonce: str,
+        problem: str | None,
+    ) -> None:
         """Incremental: changes of a subscription, an acceptance or a refusal; `had`: versions of an earlier stream.
 
         Raises:
@@ -238,7 +281,10 @@
         subscription = stream.kinds.setdefault(kind, Subscription(kind, stream.incremental))
         if nonce:
             self._answered(now, subscription, nonce, problem)
-        if subscription.count() + len(subscribe) > self.settings.names or len(had) > self.settings.names:
+        if (
+            subscription.count() + len(subscribe) > self.settings.names
+            or len(had) > self.settings.names
+        ):
             raise TooMany(f"more than {self.settings.names} names of {kind.name.lower()}")
         if first:
             subscription.every = kind.whole and not subscribe
@@ -249,7 +295,9 @@
             else:
                 subscription.names.add(name)
                 if not first:
-                    subscription.sent.pop(name, None)  # asked for again: sent again, as the protocol has it
+                    subscription.sent.pop(
+                        name, None
+                    )  # asked for again: sent again, as the protocol has it
         for name in unsubscribe:
             if name == EVERY:
                 subscription.every = False
@@ -268,12 +316,20 @@
 
     def tick(self, now: int) -> None:
         """What is due by time alone; called a few times a second."""
-        expired = [n for n, (_, _, since) in self._retired.items() if now - since >= self.settings.hold_time]
+        expired = [
+            n
+            for n, (_, _, since) in self._retired.items()
+            if now - since >= self.settings.hold_time
+        ]
         for name in expired:
             del self._retired[name]
         for stream in list(self.streams.values()):
             subscription = stream.kinds.get(Kind.ENDPOINTS)
-            if expired or stream.owed or (subscription is not None and self._stale(now, subscription)):
+            if (
+                expired
+                or stream.owed
+                or (subscription is not None and self._stale(now, subscription))
+            ):
                 self._settle(now, stream)
 
     # What is asked
@@ -284,18 +340,36 @@
         for kind, subscription in sorted(stream.kinds.items()):
             scope = self._scope(stream, subscription)
             for name in sorted({*subscription.names, *scope, *subscription.sent}):
-                sent, accepted, now = subscription.sent.get(name), subscription.accepted.get(name), scope.get(name)
-                found.append(Status(kind, name, sent.version if sent else "", accepted.version if accepted else "",
-                                    now.version if now else "", subscription.refused, now is not None))
+                sent, accepted, now = (
+                    subscription.sent.get(name),
+                    subscription.accepted.get(name),
+                    scope.get(name),
+                )
+                found.append(
+                    Status(
+                        kind,
+                        name,
+                        sent.version if sent else "",
+                        accepted.version if accepted else "",
+                        now.version if now else "",
+                        subscription.refused,
+                        now is not None,
+                    )
+                )
         return found
 
     def behind(self, number: int) -> list[Kind]:
         """The kinds of which this stream has not accepted the view in force."""
         stream = self.streams[number]
-        return [kind for kind, subscription in stream.kinds.items()
-                if any(subscription.accepted.get(name) != resource
-                       for name, resource in self._scope(stream, subscription).items())
-                or any(name not in self._scope(stream, subscription) for name in subscription.accepted)]
+        return [
+            kind
+            for kind, subscription in stream.kinds.items()
+            if any(
+                subscription.accepted.get(name) != resource
+                for name, resource in self._scope(stream, subscription).items()
+            )
+            or any(name not in self._scope(stream, subscription) for name in subscription.accepted)
+        ]
 
     def table(self, kind: Kind) -> Table:
         """What is in force of this kind, by name."""
@@ -306,7 +380,9 @@
 
     # Within
 
-    def _answered(self, now: int, subscription: Subscription, nonce: str, problem: str | None) -> None:
+    def _answered(
+        self, now: int, subscription: Subscription, nonce: str, problem: str | None
+    ) -> None:
         """An acceptance or refusal of the response with this nonce; any other nonce tells nothing."""
         if nonce not in subscription.open:
             return
@@ -324,14 +400,18 @@
             subscription.again.update(name for name, _ in items)
 
     @staticmethod
-    def _accept(subscription: Subscription, version: str, items: Iterable[tuple[str, Resource | None]]) -> None:
+    def _accept(
+        subscription: Subscription, version: str, items: Iterable[tuple[str, Resource | None]]
+    ) -> None:
         subscription.accepted_version = version
         if subscription.replaces:
             subscription.accepted.clear()
         for name, resource in items:
             if resource is None:
                 subscription.accepted.pop(name, None)
-            elif subscription.wants(name) and (subscription.incremental or name in subscription.sent):
+            elif subscription.wants(name) and (
+                subscription.incremental or name in subscription.sent
+            ):
                 subscription.accepted[name] = resource  # unless it has gone without a word since
 
     def _match(self, stream: Stream, subscription: Subscription) -> None:
@@ -358,7 +438,12 @@
             used = self._clusters_used(stream)
             for name, (cluster, endpoints, _) in self._retired.items():
                 resource = cluster if kind is Kind.CLUSTERS else endpoints
-                if name in used and resource is not None and name in subscription.sent and subscription.wants(name):
+                if (
+                    name in used
+                    and resource is not None
+                    and name in subscription.sent
+                    and subscription.wants(name)
+                ):
                     scope.setdefault(name, resource)
         return scope
 
@@ -376,14 +461,18 @@
         return {name for resource in held if resource is not None for name in resource.refers}
 
     def _stale(self, now: int, subscription: Subscription) -> bool:
-        return bool(self.settings.refresh and subscription.answered and now - subscription.sent_at >= self.settings.refresh)
+        return bool(
+            self.settings.refresh
+            and subscription.answered
+            and now - subscription.sent_at >= self.settings.refresh
+        )
 
     def _settle(self, now: int, stream: Stream, only: Kind | None = None) -> None:
         """Sends what is owed, in order, as long as the host takes it."""
         if not self.known:
             return
         owed, stream.owed = stream.owed and only is not None, False
-        for kind in (Kind if only is None else (only,)):
+        for kind in Kind if only is None else (only,):
             if not stream.room:
                 owed = True
                 break
@@ -397,14 +486,30 @@
 
     def _send_owed(self, now: int, stream: Stream, subscription: Subscription) -> bool:
         """Returns whether something is owed that must wait."""
-        if subscription.every and not self._retired and not stream.incremental and subscription.answered \
-                and subscription.sent_version == self._versions[subscription.kind] and not self._stale(now, subscription):
+        if (
+            subscription.every
+            and not self._retired
+            and not stream.incremental
+            and subscription.answered
+            and subscription.sent_version == self._versions[subscription.kind]
+            and not self._stale(now, subscription)
+        ):
             return False  # Guards against a walk over all resources for each of many streams
         scope = self._scope(stream, subscription)
-        changed = [resource for name, resource in scope.items() if subscription.sent.get(name) != resource]
-        gone = [name for name, held in subscription.sent.items() if held is not None and name not in scope]
+        changed = [
+            resource for name, resource in scope.items() if subscription.sent.get(name) != resource
+        ]
+        gone = [
+            name
+            for name, held in subscription.sent.items()
+            if held is not None and name not in scope
+        ]
         if stream.incremental:
-            gone += [name for name in subscription.names if name not in scope and name not in subscription.sent]
+            gone += [
+                name
+                for name in subscription.names
+                if name not in scope and name not in subscription.sent
+            ]
             owed = bool(changed or gone) or (not subscription.answered and subscription.every)
         elif subscription.kind.whole:
             owed = bool(changed or gone) or not subscription.answered
@@ -413,7 +518,12 @@
             for name in gone:  # there is no word for it: it goes with its cluster or listener
                 subscription.sent.pop(name)
                 subscription.accepted.pop(name, None)
-        heartbeat = not owed and subscription.kind is Kind.ENDPOINTS and self._stale(now, subscription) and bool(scope)
+        heartbeat = (
+            not owed
+            and subscription.kind is Kind.ENDPOINTS
+            and self._stale(now, subscription)
+            and bool(scope)
+        )
         if not owed and not heartbeat:
             subscription.urgent, subscription.held_since = False, None
             return False
@@ -426,10 +536,14 @@
             told = {resource.name for resource in changed}
             changed += [scope[name] for name in sorted(subscription.again - told) if name in scope]
             gone += [name for name in sorted(subscription.again - set(gone)) if name not in scope]
-        self._send(now, stream, subscription, changed, gone, scope, heartbeat and self.settings.heartbeats)
+        self._send(
+            now, stream, subscription, changed, gone, scope, heartbeat and self.settings.heartbeats
+        )
         return False
 
-    def _must_wait(self, now: int, stream: Stream, subscription: Subscription, changed: list[Resource]) -> bool:
+    def _must_wait(
+        self, now: int, stream: Stream, subscription: Subscription, changed: list[Resource]
+    ) -> bool:
         if subscription.open and now - subscription.sent_at < self.settings.ack_wait:
             return True
         if subscription.kind is Kind.ROUTES and self._clusters_missing(stream, changed):
@@ -445,22 +559,43 @@
         clusters = stream.kinds.get(Kind.CLUSTERS)
         if clusters is None or not clusters.every:
             return False
-        wanted = {name for route in routes for name in route.refers if name in self._view[Kind.CLUSTERS]}
+        wanted = {
+            name for route in routes for name in route.refers if name in self._view[Kind.CLUSTERS]
+        }
         endpoints = stream.kinds.get(Kind.ENDPOINTS)
-        return not wanted <= clusters.accepted.keys() or endpoints is None or not wanted <= endpoints.accepted.keys()
-
-    def _send(self, now: int, stream: Stream, subscription: Subscription, changed: list[Resource], gone: list[str],
-              scope: dict[str, Resource], heartbeat: bool) -> None:
+        return (
+            not wanted <= clusters.accepted.keys()
+            or endpoints is None
+            or not wanted <= endpoints.accepted.keys()
+        )
+
+    def _send(
+        self,
+        now: int,
+        stream: Stream,
+        subscription: Subscription,
+        changed: list[Resource],
+        gone: list[str],
+        scope: dict[str, Resource],
+        heartbeat: bool,
+    ) -> None:
         stream.nonces += 1
         nonce = str(stream.nonces)
-        version = (self._versions[subscription.kind] if subscription.every and not self._retired
-                   else version_of(scope.values()))
+        version = (
+            self._versions[subscription.kind]
+            if subscription.every and not self._retired
+            else version_of(scope.values())
+        )
         if subscription.kind is Kind.CLUSTERS:
             endpoints = stream.kinds.get(Kind.ENDPOINTS)
             for resource in changed if endpoints is not None and not heartbeat else ():
                 if subscription.sent.get(resource.name) not in (None, resource):
-                    endpoints.sent.pop(resource.name, None)  # a changed cluster waits for its endpoints anew
-        items: list[tuple[str, Resource | None]] = [(resource.name, resource) for resource in changed]
+                    endpoints.sent.pop(
+                        resource.name, None
+                    )  # a changed cluster waits for its endpoints anew
+        items: list[tuple[str, Resource | None]] = [
+            (resource.name, resource) for resource in changed
+        ]
         items += [(name, None) for name in gone]
         for name, resource in items:
             if resource is None and not (stream.incremental and name in subscription.names):
@@ -475,5 +610,14 @@
         subscription.urgent, subscription.held_since = False, None
         subscription.again.clear()
         stream.room = False
-        self._host.send(stream.number, Response(subscription.kind, version, nonce, tuple(changed),
-                                                tuple(gone) if stream.incremental else (), heartbeat))
+        self._host.send(
+            stream.number,
+            Response(
+                subscription.kind,
+                version,
+                nonce,
+                tuple(changed),
+                tuple(gone) if stream.incremental else (),
+                heartbeat,
+            ),
+        )
--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -40,7 +40,9 @@
         changed = []
         for workload, told in self.told.items():
             if any(server in told.weights for server in servers):
-                left = {name: weight for name, weight in told.weights.items() if name not in servers}
+                left = {
+                    name: weight for name, weight in told.weights.items() if name not in servers
+                }
                 self.told[workload] = Told(left, told.refused)
                 changed.append(workload)
         return changed
@@ -49,14 +51,19 @@
         """Whether a change of this workload's weights may be told now."""
         return workload not in self._told_at or now - self._told_at[workload] >= self.settings.every
 
-    def weighed(self, now: int, workload: str, chances: Mapping[str, float], ready: Collection[str]) -> bool:
+    def weighed(
+        self, now: int, workload: str, chances: Mapping[str, float], ready: Collection[str]
+    ) -> bool:
         """The module's answer is in; returns whether it is told. Ask `due` first.
 
         Where it would refuse all, the view keeps its servers, and all is turned away until it would not."""
         if chances:
             refused = max(0, min(WHOLE, round((1.0 - sum(chances.values())) * WHOLE)))
             whole = sum(chances.values())
-            weights = {name: max(LEAST, round(chance / whole * WHOLE)) for name, chance in sorted(chances.items())}
+            weights = {
+                name: max(LEAST, round(chance / whole * WHOLE))
+                for name, chance in sorted(chances.items())
+            }
         else:
             refused = WHOLE if ready else 0
             weights = {name: max(LEAST, WHOLE // len(ready)) for name in sorted(ready)}
@@ -71,10 +78,19 @@
         if old.weights.keys() != new.weights.keys():
             return True
         was, now = sum(old.weights.values()) or 1, sum(new.weights.values()) or 1
-        apart = sum(abs(old.weights[name] / was - new.weights[name] / now) for name in new.weights) / 2
+        apart = (
+            sum(abs(old.weights[name] / was - new.weights[name] / now) for name in new.weights) / 2
+        )
         # Guards against a server that goes on getting what it can't take, as that is little of the whole draw.
-        fell = any(new.weights[name] / now < self.settings.fall * old.weights[name] / was for name in new.weights)
-        return apart > self.settings.dead_band or abs(old.refused - new.refused) > self.settings.dead_band * WHOLE or fell
+        fell = any(
+            new.weights[name] / now < self.settings.fall * old.weights[name] / was
+            for name in new.weights
+        )
+        return (
+            apart > self.settings.dead_band
+            or abs(old.refused - new.refused) > self.settings.dead_band * WHOLE
+            or fell
+        )
 
     def forget(self, kept: Collection[str]) -> None:
         """Only these workloads are left."""
