--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -45,7 +45,9 @@
         self.up = True
         self.fallen_until = 0
         self.queued, self.queued_at = 0.0, 0  # set-ups not worked off, while it warms up
-        self.past: list[tuple[int, int, float]] = []  # when, count and pressure, for reports that lag
+        self.past: list[
+            tuple[int, int, float]
+        ] = []  # when, count and pressure, for reports that lag
 
     def share(self, now: int, scenario: Scenario) -> float:
         """Of its capacity, as it warms up."""
@@ -62,18 +64,59 @@
 class Wish:
     """What a client wants: a connection, through however many logins."""
 
-    __slots__ = ("workload", "began_at", "cost", "group", "subject", "tries", "done", "came_back", "hold", "counts")
-
-    def __init__(self, workload: int, began_at: int, cost: float, group: int, subject: int, hold: int, counts: bool) -> None:
-        self.workload, self.began_at, self.cost, self.group, self.subject = workload, began_at, cost, group, subject
-        self.tries, self.done, self.came_back, self.hold, self.counts = 0, False, False, hold, counts
+    __slots__ = (
+        "workload",
+        "began_at",
+        "cost",
+        "group",
+        "subject",
+        "tries",
+        "done",
+        "came_back",
+        "hold",
+        "counts",
+    )
+
+    def __init__(
+        self,
+        workload: int,
+        began_at: int,
+        cost: float,
+        group: int,
+        subject: int,
+        hold: int,
+        counts: bool,
+    ) -> None:
+        self.workload, self.began_at, self.cost, self.group, self.subject = (
+            workload,
+            began_at,
+            cost,
+            group,
+            subject,
+        )
+        self.tries, self.done, self.came_back, self.hold, self.counts = (
+            0,
+            False,
+            False,
+            hold,
+            counts,
+        )
 
 
 class Conn:
     __slots__ = ("number", "box", "seat", "login", "wish", "ends_at")
 
-    def __init__(self, number: int, box: Box, seat: Seat, login: int, wish: Wish, ends_at: int) -> None:
-        self.number, self.box, self.seat, self.login, self.wish, self.ends_at = number, box, seat, login, wish, ends_at
+    def __init__(
+        self, number: int, box: Box, seat: Seat, login: int, wish: Wish, ends_at: int
+    ) -> None:
+        self.number, self.box, self.seat, self.login, self.wish, self.ends_at = (
+            number,
+            box,
+            seat,
+            login,
+            wish,
+            ends_at,
+        )
 
 
 class Way:
@@ -110,7 +153,9 @@
         self.known, self.probed_at = {}, {}
         self.policy = fleet.make(self)
         turn = self.turn
-        fleet.clock.after(10 * MS, lambda: self.turn == turn and self.take_list(fleet.lines(), True))
+        fleet.clock.after(
+            10 * MS, lambda: self.turn == turn and self.take_list(fleet.lines(), True)
+        )
 
     # What the fleet brings
 
@@ -125,14 +170,24 @@
                 rules.told_ready(self.number, line.server)
             else:
                 rules.told_leaving(now, self.number, line.server)
-        self.policy.servers_listed(now, Scope.FULL if whole else Scope.DELTA, self.revision, tuple(lines))
+        self.policy.servers_listed(
+            now, Scope.FULL if whole else Scope.DELTA, self.revision, tuple(lines)
+        )
 
     def arrive(self, wish: Wish) -> None:
         fleet, now = self.fleet, self.fleet.clock.now
         number = fleet.next_login()
         workload = fleet.workloads[wish.workload]
-        login = Login(number, wish.workload, 0, wish.subject, now + workload.time_limit, None, wish.group,
-                      came_back=wish.came_back)
+        login = Login(
+            number,
+            wish.workload,
+            0,
+            wish.subject,
+            now + workload.time_limit,
+            None,
+            wish.group,
+            came_back=wish.came_back,
+        )
         self.ways[number] = Way(login, wish)
         fleet.rules.arrived(now, self.number, login, workload)
         self.policy.login_arrived(now, login)
@@ -189,7 +244,10 @@
     def set_timer(self, after: int, mark: int) -> None:
         turn, clock = self.turn, self.fleet.clock
         # A time in the past is due at once, but never within the call that asked for it.
-        clock.after(max(1, after), lambda: self.alive and self.turn == turn and self.policy.timer_due(clock.now, mark))
+        clock.after(
+            max(1, after),
+            lambda: self.alive and self.turn == turn and self.policy.timer_due(clock.now, mark),
+        )
 
     def watch_list(self, wanted: bool) -> None:
         pass
@@ -205,7 +263,9 @@
 
 
 class Fleet:
-    def __init__(self, scenario: Scenario, policy: str, seed: int, spoil: Spoil | None = None) -> None:
+    def __init__(
+        self, scenario: Scenario, policy: str, seed: int, spoil: Spoil | None = None
+    ) -> None:
         self.scenario, self.policy_name, self.seed, self.spoil = scenario, policy, seed, spoil
         self.rng = Random(seed)  # what happens: the same for each policy as far as their acts allow
         self.clock = Clock()
@@ -214,7 +274,9 @@
         self.tally: Counter[str] = Counter()
         self.quality = self.worth = 0.0
         self.on_time = self.conn_time = 0.0
-        self.samples: list[tuple[float, list[float], float]] = []  # s, pressure of each server, share served of late
+        self.samples: list[
+            tuple[float, list[float], float]
+        ] = []  # s, pressure of each server, share served of late
         self._late_quality = self._late_worth = 0.0
         self._logins = self._conns = 0
         self._store_free_at = 0
@@ -229,17 +291,23 @@
         given = self.scenario.servers
         factors = [given.spread ** (self.rng.random() - 0.5) for _ in range(given.number)]
         mean = sum(factors) / len(factors)
-        self.boxes = {at + 1: Box(at + 1, at % given.zones, at % given.cells, given.size * factor / mean)
-                      for at, factor in enumerate(factors)}
+        self.boxes = {
+            at + 1: Box(at + 1, at % given.zones, at % given.cells, given.size * factor / mean)
+            for at, factor in enumerate(factors)
+        }
         self.cells = {box.number: (box.zone, box.cell) for box in self.boxes.values()}
-        self.seats = [Seat(self, at, at % given.zones) for at in range(self.scenario.balancers.number)]
+        self.seats = [
+            Seat(self, at, at % given.zones) for at in range(self.scenario.balancers.number)
+        ]
         for seat in self.seats:
             seat.start()
         for at, workload in enumerate(self.scenario.workloads):
             # What stands in the mean is there from the start, so that a run need not fill first.
             for _ in range(int(self.scenario.standing * workload.rate * workload.hold_s)):
                 self.clock.after(int(self.rng.random() * 2 * SECOND), self._standing, at)
-            self.clock.after(int(self.rng.expovariate(workload.rate) * SECOND), self._next_client, at)
+            self.clock.after(
+                int(self.rng.expovariate(workload.rate) * SECOND), self._next_client, at
+            )
         self.clock.after(SAMPLE, self._sample)
         for trouble in self.scenario.troubles:
             self.clock.after(int(trouble.at_s * SECOND), self._trouble, trouble)
@@ -249,11 +317,27 @@
         given = self.scenario
         rng = Random(f"{self.seed}/{seat.number}/{seat.turn}")
         policy = POLICIES[self.policy_name](
-            seat, rng, now=self.clock.now, truth=self._truth, zone=seat.zone, balancers=given.balancers.number,
-            workloads=self.workloads, per_work=False, cold=given.cold(), max_hand_offs=given.balancers.max_hand_offs,
-            cancel_allowed=True, max_retry_after=RETRY_MOST, probes_allowed=True, ask_for_list=False,
-            ask_within=10 * SECOND, grouped=any(w.groups for w in given.workloads), weight_varies=False, memory=0,
-            crossing_price=0.0, probe_price=0.0)
+            seat,
+            rng,
+            now=self.clock.now,
+            truth=self._truth,
+            zone=seat.zone,
+            balancers=given.balancers.number,
+            workloads=self.workloads,
+            per_work=False,
+            cold=given.cold(),
+            max_hand_offs=given.balancers.max_hand_offs,
+            cancel_allowed=True,
+            max_retry_after=RETRY_MOST,
+            probes_allowed=True,
+            ask_for_list=False,
+            ask_within=10 * SECOND,
+            grouped=any(w.groups for w in given.workloads),
+            weight_varies=False,
+            memory=0,
+            crossing_price=0.0,
+            probe_price=0.0,
+        )
         return self.spoil(seat, policy) if self.spoil else policy
 
     def run(self) -> None:
@@ -271,14 +355,24 @@
             some_only = getattr(getattr(seat.policy, "_counts", None), "some_only", True)
             for line in seat.known.values():
                 heard = seat.probed_at.get(line.server, seat.started_at)
-                if not some_only and line.status is Status.READY and now - max(heard, line.started_at) > UNPROBED:
-                    found["probing"] = f"balancer {seat.number} has not probed server {line.server} for {(now - heard) / SECOND:.1f} s"
+                if (
+                    not some_only
+                    and line.status is Status.READY
+                    and now - max(heard, line.started_at) > UNPROBED
+                ):
+                    found["probing"] = (
+                        f"balancer {seat.number} has not probed server {line.server} for {(now - heard) / SECOND:.1f} s"
+                    )
             held = getattr(seat.policy, "_held", None)
             if held is not None and len(held) > len(seat.ways) + 5 + 0.05 * len(seat.ways):
-                found["counts"] = f"balancer {seat.number} counts {len(held)} connections, {len(seat.ways)} stand"
+                found["counts"] = (
+                    f"balancer {seat.number} counts {len(held)} connections, {len(seat.ways)} stand"
+                )
         spread = self.group_spread()
         if spread > SPLIT:
-            found["groups"] = f"a group's connections stand on {spread:.1f} times the servers that its load needs"
+            found["groups"] = (
+                f"a group's connections stand on {spread:.1f} times the servers that its load needs"
+            )
         return found
 
     def group_spread(self) -> float:
@@ -291,7 +385,11 @@
                     where.setdefault(conn.wish.group, set()).add(box.number)
                     load[conn.wish.group] += 1
         whole = sum(load.values())
-        shares = [len(where[group]) / (1.0 + load[group] / whole * len(self.boxes)) for group in where if load[group] >= 5]
+        shares = [
+            len(where[group]) / (1.0 + load[group] / whole * len(self.boxes))
+            for group in where
+            if load[group] >= 5
+        ]
         return sum(shares) / len(shares) if shares else 0.0
 
     # What is true
@@ -332,7 +430,11 @@
 
     def _next_client(self, workload: int) -> None:
         given = self.scenario.workloads[workload]
-        self.clock.after(int(self.rng.expovariate(given.rate * self._surge) * SECOND), self._next_client, workload)
+        self.clock.after(
+            int(self.rng.expovariate(given.rate * self._surge) * SECOND),
+            self._next_client,
+            workload,
+        )
         self._come(self._wish(workload, self._judged()))
 
     def _standing(self, workload: int) -> None:
@@ -340,11 +442,18 @@
 
     def _wish(self, workload: int, counts: bool) -> Wish:
         given = self.scenario.workloads[workload]
-        sigma = 0.0 if given.cost_spread <= 1 else given.cost_spread ** 0.5 - 1
+        sigma = 0.0 if given.cost_spread <= 1 else given.cost_spread**0.5 - 1
         cost = self.rng.lognormvariate(-sigma * sigma / 2, sigma) if sigma else 1.0
         group = 1 + int(given.groups * self.rng.random() ** 2) if given.groups else 0
-        return Wish(workload, self.clock.now, cost, group, self.rng.getrandbits(48) | 1,
-                    int(self.rng.expovariate(1 / given.hold_s) * SECOND), counts)
+        return Wish(
+            workload,
+            self.clock.now,
+            cost,
+            group,
+            self.rng.getrandbits(48) | 1,
+            int(self.rng.expovariate(1 / given.hold_s) * SECOND),
+            counts,
+        )
 
     def _come(self, wish: Wish) -> None:
         """The front: a client gets any balancer that is up."""
@@ -397,7 +506,13 @@
 
         def tell(outcome: Outcome, when: int) -> None:
             clock.at(when, self._failed, seat, turn, way, box, attempt, outcome)
-        if not box.up or box.silent or self._lost(seat.zone, box.zone) or self._lost(box.zone, seat.zone):
+
+        if (
+            not box.up
+            or box.silent
+            or self._lost(seat.zone, box.zone)
+            or self._lost(box.zone, seat.zone)
+        ):
             if box.status is Status.GONE and not box.up and not box.silent:
                 tell(Outcome.NOT_CONNECTED, min(connect_by, now + 2 * there))  # refused at once
             else:
@@ -412,10 +527,14 @@
         box.pending += 1
         # Set-up work on a server that shares its time: the mean grows as 1/(1 - load).
         busy = min(0.95, box.pressure(now, self.scenario))
-        took = int(self.scenario.servers.setup_ms * MS * box.slow / (1 - busy) * self.rng.expovariate(1.0))
+        took = int(
+            self.scenario.servers.setup_ms * MS * box.slow / (1 - busy) * self.rng.expovariate(1.0)
+        )
         start = now + there
         if self.scenario.store.rate:
-            self._store_free_at = max(self._store_free_at, start) + int(SECOND / self.scenario.store.rate)
+            self._store_free_at = max(self._store_free_at, start) + int(
+                SECOND / self.scenario.store.rate
+            )
             start = self._store_free_at
         done = start + took
         if done + there > cut_at:
@@ -428,20 +547,34 @@
     def _given_up(box: Box) -> None:
         box.pending = max(0, box.pending - 1)
 
-    def _failed(self, seat: Seat, turn: int, way: Way, box: Box, attempt: int, outcome: Outcome) -> None:
+    def _failed(
+        self, seat: Seat, turn: int, way: Way, box: Box, attempt: int, outcome: Outcome
+    ) -> None:
         number = way.login.login
-        if seat.turn != turn or not seat.alive or attempt in way.settled or seat.ways.get(number) is not way:
+        if (
+            seat.turn != turn
+            or not seat.alive
+            or attempt in way.settled
+            or seat.ways.get(number) is not way
+        ):
             return
         way.settled.add(attempt)
         now = self.clock.now
         self.tally[f"hand-offs {outcome.value}"] += 1
         self.rules.outcome(now, seat.number, number, attempt, outcome)
-        seat.policy.hand_off_ended(now, number, False, box.number, outcome, attempt, now - way.attempts[attempt][1], None)
+        seat.policy.hand_off_ended(
+            now, number, False, box.number, outcome, attempt, now - way.attempts[attempt][1], None
+        )
 
     def _set_up(self, seat: Seat, turn: int, way: Way, box: Box, attempt: int, back: int) -> None:
         box.pending = max(0, box.pending - 1)
         number = way.login.login
-        if seat.turn != turn or not seat.alive or attempt in way.settled or seat.ways.get(number) is not way:
+        if (
+            seat.turn != turn
+            or not seat.alive
+            or attempt in way.settled
+            or seat.ways.get(number) is not way
+        ):
             return
         if not box.up:
             self.clock.after(back, self._failed, seat, turn, way, box, attempt, Outcome.BROKEN)
@@ -459,8 +592,13 @@
 
     def _opened(self, seat: Seat, turn: int, way: Way, box: Box, attempt: int) -> None:
         number, now = way.login.login, self.clock.now
-        if (seat.turn != turn or not seat.alive or attempt in way.settled or seat.ways.get(number) is not way
-                or way.conn is None):
+        if (
+            seat.turn != turn
+            or not seat.alive
+            or attempt in way.settled
+            or seat.ways.get(number) is not way
+            or way.conn is None
+        ):
             return
         way.settled.add(attempt)
         way.opened = True
@@ -469,9 +607,13 @@
         self.tally["fulfilled"] += 1
         wish, workload = way.wish, self.workloads[way.wish.workload]
         waited = now - wish.began_at
-        late = max(0, waited - workload.soft_limit) / max(1, workload.time_limit - workload.soft_limit)
+        late = max(0, waited - workload.soft_limit) / max(
+            1, workload.time_limit - workload.soft_limit
+        )
         self._met(wish, max(0.0, 1.0 - late))
-        seat.policy.hand_off_started(now, number, attempt, box.number, now - way.attempts[attempt][1])
+        seat.policy.hand_off_started(
+            now, number, attempt, box.number, now - way.attempts[attempt][1]
+        )
 
     def _bears(self, box: Box, cost: float) -> bool:
         """Whether a server that warms up bears one more set-up. It works them off at the multiple of the rate at which it
@@ -484,7 +626,11 @@
         box.queued = max(0.0, box.queued - bears * (now - box.queued_at) / SECOND) + cost
         box.queued_at = now
         if box.queued > max(bears, 4.0) and box.up:
-            self.rules.fell(now, box.number, f"{box.queued:.1f} set-ups queued as it warms up, it bears {bears:.1f} a second")
+            self.rules.fell(
+                now,
+                box.number,
+                f"{box.queued:.1f} set-ups queued as it warms up, it bears {bears:.1f} a second",
+            )
             self.clock.note("fell", box.number)
             self._stop(box)
             self.clock.after(given.fallen_ms * MS, self._start, box)
@@ -507,8 +653,16 @@
         if way is not None and way.conn is conn and not way.opened:
             # It ends before its balancer has heard of it: to that one the hand-off has failed.
             way.conn = None
-            self.clock.after(self.delay(seat.zone, box.zone), self._failed, seat, seat.turn, way, box, len(way.attempts) - 1,
-                             Outcome.BROKEN)
+            self.clock.after(
+                self.delay(seat.zone, box.zone),
+                self._failed,
+                seat,
+                seat.turn,
+                way,
+                box,
+                len(way.attempts) - 1,
+                Outcome.BROKEN,
+            )
             return
         if way is not None and way.conn is conn:
             del seat.ways[conn.login]
@@ -516,17 +670,37 @@
             self.clock.note("end", seat.number, conn.login)
             if seat.alive:
                 self.rules.done(seat.number, conn.login)
-                self.clock.after(self.delay(seat.zone, box.zone), self._tell_end, seat, seat.turn, conn.login, box, outcome,
-                                 attempt)
+                self.clock.after(
+                    self.delay(seat.zone, box.zone),
+                    self._tell_end,
+                    seat,
+                    seat.turn,
+                    conn.login,
+                    box,
+                    outcome,
+                    attempt,
+                )
         if again and conn.ends_at > now:
             wish = conn.wish
-            back = Wish(wish.workload, now, wish.cost, wish.group, wish.subject, conn.ends_at - now, self._judged())
+            back = Wish(
+                wish.workload,
+                now,
+                wish.cost,
+                wish.group,
+                wish.subject,
+                conn.ends_at - now,
+                self._judged(),
+            )
             back.came_back = True
             self.clock.after(int(self.rng.uniform(20, 400) * MS), self._come, back)
 
-    def _tell_end(self, seat: Seat, turn: int, login: int, box: Box, outcome: Outcome, attempt: int) -> None:
+    def _tell_end(
+        self, seat: Seat, turn: int, login: int, box: Box, outcome: Outcome, attempt: int
+    ) -> None:
         if seat.alive and seat.turn == turn:
-            seat.policy.hand_off_ended(self.clock.now, login, True, box.number, outcome, attempt, 0, None)
+            seat.policy.hand_off_ended(
+                self.clock.now, login, True, box.number, outcome, attempt, 0, None
+            )
 
     # Probes
 
@@ -534,11 +708,27 @@
         now, turn, box = self.clock.now, seat.turn, self.boxes.get(server)
         wait = int(self.scenario.balancers.connect_ms * 1.25 * MS)
         self.tally["probes"] += 1
-        if box is None or not box.up or box.silent or self._lost(seat.zone, box.zone) or self._lost(box.zone, seat.zone):
-            self.clock.after(wait, self._probed, seat, turn, server, Outcome.NOT_CONNECTED, None, now)
+        if (
+            box is None
+            or not box.up
+            or box.silent
+            or self._lost(seat.zone, box.zone)
+            or self._lost(box.zone, seat.zone)
+        ):
+            self.clock.after(
+                wait, self._probed, seat, turn, server, Outcome.NOT_CONNECTED, None, now
+            )
             return
-        self.clock.after(2 * self.delay(seat.zone, box.zone), self._probed, seat, turn, server, Outcome.FULFILLED,
-                         self._report(box), now)
+        self.clock.after(
+            2 * self.delay(seat.zone, box.zone),
+            self._probed,
+            seat,
+            turn,
+            server,
+            Outcome.FULFILLED,
+            self._report(box),
+            now,
+        )
 
     def _report(self, box: Box) -> Report:
         """What it tells is as old as reports are here, and noisy."""
@@ -551,9 +741,19 @@
         noise = 1.0 + self.scenario.reports.noise * self.rng.uniform(-1, 1)
         return Report(float(count), pressure * noise, min(1.0, pressure * noise))
 
-    def _probed(self, seat: Seat, turn: int, server: int, outcome: Outcome, report: Report | None, began: int) -> None:
+    def _probed(
+        self,
+        seat: Seat,
+        turn: int,
+        server: int,
+        outcome: Outcome,
+        report: Report | None,
+        began: int,
+    ) -> None:
         if seat.alive and seat.turn == turn:
-            seat.policy.probe_answered(self.clock.now, server, self.clock.now - began, outcome, report)
+            seat.policy.probe_answered(
+                self.clock.now, server, self.clock.now - began, outcome, report
+            )
 
     # The list
 
@@ -620,7 +820,12 @@
         """One after the other, over the span."""
         boxes = self._some(given.part)
         for at, box in enumerate(boxes):
-            self.clock.after(at * span // len(boxes), self._drain, box, min(3 * SECOND, span // len(boxes) + SECOND))
+            self.clock.after(
+                at * span // len(boxes),
+                self._drain,
+                box,
+                min(3 * SECOND, span // len(boxes) + SECOND),
+            )
 
     def _vanish_comes(self, given: Trouble, span: int) -> None:
         for box in self._some(given.part):
@@ -707,16 +912,22 @@
             wander = max((w.wander for w in self.scenario.workloads), default=0.0)
             box.wave += 0.25 * (1.0 - box.wave) + wander * 0.25 * self.rng.uniform(-1, 1)
             pressure = box.pressure(now, self.scenario) if box.up else 0.0
-            box.past = [held for held in box.past if held[0] > now - 10 * SECOND] + [(now, len(box.conns), pressure)]
+            box.past = [held for held in box.past if held[0] > now - 10 * SECOND] + [
+                (now, len(box.conns), pressure)
+            ]
             pressures.append(round(pressure, 4))
             if self._judged():
                 # M/M/1: a message is late with chance exp(-(1 - load) * slack); past its capacity a server's queue
                 # grows, and all are.
                 self.conn_time += len(box.conns)
-                self.on_time += len(box.conns) * max(0.0, 1.0 - exp(-(1.0 - pressure) * given.message_slack))
+                self.on_time += len(box.conns) * max(
+                    0.0, 1.0 - exp(-(1.0 - pressure) * given.message_slack)
+                )
         share = self._late_quality / self._late_worth if self._late_worth else 1.0
         self._late_quality = self._late_worth = 0.0
-        self.samples.append((round((now - self.clock.began) / SECOND, 3), pressures, round(share, 4)))
+        self.samples.append(
+            (round((now - self.clock.began) / SECOND, 3), pressures, round(share, 4))
+        )
         self.rules.overdue(now, SLACK)
 
     @property
--- a/corklift/lab/load.py
+++ b/corklift/lab/load.py
@@ -47,17 +47,28 @@
 
 class Load:
     def __init__(self, shape: Shape, show: Callable[[str], None] = lambda text: None) -> None:
-        if not (0 < shape.seconds <= MOST_SECONDS and 0 < shape.rate <= MOST_RATE
-                and shape.rate * shape.hold_s <= MOST_CLIENTS and 1 <= shape.balancers <= 16 and 1 <= shape.servers <= 200):
-            raise ValueError(f"the load is bounded: {MOST_SECONDS:.0f} s, {MOST_RATE:.0f} logins a second, "
-                             f"{MOST_CLIENTS} connections, 16 balancers, 200 servers")
+        if not (
+            0 < shape.seconds <= MOST_SECONDS
+            and 0 < shape.rate <= MOST_RATE
+            and shape.rate * shape.hold_s <= MOST_CLIENTS
+            and 1 <= shape.balancers <= 16
+            and 1 <= shape.servers <= 200
+        ):
+            raise ValueError(
+                f"the load is bounded: {MOST_SECONDS:.0f} s, {MOST_RATE:.0f} logins a second, "
+                f"{MOST_CLIENTS} connections, 16 balancers, 200 servers"
+            )
         self.shape, self._show, self._rng = shape, show, Random(shape.seed)
         self.problems: list[str] = []
         self.scheduler = Scheduler(wall_clock(), self.problems.append)
         self.discovery = Discovery(self.scheduler)
-        self.servers = [Transcriber(self.scheduler, f"standin-{n:08x}", shape.size, lambda placed: None)
-                        for n in range(1, shape.servers + 1)]
-        self.latency = {way: HdrHistogram(1, 60_000_000, 3) for way in ("balancer", "direct", "refused")}  # us
+        self.servers = [
+            Transcriber(self.scheduler, f"standin-{n:08x}", shape.size, lambda placed: None)
+            for n in range(1, shape.servers + 1)
+        ]
+        self.latency = {
+            way: HdrHistogram(1, 60_000_000, 3) for way in ("balancer", "direct", "refused")
+        }  # us
         self.outcomes: Counter[str] = Counter()
         self.open = self.most_open = 0
         self.late_starts = HdrHistogram(1, 60_000_000, 3)  # us by which this tool itself was late
@@ -98,8 +109,13 @@
             path = os.path.join(folder, f"{number}.json")
             with open(path, "w", encoding="utf-8") as file:
                 json.dump(self._config(number, address, port), file)
-            self._processes.append(subprocess.Popen([sys.executable, "-m", "corklift"], stderr=subprocess.DEVNULL,
-                                                    env=os.environ | {"BALANCER_CONFIG": path}))
+            self._processes.append(
+                subprocess.Popen(
+                    [sys.executable, "-m", "corklift"],
+                    stderr=subprocess.DEVNULL,
+                    env=os.environ | {"BALANCER_CONFIG": path},
+                )
+            )
             self._addresses.append(address)
         until = self.scheduler.now() + 10 * SECOND
         for address in self._addresses:
@@ -109,21 +125,57 @@
                 self.scheduler.sleep(50 * MS)
 
     def _config(self, number: int, address: tuple[str, int], discovery: int) -> dict[str, Any]:
-        return {"name": f"n{number}", "listen": "%s:%d" % address, "discovery": f"127.0.0.1:{discovery}",
-                "seed": f"{self.shape.seed * 100 + number:016x}",
-                "limits": {"cores": 1.0, "memory_mb": self.shape.memory_mb, "sockets": self.shape.sockets},
-                "known": {"index": 0, "snapshot": True, "endpoints": []},
-                "settings": {
-                    "balancers": self.shape.balancers, "zone": 0, "localities": ["here"], "skus": ["standard"],
-                    "workloads": [{"name": "plain", "effect": "pure", "importance": 1.0, "soft-limit-ns": 800 * MS,
-                                   "time-limit-ns": 3200 * MS}],
-                    "report": {"via": "probe", "fields": ["x0", "inflight"]},
-                    "family-info": {"groups": False, "report-x0": "load asked of the server over what it can do",
-                                    "message-aim-ns": [100 * MS], "tells-load": False, "tells-delay": False},
-                    "permissions": {"probes": True, "cancelling": True, "max-hand-offs": 4, "connect-timeout-ns": 200 * MS,
-                                    "keepalive-ns": 30 * SECOND, "retry-after": True, "max-retry-after-ns": 1500 * MS},
-                    "rules": {"drain-grace-ns": 500 * MS, "cold-from": 0.3, "ramp-time-ns": 8 * SECOND,
-                              "fall-multiple": 3.0, "fall-ns": SECOND}}}
+        return {
+            "name": f"n{number}",
+            "listen": "%s:%d" % address,
+            "discovery": f"127.0.0.1:{discovery}",
+            "seed": f"{self.shape.seed * 100 + number:016x}",
+            "limits": {
+                "cores": 1.0,
+                "memory_mb": self.shape.memory_mb,
+                "sockets": self.shape.sockets,
+            },
+            "known": {"index": 0, "snapshot": True, "endpoints": []},
+            "settings": {
+                "balancers": self.shape.balancers,
+                "zone": 0,
+                "localities": ["here"],
+                "skus": ["standard"],
+                "workloads": [
+                    {
+                        "name": "plain",
+                        "effect": "pure",
+                        "importance": 1.0,
+                        "soft-limit-ns": 800 * MS,
+                        "time-limit-ns": 3200 * MS,
+                    }
+                ],
+                "report": {"via": "probe", "fields": ["x0", "inflight"]},
+                "family-info": {
+                    "groups": False,
+                    "report-x0": "load asked of the server over what it can do",
+                    "message-aim-ns": [100 * MS],
+                    "tells-load": False,
+                    "tells-delay": False,
+                },
+                "permissions": {
+                    "probes": True,
+                    "cancelling": True,
+                    "max-hand-offs": 4,
+                    "connect-timeout-ns": 200 * MS,
+                    "keepalive-ns": 30 * SECOND,
+                    "retry-after": True,
+                    "max-retry-after-ns": 1500 * MS,
+                },
+                "rules": {
+                    "drain-grace-ns": 500 * MS,
+                    "cold-from": 0.3,
+                    "ramp-time-ns": 8 * SECOND,
+                    "fall-multiple": 3.0,
+                    "fall-ns": SECOND,
+                },
+            },
+        }
 
     # Clients
 
@@ -145,7 +197,11 @@
             self.outcomes[f"{way}: no connection"] += 1
             return
         try:
-            line = b"OPEN %016x %x c=plain,d=%d\r\n" % (self._rng.getrandbits(64), self._rng.getrandbits(60), WAIT // MS)
+            line = b"OPEN %016x %x c=plain,d=%d\r\n" % (
+                self._rng.getrandbits(64),
+                self._rng.getrandbits(60),
+                WAIT // MS,
+            )
             told = answer(self.scheduler, stream, line, until)
             took = max(1, (self.scheduler.now() - due) // 1000)
             word = told.split(b" ")[0].strip().decode() or "no answer"
@@ -173,7 +229,12 @@
         shape, rng = self.shape, self._rng
         base = [self._resources(process.pid) for process in self._processes]
         began = due = self.scheduler.now()
-        end, next_look, number, at_most = began + int(shape.seconds * SECOND), began + SECOND, 0, base
+        end, next_look, number, at_most = (
+            began + int(shape.seconds * SECOND),
+            began + SECOND,
+            0,
+            base,
+        )
         cpu = [self._cpu(process.pid) for process in self._processes]
         while due < end:
             due += int(rng.expovariate(shape.rate) * SECOND)
@@ -181,40 +242,69 @@
                 self.scheduler.sleep(due - self.scheduler.now())
             number += 1
             way = "direct" if rng.random() < DIRECT else "balancer"
-            address = (rng.choice(self._addresses) if way == "balancer"
-                       else ("127.0.0.1", rng.choice(self.servers).port))
-            self.scheduler.spawn(self._login, due, way, address, int(rng.expovariate(1 / shape.hold_s) * SECOND))
+            address = (
+                rng.choice(self._addresses)
+                if way == "balancer"
+                else ("127.0.0.1", rng.choice(self.servers).port)
+            )
+            self.scheduler.spawn(
+                self._login, due, way, address, int(rng.expovariate(1 / shape.hold_s) * SECOND)
+            )
             if self.scheduler.now() >= next_look:
                 next_look += SECOND
                 at_most = [self._resources(process.pid) for process in self._processes]
-                self._show(f"{(self.scheduler.now() - began) / SECOND:5.0f} s  {number} logins, {self.open} stand, p99 "
-                           f"{self.latency['balancer'].get_value_at_percentile(99) / 1000:.1f} ms, "
-                           + ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items())))
+                self._show(
+                    f"{(self.scheduler.now() - began) / SECOND:5.0f} s  {number} logins, {self.open} stand, p99 "
+                    f"{self.latency['balancer'].get_value_at_percentile(99) / 1000:.1f} ms, "
+                    + ", ".join(f"{name} {count}" for name, count in sorted(self.outcomes.items()))
+                )
         stood = max(1, self.open)
         spent = (self.scheduler.now() - began) / SECOND
         alive = all(process.poll() is None for process in self._processes)
-        cpu_spent = sum(self._cpu(process.pid) - was for process, was in zip(self._processes, cpu)) if alive else 0.0
+        cpu_spent = (
+            sum(self._cpu(process.pid) - was for process, was in zip(self._processes, cpu))
+            if alive
+            else 0.0
+        )
         up = self.outcomes["balancer: UP"]
-        told = {way: {"count": held.get_total_count(),
-                      **{f"p{part:g}": round(held.get_value_at_percentile(part) / 1000, 2) for part in (50, 99, 99.9)},
-                      "max": round(held.get_max_value() / 1000, 2) if held.get_total_count() else 0.0}
-                for way, held in self.latency.items()}
+        told = {
+            way: {
+                "count": held.get_total_count(),
+                **{
+                    f"p{part:g}": round(held.get_value_at_percentile(part) / 1000, 2)
+                    for part in (50, 99, 99.9)
+                },
+                "max": round(held.get_max_value() / 1000, 2) if held.get_total_count() else 0.0,
+            }
+            for way, held in self.latency.items()
+        }
         self.figures = {
-            "placements_per_s": round(up / spent, 1), "asked_per_s": round(shape.rate * (1 - DIRECT), 1),
-            "latency_ms": told, "added_ms_p50": round(told["balancer"]["p50"] - told["direct"]["p50"], 2),
+            "placements_per_s": round(up / spent, 1),
+            "asked_per_s": round(shape.rate * (1 - DIRECT), 1),
+            "latency_ms": told,
+            "added_ms_p50": round(told["balancer"]["p50"] - told["direct"]["p50"], 2),
             "added_ms_p99": round(told["balancer"]["p99"] - told["direct"]["p99"], 2),
             "tool_late_ms_p99": round(self.late_starts.get_value_at_percentile(99) / 1000, 2),
-            "outcomes": dict(sorted(self.outcomes.items())), "stood_at_most": self.most_open,
-            "bytes_a_connection": round(sum(now[0] - was[0] for now, was in zip(at_most, base)) / stood),
-            "descriptors_a_connection": round(sum(now[1] - was[1] for now, was in zip(at_most, base)) / stood, 2),
-            "cpu_us_a_placement": round(cpu_spent / max(1, up) * 1e6), "balancers_alive": alive}
+            "outcomes": dict(sorted(self.outcomes.items())),
+            "stood_at_most": self.most_open,
+            "bytes_a_connection": round(
+                sum(now[0] - was[0] for now, was in zip(at_most, base)) / stood
+            ),
+            "descriptors_a_connection": round(
+                sum(now[1] - was[1] for now, was in zip(at_most, base)) / stood, 2
+            ),
+            "cpu_us_a_placement": round(cpu_spent / max(1, up) * 1e6),
+            "balancers_alive": alive,
+        }
 
     @staticmethod
     def _resources(pid: int) -> tuple[int, int]:
         """Bytes resident, descriptors held."""
         try:
             with open(f"/proc/{pid}/statm", encoding="ascii") as file:
-                return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE"), len(os.listdir(f"/proc/{pid}/fd"))
+                return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE"), len(
+                    os.listdir(f"/proc/{pid}/fd")
+                )
         except OSError:
             return 0, 0
 
--- a/corklift/lab/peer_days.py
+++ b/corklift/lab/peer_days.py
@@ -14,7 +14,21 @@
 from corklift.membership.core import Members
 from corklift.membership.messages import Standing, Word
 
-FAULTS = ("kill", "restart", "move", "stop", "stop half", "one way", "partition", "chain", "lossy", "slow", "leave", "flap", "double")
+FAULTS = (
+    "kill",
+    "restart",
+    "move",
+    "stop",
+    "stop half",
+    "one way",
+    "partition",
+    "chain",
+    "lossy",
+    "slow",
+    "leave",
+    "flap",
+    "double",
+)
 QUIET = 150.0  # periods after the last fault in which all is to be agreed on
 
 
@@ -29,9 +43,15 @@
 class Day:
     """One history."""
 
-    def __init__(self, seed: int, make: Callable[..., Any] = Members, faults: tuple[str, ...] = FAULTS) -> None:
+    def __init__(
+        self, seed: int, make: Callable[..., Any] = Members, faults: tuple[str, ...] = FAULTS
+    ) -> None:
         self.seed, self.rng = seed, Random(seed)
-        self.net = Net(Shape(members=self.rng.randint(3, 9), delay=self.rng.choice((2, 20, 120)) * 1_000_000), seed, make)
+        self.net = Net(
+            Shape(members=self.rng.randint(3, 9), delay=self.rng.choice((2, 20, 120)) * 1_000_000),
+            seed,
+            make,
+        )
         self.net.heard = self._heard
         self.problems: list[str] = []
         self.told: list[str] = []
@@ -41,10 +61,16 @@
         self.doubled = self.moved = False
 
     def _heard(self, seat: Seat, word: Word) -> None:
-        if word.standing != Standing.LEFT and (word.name, word.life) in self.gone and word.standing == Standing.ALIVE:
+        if (
+            word.standing != Standing.LEFT
+            and (word.name, word.life) in self.gone
+            and word.standing == Standing.ALIVE
+        ):
             left = self.net.dead_at.get((word.name, -word.life), {})
             if seat.number in left and left[seat.number] == seat.life:
-                self._broken(f"{seat.name} held {word.name} for living after it was told that it left")
+                self._broken(
+                    f"{seat.name} held {word.name} for living after it was told that it left"
+                )
         if word.standing == Standing.LEFT:
             self.net.dead_at.setdefault((word.name, -word.life), {})[seat.number] = seat.life
 
@@ -82,11 +108,20 @@
             core = seat.core
             held = {word.name for word in core.table.values() if word.standing == Standing.ALIVE}
             if held != names - {seat.name}:
-                self._broken(f"{seat.name} holds {sorted(held)} for living, where {sorted(names - {seat.name})} live")
+                self._broken(
+                    f"{seat.name} holds {sorted(held)} for living, where {sorted(names - {seat.name})} live"
+                )
             for name, life in self.killed.items():
                 word = core.table.get(name)
-                if name not in names and word is not None and word.life == life and word.standing < Standing.DEAD:
-                    self._broken(f"{seat.name} holds {name} for {Standing(word.standing).name}, which was killed")
+                if (
+                    name not in names
+                    and word is not None
+                    and word.life == life
+                    and word.standing < Standing.DEAD
+                ):
+                    self._broken(
+                        f"{seat.name} holds {name} for {Standing(word.standing).name}, which was killed"
+                    )
             if seat.uses < len(living):
                 self._broken(f"{seat.name} counts {seat.uses} where {len(living)} place")
             digests.add(core._digest)
@@ -125,7 +160,9 @@
             seat.kill()
             self.moved = True
             address = f"10.9.{self.rng.randrange(256)}.{self.rng.randrange(256)}:7000"
-            self.net.after(self.rng.choice((0.01, 0.5, 5)), lambda: seat.alive or seat.start(address=address))
+            self.net.after(
+                self.rng.choice((0.01, 0.5, 5)), lambda: seat.alive or seat.start(address=address)
+            )
 
     def _stop(self) -> None:
         seat = self._some()
@@ -145,10 +182,18 @@
     def _partition(self) -> None:
         side = {seat.number for seat in self.net.seats if self.rng.random() < 0.5}
         both = self.rng.random() < 0.7
-        pairs = {(a.number, b.number) for a in self.net.seats for b in self.net.seats if a.number in side and b.number not in side}
+        pairs = {
+            (a.number, b.number)
+            for a in self.net.seats
+            for b in self.net.seats
+            if a.number in side and b.number not in side
+        }
         self.net.cut |= pairs | ({(b, a) for a, b in pairs} if both else set())
         if self.rng.random() < 0.7:
-            self.net.after(self.rng.choice((3, 15, 60)), lambda: self.net.cut.difference_update(pairs | {(b, a) for a, b in pairs}))
+            self.net.after(
+                self.rng.choice((3, 15, 60)),
+                lambda: self.net.cut.difference_update(pairs | {(b, a) for a, b in pairs}),
+            )
 
     def _chain(self) -> None:
         """Each sees only its neighbours."""
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -57,8 +57,16 @@
         self.alive, self.stopped, self.left, self.late, self.calls = True, False, False, [], {}
         self.refusals = []
         others = [net.seats[at].address for at in range(min(net.shape.joins, len(net.seats)))]
-        self.core = net.make(self, net.rng, Pace(net.shape.period), net.now, name=self.name, address=self.address, join=others,
-                             expected=net.shape.told or net.shape.members)
+        self.core = net.make(
+            self,
+            net.rng,
+            Pace(net.shape.period),
+            net.now,
+            name=self.name,
+            address=self.address,
+            join=others,
+            expected=net.shape.told or net.shape.members,
+        )
         net.by_address[self.address] = self
         self.core.start()
         self.hold(self.held)
@@ -95,7 +103,9 @@
         self.core.leave(self.net.now)
         self.left = True
         life = self.life
-        self.net.at(self.net.now + self.net.shape.period // 2, lambda: self.life == life and self.kill())
+        self.net.at(
+            self.net.now + self.net.shape.period // 2, lambda: self.life == life and self.kill()
+        )
 
     # Host
 
@@ -105,23 +115,33 @@
 
         def ends(act: Callable[[], None]) -> None:
             self.run(life, act)
-        net.at(until, lambda: ends(lambda: self.core.unanswered(net.now, ask)))  # of no effect once it was answered
+
+        net.at(
+            until, lambda: ends(lambda: self.core.unanswered(net.now, ask))
+        )  # of no effect once it was answered
         to = net.by_address.get(address)
         if to is None:
             if net.refuses:
-                net.at(net.now + REFUSED_AFTER, lambda: ends(lambda: self.core.unanswered(net.now, ask)))
+                net.at(
+                    net.now + REFUSED_AFTER,
+                    lambda: ends(lambda: self.core.unanswered(net.now, ask)),
+                )
             return
         their_life = to.life
 
         def reply(answer: Message) -> None:
             to._sent(answer)
             if net.passes(to, self):
-                net.at(net.now + net.delay(), lambda: ends(lambda: self.core.answered(net.now, ask, net.carried(answer))))
+                net.at(
+                    net.now + net.delay(),
+                    lambda: ends(lambda: self.core.answered(net.now, ask, net.carried(answer))),
+                )
 
         def arrive() -> None:
             call, to.next_call = to.next_call, to.next_call + 1
             to.calls[call] = reply
             to.core.called(net.now, call, net.carried(message))
+
         if net.passes(self, to):
             net.at(net.now + net.delay(), lambda: to.run(their_life, arrive))
 
@@ -163,9 +183,15 @@
         self.cut: set[tuple[int, int]] = set()  # directed pairs between which nothing passes
         self.loss = shape.loss
         self.refuses = True  # whether a killed process's machine still answers
-        self.deaths: list[tuple[int, str, str]] = []  # when, by whom, who was called dead while its process lived
-        self.dead_at: dict[tuple[str, int], dict[int, int]] = {}  # by name and life, when each came to know of its death
-        self.too_low = 0  # ns times members, in which a count in use was under the number that placed
+        self.deaths: list[
+            tuple[int, str, str]
+        ] = []  # when, by whom, who was called dead while its process lived
+        self.dead_at: dict[
+            tuple[str, int], dict[int, int]
+        ] = {}  # by name and life, when each came to know of its death
+        self.too_low = (
+            0  # ns times members, in which a count in use was under the number that placed
+        )
         self.too_low_first = ""
         self.heard: Callable[[Seat, Word], None] = lambda seat, word: None
 
@@ -217,6 +243,7 @@
                     late.reverse()
                 for act in late:
                     act()
+
         self.after(periods, go_on)
 
     def called_dead(self, by: Seat, word: Word) -> None:
@@ -246,10 +273,17 @@
                     for server in range(shape.servers):  # each holds a part of all
                         part = held // shape.servers + (server < held % shape.servers)
                         if rng.random() < 1 / LOOK:
-                            seat.core.reported(self.now, f"s{server}", part, {f"s{n}" for n in range(shape.servers)})
+                            seat.core.reported(
+                                self.now,
+                                f"s{server}",
+                                part,
+                                {f"s{n}" for n in range(shape.servers)},
+                            )
                     if seat.uses < placing:
                         self.too_low += span
                         self.too_low_first = self.too_low_first or (
-                            f"{seat.name} counted {seat.uses} where {placing} placed, at {self.now // MS} ms")
+                            f"{seat.name} counted {seat.uses} where {placing} placed, at {self.now // MS} ms"
+                        )
             self.at(self.now + span, look)
+
         look()
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -15,7 +15,9 @@
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
-Truth = Callable[[int], float]  # a server's pressure as it is now, for the one policy that may see it
+Truth = Callable[
+    [int], float
+]  # a server's pressure as it is now, for the one policy that may see it
 
 
 class Plain(ABC):
@@ -23,8 +25,18 @@
 
     PROBES = True
 
-    def __init__(self, host: Host, rng: Random, *, now: int, truth: Truth, workloads: list[Workload], max_hand_offs: int,
-                 max_retry_after: int, **_: Any) -> None:
+    def __init__(
+        self,
+        host: Host,
+        rng: Random,
+        *,
+        now: int,
+        truth: Truth,
+        workloads: list[Workload],
+        max_hand_offs: int,
+        max_retry_after: int,
+        **_: Any,
+    ) -> None:
         self._host, self._rng, self._truth = host, rng, truth
         self._workloads, self._most, self._retry_after = workloads, max_hand_offs, max_retry_after
         self._ready: dict[int, Listed] = {}
@@ -51,7 +63,12 @@
         untried = [server for server in self._ready if server not in sent] or list(self._ready)
         effect = self._workloads[login.workload].effect
         ran = any(outcome is None or not outcome.proves_not_run for outcome in outcomes)
-        if len(sent) >= self._most or now >= login.time_limit_at or not untried or (ran and effect is not Effect.REPEATABLE):
+        if (
+            len(sent) >= self._most
+            or now >= login.time_limit_at
+            or not untried
+            or (ran and effect is not Effect.REPEATABLE)
+        ):
             del self._logins[number]
             if ran and effect is not Effect.REPEATABLE:
                 self._host.terminate(number)
@@ -68,8 +85,17 @@
     def hand_off_started(self, now: int, login: int, attempt: int, server: int, delay: int) -> None:
         pass
 
-    def hand_off_ended(self, now: int, login: int, closed: bool, server: int, outcome: Outcome, attempt: int, delay: int,
-                       report: Report | None) -> None:
+    def hand_off_ended(
+        self,
+        now: int,
+        login: int,
+        closed: bool,
+        server: int,
+        outcome: Outcome,
+        attempt: int,
+        delay: int,
+        report: Report | None,
+    ) -> None:
         self._open[server] = max(0, self._open.get(server, 0) - 1)
         if login not in self._logins:
             return
@@ -88,11 +114,15 @@
         self._logins[login.login] = (login, [server], [None])
         self._open[server] = self._open.get(server, 0) + 1
 
-    def probe_answered(self, now: int, server: int, delay: int, outcome: Outcome, report: Report | None) -> None:
+    def probe_answered(
+        self, now: int, server: int, delay: int, outcome: Outcome, report: Report | None
+    ) -> None:
         if report is not None and report.count is not None:
             self._counts[server] = report.count
 
-    def servers_listed(self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]) -> None:
+    def servers_listed(
+        self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]
+    ) -> None:
         for line in lines:
             if line.status is Status.READY:
                 if line.server not in self._ready and self.PROBES:
@@ -147,7 +177,9 @@
 
     def choose(self, now: int, servers: list[int]) -> int:
         least = min(self._open.get(server, 0) for server in servers)
-        return self._rng.choice([server for server in servers if self._open.get(server, 0) == least])
+        return self._rng.choice(
+            [server for server in servers if self._open.get(server, 0) == least]
+        )
 
 
 class LowestReport(Plain):
@@ -164,14 +196,19 @@
     PROBES = False
 
     def choose(self, now: int, servers: list[int]) -> int:
-        return min(self._rng.sample(servers, min(2, len(servers))), key=lambda server: self._open.get(server, 0))
+        return min(
+            self._rng.sample(servers, min(2, len(servers))),
+            key=lambda server: self._open.get(server, 0),
+        )
 
 
 class InverseCounts(Plain):
     """The paper's draw, with chance inverse to the count, and nothing else."""
 
     def choose(self, now: int, servers: list[int]) -> int:
-        return self._rng.choices(servers, [1.0 / (self.seen(server) + 1.0) for server in servers])[0]
+        return self._rng.choices(servers, [1.0 / (self.seen(server) + 1.0) for server in servers])[
+            0
+        ]
 
 
 class TrueState(Plain):
@@ -188,5 +225,12 @@
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
-    "module": _module, "random": Chance, "round robin": InTurn, "least connections": LeastOwn,
-    "two choices": TwoChoices, "lowest report": LowestReport, "inverse counts": InverseCounts, "true state": TrueState}
+    "module": _module,
+    "random": Chance,
+    "round robin": InTurn,
+    "least connections": LeastOwn,
+    "two choices": TwoChoices,
+    "lowest report": LowestReport,
+    "inverse counts": InverseCounts,
+    "true state": TrueState,
+}
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -32,12 +32,17 @@
     hold_s: float = 8.0
     period: int = SECOND
     at_s: float = 8.0  # of the cut
-    dark_s: tuple[float, float] = (1.0, 1.5)  # of servers and of balancers, each at a time of its own within a second after
+    dark_s: tuple[float, float] = (
+        1.0,
+        1.5,
+    )  # of servers and of balancers, each at a time of its own within a second after
     mute_s: float = 6.0  # of discovery after the cut; under 0: to the end
     old_list: bool = False
     lying: int = 0  # balancers whose disk lost the last second
     emptied: int = 0
-    second_s: float = 0.0  # a second cut, of half of the balancers, so long after the first; 0: none
+    second_s: float = (
+        0.0  # a second cut, of half of the balancers, so long after the first; 0: none
+    )
     first: int = 0  # only so many balancers are back, the others ten seconds later; 0: all
     lost_calls: float = 0.0  # of peers' calls
     seconds: float = 26.0
@@ -46,9 +51,24 @@
     @classmethod
     def drawn(cls, seed: int, balancers: int = 12, servers: int = 6) -> Day:
         rng = Random(f"power {seed}")
-        return cls(seed, balancers, servers, 3.0 * balancers, 6.0, SECOND, 5.0 + rng.random(), (rng.choice((0.2, 1.0, 4.0)), rng.choice((0.2, 1.0, 4.0))),
-                   rng.choice((0.0, 2.0, 6.0, -1.0)), rng.random() < 0.4, rng.choice((0, 0, 1, 2)), rng.choice((0, 0, 1)),
-                   rng.choice((0.0, 0.0, 0.7, 1.5, 2.5, 4.0)), rng.choice((0, 0, 1, balancers // 3)), rng.choice((0.0, 0.0, 0.1)), 28.0)
+        return cls(
+            seed,
+            balancers,
+            servers,
+            3.0 * balancers,
+            6.0,
+            SECOND,
+            5.0 + rng.random(),
+            (rng.choice((0.2, 1.0, 4.0)), rng.choice((0.2, 1.0, 4.0))),
+            rng.choice((0.0, 2.0, 6.0, -1.0)),
+            rng.random() < 0.4,
+            rng.choice((0, 0, 1, 2)),
+            rng.choice((0, 0, 1)),
+            rng.choice((0.0, 0.0, 0.7, 1.5, 2.5, 4.0)),
+            rng.choice((0, 0, 1, balancers // 3)),
+            rng.choice((0.0, 0.0, 0.1)),
+            28.0,
+        )
 
 
 class Gate:
@@ -64,14 +84,21 @@
         self._seat.went(login, True)
         self._policy.hand_off_started(now, login, *more)
 
-    def hand_off_ended(self, now: int, login: int, was_open: bool, server: int, outcome: Outcome, *more: Any) -> None:
+    def hand_off_ended(
+        self, now: int, login: int, was_open: bool, server: int, outcome: Outcome, *more: Any
+    ) -> None:
         if not was_open:
             self._seat.went(login, False)
-        if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN) and self._seat.core is not None:
+        if (
+            outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN)
+            and self._seat.core is not None
+        ):
             self._seat.core.server_missed(now, f"s{server}")
         self._policy.hand_off_ended(now, login, was_open, server, outcome, *more)
 
-    def probe_answered(self, now: int, server: int, took: int, outcome: Outcome, report: Any) -> None:
+    def probe_answered(
+        self, now: int, server: int, took: int, outcome: Outcome, report: Any
+    ) -> None:
         self._seat.heard.add(server)
         self._policy.probe_answered(now, server, took, outcome, report)
         core = self._seat.core
@@ -106,9 +133,16 @@
         if fleet.kind == "serve":
             day, disk = fleet.day, fleet.disks[self.number]
             self._found = disk.store, [fact for _, fact in disk.facts]
-            self.core = Recovery(self, Random(f"{day.seed}/{self.number}/{self.turn}/r"), Terms(day.period, longest=RETRY_MOST, cold=fleet.scenario.cold()), fleet.clock.now,
-                                 name=self.name, life=self.turn << 16 | self.number, boot=str(fleet.boots[self.number]),
-                                 expected=day.balancers)
+            self.core = Recovery(
+                self,
+                Random(f"{day.seed}/{self.number}/{self.turn}/r"),
+                Terms(day.period, longest=RETRY_MOST, cold=fleet.scenario.cold()),
+                fleet.clock.now,
+                name=self.name,
+                life=self.turn << 16 | self.number,
+                boot=str(fleet.boots[self.number]),
+                expected=day.balancers,
+            )
             fleet.clock.after(int(fleet.rng.uniform(1, 30) * MS), self._mine(self._read))
             self._look()
         elif fleet.kind == "knows":
@@ -133,10 +167,19 @@
             return
         now = fleet.clock.now
         core.members(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
-        ready = {line.server for line in self.known.values() if line.status is Status.READY} - self.policy._roster.out.keys()
+        ready = {
+            line.server for line in self.known.values() if line.status is Status.READY
+        } - self.policy._roster.out.keys()
         core.looked(now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard)
         if core.step >= Step.OPEN:
-            core.sized(now, {f"s{number}": size for number, size, *_ in self.policy.learned(now)["servers"] if size is not None})
+            core.sized(
+                now,
+                {
+                    f"s{number}": size
+                    for number, size, *_ in self.policy.learned(now)["servers"]
+                    if size is not None
+                },
+            )
         if core.step is Step.FULL:
             core.counted(now, fleet.day.balancers)
         core.tick(now)
@@ -159,18 +202,42 @@
             return
         index = self.fleet.told_index
         if not self.again:
-            known = {} if whole or self.listing is None else {line.server: line for line in self.listing}
+            known = (
+                {}
+                if whole or self.listing is None
+                else {line.server: line for line in self.listing}
+            )
             known |= {line.server: line for line in lines}
             self.listing = [line for line in known.values() if line.status is not Status.GONE]
-            core.listed(now, [Server(f"s{line.server}", "10.0.0.1", line.server, str(line.zone), "", line.cell, int(line.status), line.weight)
-                              for line in self.listing], index)
+            core.listed(
+                now,
+                [
+                    Server(
+                        f"s{line.server}",
+                        "10.0.0.1",
+                        line.server,
+                        str(line.zone),
+                        "",
+                        line.cell,
+                        int(line.status),
+                        line.weight,
+                    )
+                    for line in self.listing
+                ],
+                index,
+            )
         believed = []
         for line in lines:
             name, ready = f"s{line.server}", line.status is Status.READY
-            leaves = (core.facts.leaves(name, line.started_at, index) if self.again
-                      else core.drained(now, name, line.started_at, index, not ready))
+            leaves = (
+                core.facts.leaves(name, line.started_at, index)
+                if self.again
+                else core.drained(now, name, line.started_at, index, not ready)
+            )
             status = Status.DRAINING if ready and leaves else line.status
-            believed.append(line._replace(status=status, started_at=core.started_at(now, name, line.started_at)))
+            believed.append(
+                line._replace(status=status, started_at=core.started_at(now, name, line.started_at))
+            )
         super().take_list(believed, whole)
 
     # Clients
@@ -187,7 +254,9 @@
             return
         number = self.fleet.next_login()
         workload = self.fleet.workloads[wish.workload]
-        login = Login(number, wish.workload, 0, wish.subject, now + workload.time_limit, None, wish.group)
+        login = Login(
+            number, wish.workload, 0, wish.subject, now + workload.time_limit, None, wish.group
+        )
         self.ways[number] = Way(login, wish)
         self.fleet.rules.arrived(now, self.number, login, workload)
         super().bounce(number, wait)
@@ -215,10 +284,20 @@
         def arrive(other: Powered) -> Answer:
             assert other.core is not None
             return other.core.asked(self.fleet.clock.now, message)
+
         assert self.core is not None
         core = self.core
-        self.fleet.call(self, name, arrive, until, lambda found: core.answered(self.fleet.clock.now, number, found) if found is not None
-                        else core.unanswered(self.fleet.clock.now, number))
+        self.fleet.call(
+            self,
+            name,
+            arrive,
+            until,
+            lambda found: (
+                core.answered(self.fleet.clock.now, number, found)
+                if found is not None
+                else core.unanswered(self.fleet.clock.now, number)
+            ),
+        )
 
     def tell(self, number: int, name: str, message: Tell | str, until: int = 0) -> None:  # type: ignore[override]
         if not isinstance(message, Tell):
@@ -228,6 +307,7 @@
 
         def done(found: Told | None) -> None:
             core.tell_answered(self.fleet.clock.now, number, found)
+
         self.fleet.call_slow(self, name, message, until, done)
 
     def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
@@ -237,6 +317,7 @@
         def kept() -> None:
             disk.facts += [(fleet.clock.now, fact) for fact in facts]
             core.kept(fleet.clock.now, number, len(disk.facts), "")
+
         fleet.clock.after(int(fleet.rng.uniform(0.2, 8) * MS), self._mine(kept))
 
     def forget(self, facts: tuple[Fact, ...]) -> None:
@@ -251,9 +332,18 @@
     def relist(self) -> None:
         assert self.core is not None
         kept = self.core.facts.get(LIST)
-        listing = self.listing if self.listing is not None else [
-            Listed(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
-            for line in ((Server(*line) if not isinstance(line, Server) else line) for line in kept.value)] if kept else None
+        listing = (
+            self.listing
+            if self.listing is not None
+            else [
+                Listed(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
+                for line in (
+                    (Server(*line) if not isinstance(line, Server) else line) for line in kept.value
+                )
+            ]
+            if kept
+            else None
+        )
         if listing is not None:
             self.again = True
             try:
@@ -264,10 +354,15 @@
     def look(self, span: int) -> None:
         for line in list(self.known.values()):
             if line.status is Status.READY and line.server not in self.policy._roster.out:
-                self.fleet.clock.after(int(self.fleet.rng.random() * span), self._mine(self.probe), line.server)
+                self.fleet.clock.after(
+                    int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
+                )
 
     def ages(self) -> dict[str, int]:
-        return {f"s{number}": int(started_at) for number, _, started_at, *_ in self.policy.learned(self.fleet.clock.now)["servers"]}
+        return {
+            f"s{number}": int(started_at)
+            for number, _, started_at, *_ in self.policy.learned(self.fleet.clock.now)["servers"]
+        }
 
     def step(self, step: Step, why: str) -> None:
         self.fleet.stepped(self, step)
@@ -304,12 +399,19 @@
         self._old: list[Listed] | None = None
         self.cut_at = 0
         self.lone_liar = False
-        scenario = Scenario(name="power", seconds=day.seconds, standing=1.0, servers=Servers(number=day.servers, zones=3, size=120.0),
-                            balancers=Balancers(number=day.balancers),
-                            workloads=[WorkloadTable(name="plain", rate=day.rate, hold_s=day.hold_s, tries=100)])
+        scenario = Scenario(
+            name="power",
+            seconds=day.seconds,
+            standing=1.0,
+            servers=Servers(number=day.servers, zones=3, size=120.0),
+            balancers=Balancers(number=day.balancers),
+            workloads=[WorkloadTable(name="plain", rate=day.rate, hold_s=day.hold_s, tries=100)],
+        )
         super().__init__(scenario, "module", day.seed)
         self.clock.after(int((day.at_s - 1.0) * SECOND), self._words)
-        self.clock.after(int(day.at_s * SECOND), self._restart_unlisted if day.unlisted else self._cut)
+        self.clock.after(
+            int(day.at_s * SECOND), self._restart_unlisted if day.unlisted else self._cut
+        )
 
     def _build(self) -> None:
         super()._build()
@@ -322,10 +424,27 @@
     def make(self, seat: Seat) -> Any:
         given = self.scenario
         return POLICIES["module"](
-            seat, Random(f"{self.seed}/{seat.number}/{seat.turn}"), now=self.clock.now, truth=self._truth, zone=seat.zone,
-            balancers=given.balancers.number, workloads=self.workloads, per_work=False, cold=given.cold(),
-            max_hand_offs=given.balancers.max_hand_offs, cancel_allowed=True, max_retry_after=RETRY_MOST, probes_allowed=True,
-            ask_for_list=False, ask_within=10 * SECOND, grouped=False, weight_varies=False, memory=0, crossing_price=0.0, probe_price=0.0)
+            seat,
+            Random(f"{self.seed}/{seat.number}/{seat.turn}"),
+            now=self.clock.now,
+            truth=self._truth,
+            zone=seat.zone,
+            balancers=given.balancers.number,
+            workloads=self.workloads,
+            per_work=False,
+            cold=given.cold(),
+            max_hand_offs=given.balancers.max_hand_offs,
+            cancel_allowed=True,
+            max_retry_after=RETRY_MOST,
+            probes_allowed=True,
+            ask_for_list=False,
+            ask_within=10 * SECOND,
+            grouped=False,
+            weight_varies=False,
+            memory=0,
+            crossing_price=0.0,
+            probe_price=0.0,
+        )
 
     @property
     def coming(self) -> int:
@@ -341,8 +460,14 @@
 
     def living(self, seat: Seat) -> list[str]:
         now, period = self.clock.now, self.day.period
-        return [f"b{other.number}" for other in self.seats if other is not seat and other.alive
-                and now - other.started_at > period // 4 and (other.core is None or other.core.step > Step.READ)]
+        return [
+            f"b{other.number}"
+            for other in self.seats
+            if other is not seat
+            and other.alive
+            and now - other.started_at > period // 4
+            and (other.core is None or other.core.step > Step.READ)
+        ]
 
     # What is said before
 
@@ -378,6 +503,7 @@
         def done(outcome: Kept, kept: int, wanted: int) -> None:
             if outcome is Kept.KEPT and self._last_word[server] is out:
                 self._had_yes(server, out)
+
         seat.core.word(self.clock.now, f"s{server}", out, done)
 
     def _had_yes(self, server: int, out: bool) -> None:
@@ -395,11 +521,11 @@
         if day.mute_s >= 0:
             self.clock.after(int(day.mute_s * SECOND), self._list_back)
         numbers = rng.sample(range(day.balancers), day.balancers)
-        self.lone_liar = day.first == 1 and 0 in numbers[:day.lying]
-        for number in numbers[:day.lying]:
+        self.lone_liar = day.first == 1 and 0 in numbers[: day.lying]
+        for number in numbers[: day.lying]:
             disk = self.disks[number]
             disk.facts = [held for held in disk.facts if held[0] < self.clock.now - SECOND]
-        for number in numbers[day.lying:day.lying + day.emptied]:
+        for number in numbers[day.lying : day.lying + day.emptied]:
             self.disks[number] = Disk(b"emptied %8d" % number)
         for box in self.boxes.values():
             if box.up:
@@ -408,7 +534,11 @@
         for at, seat in enumerate(self.seats):
             self._lose(seat)
             late = day.first and at >= day.first
-            self.clock.after(int((day.dark_s[1] + rng.random() + (10.0 if late else 0.0)) * SECOND), self._boot_seat, seat)
+            self.clock.after(
+                int((day.dark_s[1] + rng.random() + (10.0 if late else 0.0)) * SECOND),
+                self._boot_seat,
+                seat,
+            )
         if day.second_s:
             half = rng.sample(self.seats, len(self.seats) // 2)
             self.clock.after(int((day.dark_s[1] + day.second_s) * SECOND), self._cut_again, half)
@@ -417,8 +547,15 @@
         self.cut_at = self.clock.now
         self._mute_list = True
         rng = Random(f"{self.day.seed} unlisted")
-        for at, box in enumerate(rng.sample(sorted(self.boxes.values(), key=lambda box: box.number), self.day.unlisted)):
-            self.clock.after(int((at * 2 + rng.random()) * SECOND), self._away, box, int(rng.uniform(0.9, 1.9) * SECOND))
+        for at, box in enumerate(
+            rng.sample(sorted(self.boxes.values(), key=lambda box: box.number), self.day.unlisted)
+        ):
+            self.clock.after(
+                int((at * 2 + rng.random()) * SECOND),
+                self._away,
+                box,
+                int(rng.uniform(0.9, 1.9) * SECOND),
+            )
 
     def _away(self, box: Any, span: int) -> None:
         if box.up:
@@ -485,6 +622,7 @@
                 self.clock.at(until, back, None)
             else:
                 self.clock.after(self.delay(0, 1), back, arrive(other))
+
         self.clock.after(self.delay(0, 1), there)
 
     def call_slow(self, seat: Powered, name: str, message: Tell, until: int, done: Any) -> None:
@@ -495,6 +633,7 @@
             if not told:
                 told.append(True)
                 seat._mine(done)(found)
+
         turn = seat.turn
         self.clock.at(until, lambda: back(None) if seat.turn == turn and seat.alive else None)
 
@@ -502,8 +641,15 @@
             other = self._reaches(name)
             if other is not None:
                 assert other.core is not None
-                other.core.told(self.clock.now, message, lambda found: self.clock.after(
-                    self.delay(0, 1), lambda: back(found) if seat.turn == turn and seat.alive else None))
+                other.core.told(
+                    self.clock.now,
+                    message,
+                    lambda found: self.clock.after(
+                        self.delay(0, 1),
+                        lambda: back(found) if seat.turn == turn and seat.alive else None,
+                    ),
+                )
+
         self.clock.after(self.delay(0, 1), there)
 
     def _count(self, name: str) -> None:
@@ -516,11 +662,18 @@
         now = self.clock.now
         out, leaving = self.out.get(server), self.leaving.get(server)
         known = self.day.period  # for a word to come to all
-        if out is not None and now > out + known or leaving is not None and now > leaving and self.boxes[server].status is Status.DRAINING:
+        if (
+            out is not None
+            and now > out + known
+            or leaving is not None
+            and now > leaving
+            and self.boxes[server].status is Status.DRAINING
+        ):
             self.placed_out += 1
             self.first_placed_out = self.first_placed_out or (
                 f"seed {self.day.seed}: b{seat.number} at {(now - self.clock.began) / SECOND:.2f} s to s{server}, "
-                f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.began) / SECOND:.2f} s")
+                f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.began) / SECOND:.2f} s"
+            )
 
     def stepped(self, seat: Seat, step: Step) -> None:
         if self.cut_at:
@@ -554,17 +707,47 @@
     cut = fleet.cut_at
     ups = [at for at in fleet.ups if at >= cut]
     before = sum(cut - 2 * SECOND <= at < cut for at in fleet.ups) / 2
-    restored = next((tenth / 10 for tenth in range(int(10 * (fleet.clock.now - cut) / SECOND) - 9)
-                     if sum(cut + tenth * SECOND // 10 <= at < cut + tenth * SECOND // 10 + SECOND for at in ups) >= 0.9 * min(before, day.rate)), -1.0)
+    restored = next(
+        (
+            tenth / 10
+            for tenth in range(int(10 * (fleet.clock.now - cut) / SECOND) - 9)
+            if sum(
+                cut + tenth * SECOND // 10 <= at < cut + tenth * SECOND // 10 + SECOND for at in ups
+            )
+            >= 0.9 * min(before, day.rate)
+        ),
+        -1.0,
+    )
     forgotten = invented = 0
     for seat in fleet.seats:
         if seat.alive and seat.core is not None:
             held = {int(fact.name[1:]): fact.value for fact, _ in seat.core.facts.of(OUT)}
             forgotten += sum(not held.get(server) for server in fleet.out)
-            invented += sum(value not in fleet.asked_words.get(server, ()) for server, value in held.items())
-            invented += sum(fact.value and int(fact.name[1:]) not in fleet.leaving for fact, _ in seat.core.facts.of(DRAIN))
-    stuck = sum(seat.alive and seat.core is not None and seat.core.step < Step.OPEN and fleet.clock.now - seat.started_at > SETTLED
-                for seat in fleet.seats)
-    return Seen(fleet.placed_out, fleet.lone_liar, fleet.first_placed_out, dict(fleet.rules.broken), fleet.rules.broken[4], forgotten, invented, stuck,
-                (ups[0] - cut) / SECOND if ups else -1.0, restored, max(fleet.calls_at.values(), default=0),
-                {step.name.lower(): round(max(at) / SECOND, 2) for step, at in fleet.steps.items()})
+            invented += sum(
+                value not in fleet.asked_words.get(server, ()) for server, value in held.items()
+            )
+            invented += sum(
+                fact.value and int(fact.name[1:]) not in fleet.leaving
+                for fact, _ in seat.core.facts.of(DRAIN)
+            )
+    stuck = sum(
+        seat.alive
+        and seat.core is not None
+        and seat.core.step < Step.OPEN
+        and fleet.clock.now - seat.started_at > SETTLED
+        for seat in fleet.seats
+    )
+    return Seen(
+        fleet.placed_out,
+        fleet.lone_liar,
+        fleet.first_placed_out,
+        dict(fleet.rules.broken),
+        fleet.rules.broken[4],
+        forgotten,
+        invented,
+        stuck,
+        (ups[0] - cut) / SECOND if ups else -1.0,
+        restored,
+        max(fleet.calls_at.values(), default=0),
+        {step.name.lower(): round(max(at) / SECOND, 2) for step, at in fleet.steps.items()},
+    )
--- a/corklift/lab/report.py
+++ b/corklift/lab/report.py
@@ -18,9 +18,11 @@
 from corklift.lab.experiment import differences, interval  # noqa: E402
 from corklift.lab.scenario import Experiment  # noqa: E402
 
-STYLE = ("body{font:15px sans-serif;max-width:960px;margin:2em auto;color:#222}table{border-collapse:collapse}"
-         "td,th{padding:3px 12px;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child{text-align:left}"
-         "pre{background:#f5f5f5;padding:8px;overflow:auto}img{max-width:100%}.bad{color:#b00}")
+STYLE = (
+    "body{font:15px sans-serif;max-width:960px;margin:2em auto;color:#222}table{border-collapse:collapse}"
+    "td,th{padding:3px 12px;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child{text-align:left}"
+    "pre{background:#f5f5f5;padding:8px;overflow:auto}img{max-width:100%}.bad{color:#b00}"
+)
 
 
 def _picture(figure: Any) -> str:
@@ -33,11 +35,19 @@
 def _over_time(results: list[dict[str, Any]], policies: list[str], troubles: list[Any]) -> str:
     figure, axis = pyplot.subplots(figsize=(10, 3))
     for policy in policies:
-        mine = [result["series"] for result in results if result["policy"] == policy and result["series"]]
+        mine = [
+            result["series"]
+            for result in results
+            if result["policy"] == policy and result["series"]
+        ]
         if mine:
             length = min(map(len, mine))
-            axis.plot([mine[0][at][0] for at in range(length)],
-                      [sum(series[at][2] for series in mine) / len(mine) for at in range(length)], label=policy, linewidth=1)
+            axis.plot(
+                [mine[0][at][0] for at in range(length)],
+                [sum(series[at][2] for series in mine) / len(mine) for at in range(length)],
+                label=policy,
+                linewidth=1,
+            )
     for trouble in troubles:
         axis.axvline(trouble.at_s, color="#999", linestyle=":", linewidth=1)
         axis.text(trouble.at_s, 0.02, " " + trouble.kind, rotation=90, fontsize=7, color="#666")
@@ -49,13 +59,21 @@
 
 
 def _heat(results: list[dict[str, Any]], policy: str) -> str:
-    found = next((result for result in results if result["policy"] == policy and result["series"]), None)
+    found = next(
+        (result for result in results if result["policy"] == policy and result["series"]), None
+    )
     if found is None:
         return ""
     figure, axis = pyplot.subplots(figsize=(10, 3))
     series = found["series"]
-    image = axis.imshow(list(zip(*(pressures for _, pressures, _ in series))), aspect="auto", vmin=0, vmax=1.2,
-                        cmap="inferno", extent=(0, series[-1][0], len(series[0][1]) + 0.5, 0.5))
+    image = axis.imshow(
+        list(zip(*(pressures for _, pressures, _ in series))),
+        aspect="auto",
+        vmin=0,
+        vmax=1.2,
+        cmap="inferno",
+        extent=(0, series[-1][0], len(series[0][1]) + 0.5, 0.5),
+    )
     axis.set_xlabel("s")
     axis.set_ylabel("server")
     axis.set_title(f"load over what it can do: {policy}, seed {found['seed']}", fontsize=9)
@@ -72,18 +90,30 @@
         broken = sum(sum(result["rules"].values()) for result in mine)
         waited = max(result["waited_s"]["p99"] for result in mine)
         moved = sum(result["tally"].get("moved", 0) for result in mine)
-        rows.append(f"<tr><td>{html.escape(policy)}</td><td>{mean:.4f}</td><td>{low:.4f} to {high:.4f}</td>"
-                    f"<td class={'bad' if broken else 'good'}>{broken}</td><td>{waited:.2f}</td><td>{moved}</td></tr>")
-    apart = "".join(f"<li>{html.escape(found.policy)} against {html.escape(found.against)}: {found.mean:+.4f} "
-                    f"({found.low:+.4f} to {found.high:+.4f}, {found.pairs} pairs)</li>"
-                    for found in differences(results, policies[0]))
-    breaks = "".join(f"<h3>{html.escape(result['policy'])}, seed {result['seed']}, rule {rule}</h3><pre>"
-                     + html.escape("\n".join(trace[-12:])) + "</pre>"
-                     for result in results for rule, (_, _, trace) in result["first_breaks"].items())[:20_000]
-    return (f"<!doctype html><meta charset=utf-8><title>{html.escape(given.scenario.name)}</title><style>{STYLE}</style>"
-            f"<h1>{html.escape(given.scenario.name)}</h1><p>{len(results)} runs, seeds {given.seeds}, commit {commit}. All simulated."
-            "</p><table><tr><th>policy<th>service<th>95 %<th>rules broken<th>waited p99, s<th>moved</tr>"
-            + "".join(rows) + f"</table><h2>Differences, pair by pair</h2><ul>{apart}</ul><h2>Service over time</h2>"
-            + _over_time(results, policies, given.scenario.troubles) + "<h2>Load of each server</h2>"
-            + "".join(_heat(results, policy) for policy in policies[:3])
-            + (f"<h2>First breaks</h2>{breaks}" if breaks else ""))
+        rows.append(
+            f"<tr><td>{html.escape(policy)}</td><td>{mean:.4f}</td><td>{low:.4f} to {high:.4f}</td>"
+            f"<td class={'bad' if broken else 'good'}>{broken}</td><td>{waited:.2f}</td><td>{moved}</td></tr>"
+        )
+    apart = "".join(
+        f"<li>{html.escape(found.policy)} against {html.escape(found.against)}: {found.mean:+.4f} "
+        f"({found.low:+.4f} to {found.high:+.4f}, {found.pairs} pairs)</li>"
+        for found in differences(results, policies[0])
+    )
+    breaks = "".join(
+        f"<h3>{html.escape(result['policy'])}, seed {result['seed']}, rule {rule}</h3><pre>"
+        + html.escape("\n".join(trace[-12:]))
+        + "</pre>"
+        for result in results
+        for rule, (_, _, trace) in result["first_breaks"].items()
+    )[:20_000]
+    return (
+        f"<!doctype html><meta charset=utf-8><title>{html.escape(given.scenario.name)}</title><style>{STYLE}</style>"
+        f"<h1>{html.escape(given.scenario.name)}</h1><p>{len(results)} runs, seeds {given.seeds}, commit {commit}. All simulated."
+        "</p><table><tr><th>policy<th>service<th>95 %<th>rules broken<th>waited p99, s<th>moved</tr>"
+        + "".join(rows)
+        + f"</table><h2>Differences, pair by pair</h2><ul>{apart}</ul><h2>Service over time</h2>"
+        + _over_time(results, policies, given.scenario.troubles)
+        + "<h2>Load of each server</h2>"
+        + "".join(_heat(results, policy) for policy in policies[:3])
+        + (f"<h2>First breaks</h2>{breaks}" if breaks else "")
+    )
--- a/corklift/lab/rules.py
+++ b/corklift/lab/rules.py
@@ -40,7 +40,9 @@
         self._began = began
         self._open: dict[tuple[int, int], Followed] = {}  # by balancer and login
         self._steps: deque[str] = deque(maxlen=TRACE)
-        self._told: dict[tuple[int, int], int] = {}  # by balancer and server: when it was told that it leaves
+        self._told: dict[
+            tuple[int, int], int
+        ] = {}  # by balancer and server: when it was told that it leaves
         self.broken: Counter[int] = Counter()
         self.first: dict[int, Break] = {}
 
@@ -65,32 +67,51 @@
     def told_ready(self, balancer: int, server: int) -> None:
         self._told.pop((balancer, server), None)
 
-    def sent(self, now: int, balancer: int, login: int, server: int, cells: dict[int, tuple[int, int]]) -> None:
+    def sent(
+        self, now: int, balancer: int, login: int, server: int, cells: dict[int, tuple[int, int]]
+    ) -> None:
         """A hand-off starts. `cells`: each server's zone and cell."""
         self.step(now, f"balancer {balancer}: login {login} to server {server}")
         told = self._told.get((balancer, server))
         if told is not None and now - told > GRACE:
-            self._break(now, 3, f"login {login} to server {server}, {(now - told) // MS} ms after its drain was told")
+            self._break(
+                now,
+                3,
+                f"login {login} to server {server}, {(now - told) // MS} ms after its drain was told",
+            )
         followed = self._open.get((balancer, login))
         if followed is None:
             self._break(now, 1, f"login {login} is handed off but is not on its way")
             return
         if followed.answered:
-            self._break(now, 1, f"login {login} is handed off after its answer ({followed.answered})")
+            self._break(
+                now, 1, f"login {login} is handed off after its answer ({followed.answered})"
+            )
         if now >= followed.login.time_limit_at:
             self._break(now, 1, f"login {login} is handed off after its time limit")
-        ran = [(at, where) for number, (where, at) in enumerate(followed.sent)
-               if (outcome := followed.outcomes.get(number)) is None or not outcome.proves_not_run]
+        ran = [
+            (at, where)
+            for number, (where, at) in enumerate(followed.sent)
+            if (outcome := followed.outcomes.get(number)) is None or not outcome.proves_not_run
+        ]
         effect = followed.workload.effect
         if ran and effect is Effect.ONCE_ONLY:
-            self._break(now, 2, f"once-only login {login} is sent again, it may have run on server {ran[0][1]}")
+            self._break(
+                now,
+                2,
+                f"once-only login {login} is sent again, it may have run on server {ran[0][1]}",
+            )
         if ran and effect is Effect.TAGGED:
             zone, cell = cells.get(ran[0][1], (-1, -1))
             there = cells.get(server, (-2, -2))
             reach = followed.workload.reach
-            alike = reach is Reach.ALL or (there[0] == zone if reach is Reach.ZONE else there[1] == cell)
+            alike = reach is Reach.ALL or (
+                there[0] == zone if reach is Reach.ZONE else there[1] == cell
+            )
             if not alike or now - ran[0][0] >= followed.workload.dedup_window:
-                self._break(now, 2, f"tagged login {login} is sent again where or when it is not recognised")
+                self._break(
+                    now, 2, f"tagged login {login} is sent again where or when it is not recognised"
+                )
         followed.sent.append((server, now))
 
     def outcome(self, now: int, balancer: int, login: int, attempt: int, outcome: Outcome) -> None:
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -28,11 +28,17 @@
 class Servers(Table):
     number: Count = 8
     size: Positive = 60.0  # mean-cost connections that fill one of mean power
-    spread: Annotated[float, Meta(ge=1, le=20)] = 2.0  # the strongest over the weakest, even on a log scale
+    spread: Annotated[float, Meta(ge=1, le=20)] = (
+        2.0  # the strongest over the weakest, even on a log scale
+    )
     zones: Count = 1
     cells: Count = 1
-    cap: Annotated[float, Meta(gt=0, le=100)] = 1.6  # of its size: connections beyond it are turned down
-    message_slack: Positive = 20.0  # times a message's mean work that it may take on an open connection
+    cap: Annotated[float, Meta(gt=0, le=100)] = (
+        1.6  # of its size: connections beyond it are turned down
+    )
+    message_slack: Positive = (
+        20.0  # times a message's mean work that it may take on an open connection
+    )
     setup_ms: Positive = 20.0  # mean work of a set-up on an idle server
     start_share: Annotated[float, Meta(gt=0, le=1)] = 0.3
     ramp_ms: Whole = 8000
@@ -83,8 +89,22 @@
     tries: Annotated[int, Meta(ge=1, le=100)] = 5
 
 
-KINDS = ("drain", "release", "vanish", "slow", "fast errors", "zone loss", "balancer restart", "balancer killed",
-         "client drop", "list silent", "partition", "loss", "silent server", "surge")
+KINDS = (
+    "drain",
+    "release",
+    "vanish",
+    "slow",
+    "fast errors",
+    "zone loss",
+    "balancer restart",
+    "balancer killed",
+    "client drop",
+    "list silent",
+    "partition",
+    "loss",
+    "silent server",
+    "surge",
+)
 
 
 class Trouble(Table):
@@ -107,31 +127,49 @@
     net: Net = Net()
     store: Store = Store()
     workloads: Annotated[list[WorkloadTable], Meta(min_length=1)] = msgspec.field(
-        default_factory=lambda: [WorkloadTable(name="plain")])
+        default_factory=lambda: [WorkloadTable(name="plain")]
+    )
     troubles: list[Trouble] = []
 
     def decisions(self) -> list[Workload]:
         """The workloads as the decision module takes them."""
-        return [Workload(w.name, w.importance, int(w.soft_limit_ms * MS), int(w.time_limit_ms * MS), Effect(w.effect),
-                         Reach(w.reach), int(w.dedup_ms * MS)) for w in self.workloads]
+        return [
+            Workload(
+                w.name,
+                w.importance,
+                int(w.soft_limit_ms * MS),
+                int(w.time_limit_ms * MS),
+                Effect(w.effect),
+                Reach(w.reach),
+                int(w.dedup_ms * MS),
+            )
+            for w in self.workloads
+        ]
 
     def cold(self) -> ColdRule:
-        return ColdRule(self.servers.start_share, self.servers.ramp_ms * MS, self.servers.multiple, 1000 * MS)
+        return ColdRule(
+            self.servers.start_share, self.servers.ramp_ms * MS, self.servers.multiple, 1000 * MS
+        )
 
 
 class Experiment(Table):
     """A scenario, what is varied, the policies held against each other, and over which seeds."""
 
     scenario: Scenario
-    seeds: Annotated[list[int], Meta(min_length=1)] = msgspec.field(default_factory=lambda: [1, 2, 3])
+    seeds: Annotated[list[int], Meta(min_length=1)] = msgspec.field(
+        default_factory=lambda: [1, 2, 3]
+    )
     policies: Annotated[list[str], Meta(min_length=1)] = msgspec.field(
-        default_factory=lambda: ["module", "random", "least connections", "true state"])
-    vary: dict[str, Annotated[list[float | int | str], Meta(min_length=1)]] = {}  # a key's path: its values
+        default_factory=lambda: ["module", "random", "least connections", "true state"]
+    )
+    vary: dict[
+        str, Annotated[list[float | int | str], Meta(min_length=1)]
+    ] = {}  # a key's path: its values
 
 
 def experiment(content: bytes) -> Experiment:
     """Raises:
-        BadScenario: names the key that is wrong.
+    BadScenario: names the key that is wrong.
     """
     try:
         found = msgspec.toml.decode(content, type=Experiment)
@@ -146,6 +184,7 @@
         if trouble.at_s >= found.scenario.seconds:
             raise BadScenario(f"scenario.troubles[{at}].at_s is after the end")
     from corklift.lab.policies import POLICIES
+
     for name in found.policies:
         if name not in POLICIES:
             raise BadScenario(f"policies names {name!r}; there are {', '.join(POLICIES)}")
--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -22,8 +22,21 @@
 from xxhash import xxh3_64_intdigest
 
 from corklift.membership.count import Count
-from corklift.membership.messages import (ACK, JOIN, MOST_WORDS, NACK, PING, REACH, REFUSED, SELF, SYNC, UNKNOWN, Message,
-                                          Standing, Word)
+from corklift.membership.messages import (
+    ACK,
+    JOIN,
+    MOST_WORDS,
+    NACK,
+    PING,
+    REACH,
+    REFUSED,
+    SELF,
+    SYNC,
+    UNKNOWN,
+    Message,
+    Standing,
+    Word,
+)
 
 ALIVE, SUSPECT, DEAD, LEFT = Standing
 
@@ -37,12 +50,16 @@
     least: float = 4.0  # periods of suspicion, times the fleet's log10, once enough others share it
     longest: float = 6.0  # times as long where nobody else does
     shared_by: int = 3  # others, for the least
-    slowness: int = 8  # times its usual spans that a member goes by, at most, when it is slow itself
+    slowness: int = (
+        8  # times its usual spans that a member goes by, at most, when it is slow itself
+    )
     words: int = 8  # that ride on a message
     told: int = 3  # times log2 of the fleet that a word is passed on by each
     page: int = 32  # words of a page, where two tables differ
     page_every: float = 1.0  # periods between two pages that are asked for
-    retry_every: float = 4.0  # periods between tries of a member held for dead, or an address nobody is known at
+    retry_every: float = (
+        4.0  # periods between tries of a member held for dead, or an address nobody is known at
+    )
     join_first: float = 0.25  # of a period, spread, before a second try to join; doubled up to ...
     join_most: float = 4.0  # ... periods
     gap: float = 0.5  # of a period: a tick this late shows that this process was stopped
@@ -54,7 +71,9 @@
 
     def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None: ...
     def reply(self, call: int, message: Message) -> None: ...
-    def changed(self, word: Word, was: Standing | None) -> None: ...  # what this member holds of another
+    def changed(
+        self, word: Word, was: Standing | None
+    ) -> None: ...  # what this member holds of another
     def counted(self, number: int) -> None: ...  # balancers that may be placing, this one too
     def refused(self, why: str) -> None: ...  # another process has this name
     def log(self, text: str) -> None: ...
@@ -69,7 +88,9 @@
     life: int = 0
     address: str = ""
     began: int = 0
-    done: Callable[[int, Message | None], None] | None = None  # for the few that go on in their own way
+    done: Callable[[int, Message | None], None] | None = (
+        None  # for the few that go on in their own way
+    )
 
 
 @dataclass(slots=True)
@@ -93,23 +114,41 @@
 
 
 class Members:
-    def __init__(self, host: Host, rng: Random, pace: Pace, now: int, *, name: str, address: str, join: list[str],
-                 expected: int = 1, zone: str = "", version: str = "") -> None:
+    def __init__(
+        self,
+        host: Host,
+        rng: Random,
+        pace: Pace,
+        now: int,
+        *,
+        name: str,
+        address: str,
+        join: list[str],
+        expected: int = 1,
+        zone: str = "",
+        version: str = "",
+    ) -> None:
         """`join`: addresses to join by; `expected`: balancers that there may be before any is known by name."""
         self._host, self._rng, self._pace = host, rng, pace
         self.me = Word(name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version)
         self.table: dict[str, Word] = {}  # of the others
         self._names: list[str] = []  # of the table, in order
         self._digest = self._mark(self.me)
-        self._fresh: dict[str, list[int]] = {}  # names whose word is passed on, and how often it was
+        self._fresh: dict[
+            str, list[int]
+        ] = {}  # names whose word is passed on, and how often it was
         self._suspicions: dict[str, _Suspicion] = {}
         self._asks: dict[int, _Ask] = {}
         self._next_ask = 1
-        self._round: list[str] = []  # whom to probe yet, in a random order that is drawn anew when it ends
+        self._round: list[
+            str
+        ] = []  # whom to probe yet, in a random order that is drawn anew when it ends
         self._probe: _Probe | None = None
         self._next_probe = now + int(rng.random() * pace.period)
         self._slow = 0  # how slow this process holds itself to be
-        self._doubts_until = 0  # it was stopped: nobody is called dead till an answer shows that it hears
+        self._doubts_until = (
+            0  # it was stopped: nobody is called dead till an answer shows that it hears
+        )
         self._join = [at for at in join if at != address]
         rng.shuffle(self._join)
         self._join_at, self._join_tries = now, 0
@@ -154,7 +193,9 @@
         self._retry(now)
         due = [self._next_probe]
         if self._probe is not None:
-            due = [self._probe.ends] + ([self._probe.relays_at] if not self._probe.relays and not self._probe.acked else [])
+            due = [self._probe.ends] + (
+                [self._probe.relays_at] if not self._probe.relays and not self._probe.acked else []
+            )
         if not self.joined:
             due.append(self._join_at)
         elif not self._introduced:
@@ -169,7 +210,9 @@
         if asked is None or self.refused:
             return
         self._hear(now, message)
-        if message.sender.life != self.me.life and now - asked.began <= self._pace.period * (1 + self._slow):
+        if message.sender.life != self.me.life and now - asked.began <= self._pace.period * (
+            1 + self._slow
+        ):
             self._doubts_until = 0
         if asked.done is not None:
             asked.done(now, message)
@@ -178,13 +221,20 @@
                 self._recount()
         probe = self._probe
         if probe is not None and asked.name == probe.word.name and asked.life == probe.word.life:
-            if message.kind == ACK and message.sender.life == (asked.life if asked.kind == PING else message.sender.life):
+            if message.kind == ACK and message.sender.life == (
+                asked.life if asked.kind == PING else message.sender.life
+            ):
                 if not probe.acked:
                     probe.acked = True
                     self._slow = max(0, self._slow - 1)
             elif message.kind == NACK:
                 probe.nacks += 1
-        if asked.kind == PING and message.kind in (ACK, NACK) and asked.life and message.sender.life != asked.life:
+        if (
+            asked.kind == PING
+            and message.kind in (ACK, NACK)
+            and asked.life
+            and message.sender.life != asked.life
+        ):
             self._gone(now, asked.name, asked.life)  # another process has its address now
 
     def unanswered(self, now: int, ask: int) -> None:
@@ -207,7 +257,12 @@
             self._let_in(now, call, message)
             return
         self._hear(now, message)
-        if message.to_life and message.to_life != self.me.life or message.to and message.to != self.me.name:
+        if (
+            message.to_life
+            and message.to_life != self.me.life
+            or message.to
+            and message.to != self.me.name
+        ):
             self._host.reply(call, self._message(now, NACK, why="not the process that is meant"))
         elif message.kind == PING:
             self._host.reply(call, self._message(now, ACK, about=message.sender.name))
@@ -217,7 +272,9 @@
         elif message.kind == REACH and message.subject is not None:
             self._reach(now, call, message.subject, message.wait)
         else:
-            self._host.reply(call, self._message(now, UNKNOWN, why=f"{message.kind[:40]!r} is not known here"))
+            self._host.reply(
+                call, self._message(now, UNKNOWN, why=f"{message.kind[:40]!r} is not known here")
+            )
 
     def woke(self, now: int) -> None:
         """Something is about to be placed: a process that was stopped sees that first, and counts for placing whoever may be."""
@@ -269,11 +326,28 @@
 
     # Messages
 
-    def _message(self, now: int, kind: str, *, to: Word | None = None, about: str = "", words: tuple[Word, ...] = (),
-                 **more: object) -> Message:
+    def _message(
+        self,
+        now: int,
+        kind: str,
+        *,
+        to: Word | None = None,
+        about: str = "",
+        words: tuple[Word, ...] = (),
+        **more: object,
+    ) -> Message:
         window, low = self.count.own_low(now)
-        return Message(kind, self.me, to.name if to else "", to.life if to else 0, words or self._news(about or (
-            to.name if to else "")), self._digest, window, low, **more)  # type: ignore[arg-type]
+        return Message(
+            kind,
+            self.me,
+            to.name if to else "",
+            to.life if to else 0,
+            words or self._news(about or (to.name if to else "")),
+            self._digest,
+            window,
+            low,
+            **more,
+        )  # type: ignore[arg-type]
 
     def _news(self, about: str) -> tuple[Word, ...]:
         """The words that were passed on least; first what is held of the one that is spoken to, if that is bad.
@@ -282,7 +356,9 @@
         held = self.table.get(about)
         chosen = [held] if held is not None and held.standing != ALIVE else []
         most = self._pace.told * max(1, ceil(log2(len(self.table) + 2)))
-        for name in nsmallest(self._pace.words - len(chosen), self._fresh, key=lambda name: self._fresh[name][0]):
+        for name in nsmallest(
+            self._pace.words - len(chosen), self._fresh, key=lambda name: self._fresh[name][0]
+        ):
             if name != about:
                 chosen.append(self.table[name])
             self._fresh[name][0] += 1
@@ -292,17 +368,34 @@
 
     def _page(self, cursor: str) -> tuple[tuple[Word, ...], str]:
         at = bisect_right(self._names, cursor)
-        names = self._names[at:at + self._pace.page]
-        return tuple(self.table[name] for name in names), names[-1] if at + self._pace.page < len(self._names) else ""
-
-    def _ask(self, now: int, kind: str, to: Word, *, address: str = "", span: int = 0,
-             done: Callable[[int, Message | None], None] | None = None, name: str = "", life: int = 0,
-             **more: object) -> int:
+        names = self._names[at : at + self._pace.page]
+        return tuple(self.table[name] for name in names), names[-1] if at + self._pace.page < len(
+            self._names
+        ) else ""
+
+    def _ask(
+        self,
+        now: int,
+        kind: str,
+        to: Word,
+        *,
+        address: str = "",
+        span: int = 0,
+        done: Callable[[int, Message | None], None] | None = None,
+        name: str = "",
+        life: int = 0,
+        **more: object,
+    ) -> int:
         ask, self._next_ask = self._next_ask, self._next_ask + 1
         address = address or to.address
         self._asks[ask] = _Ask(kind, name or to.name, life or to.life, address, now, done)
-        self._host.ask(ask, address, to.name, self._message(now, kind, to=to if to.life else None, **more),  # type: ignore[arg-type]
-                       now + (span or self._pace.period * (1 + self._slow)))
+        self._host.ask(
+            ask,
+            address,
+            to.name,
+            self._message(now, kind, to=to if to.life else None, **more),  # type: ignore[arg-type]
+            now + (span or self._pace.period * (1 + self._slow)),
+        )
         return ask
 
     def _hear(self, now: int, message: Message) -> None:
@@ -321,7 +414,12 @@
 
     def _paged(self, now: int, message: Message | None) -> None:
         self._cursor = message.cursor if message is not None and message.kind == ACK else ""
-        self._paged_through = self._paged_through or message is not None and message.kind == ACK and not message.cursor
+        self._paged_through = (
+            self._paged_through
+            or message is not None
+            and message.kind == ACK
+            and not message.cursor
+        )
 
     # Words
 
@@ -329,7 +427,9 @@
     def _mark(word: Word) -> int:
         if word.standing == SUSPECT:
             word = _with(word, standing=ALIVE)  # a suspicion settles by itself
-        return xxh3_64_intdigest(f"{word.name} {word.life} {word.incarnation} {int(word.standing)}".encode())
+        return xxh3_64_intdigest(
+            f"{word.name} {word.life} {word.incarnation} {int(word.standing)}".encode()
+        )
 
     def _take(self, now: int, word: Word) -> None:
         """One word about a member. Whatever order words come in, all members come to hold the same."""
@@ -359,18 +459,34 @@
         else:
             self._suspicions.pop(word.name, None)
         if word.standing != was or held is not None and held.life != word.life:
-            if word.standing <= SUSPECT and was is not None and was >= DEAD and word.name not in self._round:
+            if (
+                word.standing <= SUSPECT
+                and was is not None
+                and was >= DEAD
+                and word.name not in self._round
+            ):
                 self._round.append(word.name)
-            (self.count.lives if word.standing <= SUSPECT else self.count.vanished if word.standing == DEAD
-             else self.count.left)(now, word.name)
+            (
+                self.count.lives
+                if word.standing <= SUSPECT
+                else self.count.vanished
+                if word.standing == DEAD
+                else self.count.left
+            )(now, word.name)
             self._host.changed(word, was)
             self._recount()
 
     def _about_me(self, now: int, word: Word) -> None:
         mine = self.me
         if word.life == mine.life:
-            if word.standing != ALIVE and word.incarnation >= mine.incarnation and not self._leaving:
-                self._host.log(f"denied that this balancer is {Standing(min(word.standing, LEFT)).name.lower()}")
+            if (
+                word.standing != ALIVE
+                and word.incarnation >= mine.incarnation
+                and not self._leaving
+            ):
+                self._host.log(
+                    f"denied that this balancer is {Standing(min(word.standing, LEFT)).name.lower()}"
+                )
                 self._slow = min(self._pace.slowness - 1, self._slow + 1)
                 self._raise(word.incarnation + 1, mine.turn)
             return
@@ -379,16 +495,21 @@
                 self._raise(word.incarnation + 1, max(mine.turn, word.turn + 1))
         elif (word.turn, word.life) > (mine.turn, mine.life):
             if word.incarnation >= mine.incarnation:
-                self._raise(word.incarnation + 1, mine.turn)  # the later of the two hears it, and looks
+                self._raise(
+                    word.incarnation + 1, mine.turn
+                )  # the later of the two hears it, and looks
         elif not self._verifying:
             self._verifying = True
 
             def verified(at: int, answer: Message | None) -> None:
                 self._verifying = False
                 if answer is not None and answer.kind == ACK and answer.sender.life == word.life:
-                    self._refused(f"the name {self.me.name} is in use by an earlier process at {word.address}")
+                    self._refused(
+                        f"the name {self.me.name} is in use by an earlier process at {word.address}"
+                    )
                 elif word.incarnation >= self.me.incarnation:
                     self._raise(word.incarnation + 1, max(self.me.turn, word.turn + 1))
+
             self._ask(now, PING, word, done=verified)
 
     def _raise(self, incarnation: int, turn: int) -> None:
@@ -459,7 +580,9 @@
             self._probe.ends += late
         self._slow = min(self._pace.slowness - 1, self._slow + 1)
         fleet = max(1.0, log10(len(self.table) + 1))
-        self._doubts_until = now + int(self._pace.least * self._pace.longest * fleet * self._pace.period)
+        self._doubts_until = now + int(
+            self._pace.least * self._pace.longest * fleet * self._pace.period
+        )
         self.count.stopped(now)
         self._recount()
         if late > self._pace.period:
@@ -475,7 +598,9 @@
             self._probe = None
             if not probe.acked and not probe.void:
                 missed = probe.relays - probe.nacks
-                self._slow = min(self._pace.slowness - 1, self._slow + (missed if probe.relays else 1))
+                self._slow = min(
+                    self._pace.slowness - 1, self._slow + (missed if probe.relays else 1)
+                )
                 self._suspect(now, probe.word)
         if self._probe is None and now >= self._next_probe:
             span = self._pace.period * (1 + self._slow)
@@ -496,23 +621,45 @@
         return None
 
     def _ask_relays(self, now: int, probe: _Probe) -> None:
-        others = [word for word in self.living if word.name != probe.word.name and word.standing == ALIVE]
+        others = [
+            word for word in self.living if word.name != probe.word.name and word.standing == ALIVE
+        ]
         chosen = self._rng.sample(others, min(self._pace.relays, len(others)))
         probe.relays = len(chosen)
         probe.relays_at = probe.ends
         for word in chosen:
             span = probe.ends - now
-            self._ask(now, REACH, word, span=span, subject=probe.word, wait=int(span * 0.7), name=probe.word.name,
-                      life=probe.word.life)
+            self._ask(
+                now,
+                REACH,
+                word,
+                span=span,
+                subject=probe.word,
+                wait=int(span * 0.7),
+                name=probe.word.name,
+                life=probe.word.life,
+            )
 
     def _reach(self, now: int, call: int, subject: Word, wait: int) -> None:
         def tried(at: int, answer: Message | None) -> None:
             fine = answer is not None and answer.kind == ACK and answer.sender.life == subject.life
-            self._host.reply(call, self._message(at, ACK if fine else NACK,
-                                                 words=(answer.sender,) if fine and answer is not None else ()))
+            self._host.reply(
+                call,
+                self._message(
+                    at,
+                    ACK if fine else NACK,
+                    words=(answer.sender,) if fine and answer is not None else (),
+                ),
+            )
+
         known = self.table.get(subject.name)
-        self._ask(now, PING, known if known is not None and known.life == subject.life else subject,
-                  span=max(1, min(wait, self._pace.slowness * self._pace.period)), done=tried)
+        self._ask(
+            now,
+            PING,
+            known if known is not None and known.life == subject.life else subject,
+            span=max(1, min(wait, self._pace.slowness * self._pace.period)),
+            done=tried,
+        )
 
     # Joining and joining again
 
@@ -539,15 +686,18 @@
                 self.joined = True
                 self._paged_through = answer.digest == self._digest
                 self._host.log(f"joined by {answer.sender.name} at {address}")
+
         self._ask(now, JOIN, Word("", address, 0, 0, 0, ALIVE), address=address, done=done)
 
     def _introduce(self, now: int) -> None:
         """Tells of itself to all that it knows of, a few at a time."""
+
         def done(at: int, answer: Message | None) -> None:
             self._greeting -= 1
+
         alike = self._paged_through or all(word.standing > SUSPECT for word in self.table.values())
         left = [word for word in self.living if word.name not in self._greeted]
-        for word in left[:self._pace.words]:
+        for word in left[: self._pace.words]:
             self._greeted.add(word.name)
             self._greeting += 1
             self._ask(now, PING, word, done=done)
@@ -565,21 +715,32 @@
         def let_in(at: int) -> None:
             self._hear(at, message)
             known = self.table.get(word.name)
-            page = tuple(self._rng.sample(list(self.table.values()), min(len(self.table), self._pace.page)))
+            page = tuple(
+                self._rng.sample(list(self.table.values()), min(len(self.table), self._pace.page))
+            )
             about = () if known is None or known.life == word.life else (known,)
             self._host.reply(call, self._message(at, ACK, words=about + page))
+
         if held is None or held.life == word.life or held.standing >= DEAD:
             let_in(now)
         elif held is self.me:
             refuse(self.me.address)
         else:
+
             def looked(at: int, answer: Message | None) -> None:
                 if answer is not None and answer.kind == ACK and answer.sender.life == held.life:
                     refuse(held.address)
                 else:
                     self._gone(at, held.name, held.life)
                     let_in(at)
-            self._ask(now, PING, held, done=looked, span=int(self._pace.period * self._pace.answer * (1 + self._slow)))
+
+            self._ask(
+                now,
+                PING,
+                held,
+                done=looked,
+                span=int(self._pace.period * self._pace.answer * (1 + self._slow)),
+            )
 
     def _retry(self, now: int) -> None:
         """Now and then one that is held for dead, or an address of the file at which nobody is known, is tried.
@@ -587,7 +748,9 @@
         Guards against two sides of a partition that each hold the other for dead when it has ended."""
         if now < self._retry_at:
             return
-        self._retry_at = now + int(self._pace.retry_every * self._pace.period * self._rng.uniform(0.5, 1.5))
+        self._retry_at = now + int(
+            self._pace.retry_every * self._pace.period * self._rng.uniform(0.5, 1.5)
+        )
         dead = [word for word in self.table.values() if word.standing == DEAD]
         here = {word.address for word in self.table.values()} | {self.me.address}
         unknown = [address for address in self._join if address not in here] if self.joined else []
--- a/corklift/membership/count.py
+++ b/corklift/membership/count.py
@@ -23,7 +23,9 @@
     def __init__(self, now: int) -> None:
         self._since = now  # what was held before is not known, or no longer
         self._window = 0
-        self._held: deque[tuple[int, int]] = deque()  # values that rise, each with the time until which it held; the last holds
+        self._held: deque[tuple[int, int]] = (
+            deque()
+        )  # values that rise, each with the time until which it held; the last holds
 
     def hold(self, now: int, number: int, window: int) -> None:
         self._window = window
@@ -49,8 +51,12 @@
         self._living: set[str] = set()
         self._vanished: set[str] = set()
         self._left: set[str] = set()
-        self._leaving: dict[str, tuple[int, set[str]]] = {}  # by name: since when it is held so, and who has not answered a call since
-        self._room: int | None = None  # for placing members that vanished, by the last whole round of evidence
+        self._leaving: dict[
+            str, tuple[int, set[str]]
+        ] = {}  # by name: since when it is held so, and who has not answered a call since
+        self._room: int | None = (
+            None  # for placing members that vanished, by the last whole round of evidence
+        )
         self._begin(now)
 
     def _begin(self, now: int) -> None:
@@ -153,11 +159,15 @@
     @property
     def _unnamed(self) -> int:
         """Balancers that the file says there are and nobody has told of."""
-        return max(0, self._expected - 1 - len(self._living) - len(self._vanished) - len(self._left))
+        return max(
+            0, self._expected - 1 - len(self._living) - len(self._vanished) - len(self._left)
+        )
 
     @property
     def number(self) -> int:
         """This balancer, those that live, and those of the others that may be placing for all that is known."""
         # Those that the file tells of and nobody has named may be starting, and hold nothing yet: no evidence speaks of them.
-        vanished = len(self._vanished) if self._room is None else min(len(self._vanished), self._room)
+        vanished = (
+            len(self._vanished) if self._room is None else min(len(self._vanished), self._room)
+        )
         return 1 + len(self._living) + len(self._leaving) + self._unnamed + vanished
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -70,13 +70,17 @@
 
 def decode(content: bytes) -> Message:
     """Raises:
-        Unreadable: not of this form, or with a name that is none.
+    Unreadable: not of this form, or with a name that is none.
     """
     try:
         message = _DECODER.decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise Unreadable(str(problem)) from None
     for word in (message.sender, *message.words, *((message.subject,) if message.subject else ())):
-        if not 0 < len(word.name) <= 100 or len(word.address) > 21 or len(word.zone) + len(word.version) + len(word.by) > 300:
+        if (
+            not 0 < len(word.name) <= 100
+            or len(word.address) > 21
+            or len(word.zone) + len(word.version) + len(word.by) > 300
+        ):
             raise Unreadable(f"a word about {word.name[:40]!r}")
     return message
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -51,9 +51,20 @@
 
 def limits_for(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
     """A message is small, a link is used again for as long as it is among the few kept."""
-    return RpcLimits(connections=2 * links, streams=8, message=message, headers=4 << 10, inbox=2, outbox=2 * message,
-                     ring=8 << 10, handshake_time=2 * period, ping_after=0, stall_time=4 * period, connect_time=2 * period,
-                     end_time=50 * MS)
+    return RpcLimits(
+        connections=2 * links,
+        streams=8,
+        message=message,
+        headers=4 << 10,
+        inbox=2,
+        outbox=2 * message,
+        ring=8 << 10,
+        handshake_time=2 * period,
+        ping_after=0,
+        stall_time=4 * period,
+        connect_time=2 * period,
+        end_time=50 * MS,
+    )
 
 
 def split(address: str) -> tuple[str, int]:
@@ -64,8 +75,15 @@
 class Links:
     """Connections to the peers that were called last."""
 
-    def __init__(self, scheduler: Scheduler, limits: RpcLimits, counters: Counters, most: int) -> None:
-        self._scheduler, self._limits, self._counters, self._most = scheduler, limits, counters, most
+    def __init__(
+        self, scheduler: Scheduler, limits: RpcLimits, counters: Counters, most: int
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._most = (
+            scheduler,
+            limits,
+            counters,
+            most,
+        )
         self._kept: OrderedDict[str, Link] = OrderedDict()
 
     def unary(self, address: str, path: str, request: bytes, until: int) -> bytes:
@@ -103,7 +121,11 @@
         try:
             stream = Stream.connect(split(address), self._limits)
         except OSError as problem:
-            code = Code.RESOURCE_EXHAUSTED if problem.errno in (errno.EMFILE, errno.ENFILE) else Code.UNAVAILABLE
+            code = (
+                Code.RESOURCE_EXHAUSTED
+                if problem.errno in (errno.EMFILE, errno.ENFILE)
+                else Code.UNAVAILABLE
+            )
             raise RpcError(code, str(problem)) from None
         while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, until):
             if self._scheduler.now() >= until:
@@ -121,8 +143,16 @@
 class Peers:
     """The part of `serve` by which a balancer knows the others."""
 
-    def __init__(self, process: Process, given: Given, tell: Callable[..., None], *, waits: bool = False,
-                 message: int = 64 << 10, further: dict[str, Any] | None = None) -> None:
+    def __init__(
+        self,
+        process: Process,
+        given: Given,
+        tell: Callable[..., None],
+        *,
+        waits: bool = False,
+        message: int = 64 << 10,
+        further: dict[str, Any] | None = None,
+    ) -> None:
         """`tell`: a line of the log, as an event and its fields; `waits`: until `resume`, and whoever calls that has the door; `message`:
         bytes of a peer's at the most."""
         self._process, self._given, self._tell = process, given, tell
@@ -130,15 +160,29 @@
         period = given.period_ms * MS
         limits = limits_for(given.links, period, message)
         self._links = Links(self._scheduler, limits, self._counters, given.links)
-        self._server = Server(self._scheduler, limits, self._counters, {
-            CALL: unary(self._take_call), STATUS: unary(self._status), FORGET: unary(self._forget)} | (further or {}))
+        self._server = Server(
+            self._scheduler,
+            limits,
+            self._counters,
+            {CALL: unary(self._take_call), STATUS: unary(self._status), FORGET: unary(self._forget)}
+            | (further or {}),
+        )
         port = self._server.listen(given.at)
         expected = given.expected or process.configuration.arguments["balancers"]
         self.refused_why = ""
         # Not seeded by the file: two processes that were given one file must not draw one life.
-        self.core = Members(self, Random(), Pace(period), self._scheduler.now(), name=given.name,
-                            address=given.told or f"{given.at[0]}:{port}", join=list(given.join), expected=expected,
-                            zone=given.zone, version=corklift.__version__)
+        self.core = Members(
+            self,
+            Random(),
+            Pace(period),
+            self._scheduler.now(),
+            name=given.name,
+            address=given.told or f"{given.at[0]}:{port}",
+            join=list(given.join),
+            expected=expected,
+            zone=given.zone,
+            version=corklift.__version__,
+        )
         self._calls: dict[int, tuple[Task, list[Message]]] = {}
         self._next_call = self._under_way = 0
         self._left = False
@@ -162,7 +206,12 @@
         word = self.core.table.get(name)
         if word is None:
             raise RpcError(Code.NOT_FOUND, f"{name[:60]!r} is not known")
-        return self._links.unary(self._given.via.get(name) or self._given.via.get(word.address) or word.address, path, request, until)
+        return self._links.unary(
+            self._given.via.get(name) or self._given.via.get(word.address) or word.address,
+            path,
+            request,
+            until,
+        )
 
     # Part
 
@@ -208,8 +257,12 @@
             self._scheduler.sleep(self._given.period_ms * MS // LOOKS)
 
     def _reported(self, server: int, connections: float) -> None:
-        self.core.reported(self._scheduler.now(), str(server), connections,
-                           {str(listed) for listed in self._process.facade.listed_servers()})
+        self.core.reported(
+            self._scheduler.now(),
+            str(server),
+            connections,
+            {str(listed) for listed in self._process.facade.listed_servers()},
+        )
 
     # What the core asks for
 
@@ -219,15 +272,22 @@
             self._scheduler.spawn(self.core.unanswered, self._scheduler.now(), ask)
             return
         self._under_way += 1
-        self._scheduler.spawn(self._call, ask, self._given.via.get(name) or self._given.via.get(address) or address,
-                              message, until)
+        self._scheduler.spawn(
+            self._call,
+            ask,
+            self._given.via.get(name) or self._given.via.get(address) or address,
+            message,
+            until,
+        )
 
     def _call(self, ask: int, address: str, message: Message, until: int) -> None:
         answer: Message | None = None
         try:
             answer = decode(self._links.unary(address, CALL, encode(message), until))
         except (RpcError, Unreadable) as problem:
-            self._counters[f"calls to peers failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"] += 1
+            self._counters[
+                f"calls to peers failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
+            ] += 1
         finally:
             self._under_way -= 1
         now = self._scheduler.now()
@@ -243,8 +303,16 @@
             self._scheduler.wake(held[0])
 
     def changed(self, word: Word, was: Standing | None) -> None:
-        self._tell("member", member=word.name, address=word.address, life=f"{word.life:x}", incarnation=word.incarnation,
-                   standing=_standing(word), was=was.name.lower() if was is not None else "unknown", by=word.by)
+        self._tell(
+            "member",
+            member=word.name,
+            address=word.address,
+            life=f"{word.life:x}",
+            incarnation=word.incarnation,
+            standing=_standing(word),
+            was=was.name.lower() if was is not None else "unknown",
+            by=word.by,
+        )
 
     def counted(self, number: int) -> None:
         self._tell("count", balancers=number)
@@ -275,7 +343,9 @@
             while not answers:
                 if self._scheduler.now() >= until or call.ended:
                     raise RpcError(Code.UNAVAILABLE, "nothing to answer in time")
-                self._scheduler.wait({}, until if call.deadline is None else min(until, call.deadline))
+                self._scheduler.wait(
+                    {}, until if call.deadline is None else min(until, call.deadline)
+                )
         finally:
             self._calls.pop(number, None)
         return encode(answers[0])
@@ -284,11 +354,27 @@
 
     def _status(self, call: LiveCall, request: bytes) -> bytes:
         core = self.core
-        rows = [{"name": word.name, "address": word.address, "standing": _standing(word), "incarnation": word.incarnation,
-                 "zone": word.zone, "version": word.version} for word in [core.me, *core.table.values()]]
-        return msgspec.json.encode({"name": core.me.name, "count": core.count.number, "joined": core.joined,
-                                    "admitted": core.admitted, "members": sorted(rows, key=lambda row: str(row["name"])),
-                                    "counters": dict(sorted(self._counters.items()))})
+        rows = [
+            {
+                "name": word.name,
+                "address": word.address,
+                "standing": _standing(word),
+                "incarnation": word.incarnation,
+                "zone": word.zone,
+                "version": word.version,
+            }
+            for word in [core.me, *core.table.values()]
+        ]
+        return msgspec.json.encode(
+            {
+                "name": core.me.name,
+                "count": core.count.number,
+                "joined": core.joined,
+                "admitted": core.admitted,
+                "members": sorted(rows, key=lambda row: str(row["name"])),
+                "counters": dict(sorted(self._counters.items())),
+            }
+        )
 
     def _forget(self, call: LiveCall, request: bytes) -> bytes:
         name = request.decode("utf-8", "replace")
@@ -299,7 +385,11 @@
 
 
 def _standing(word: Word) -> str:
-    return Standing(word.standing).name.lower() if word.standing in list(Standing) else f"unknown ({word.standing})"
+    return (
+        Standing(word.standing).name.lower()
+        if word.standing in list(Standing)
+        else f"unknown ({word.standing})"
+    )
 
 
 def question(address: tuple[str, int], path: str, request: bytes, wait: int = 3 * SECOND) -> Any:
@@ -309,6 +399,7 @@
         RpcError: how it ended, if not well.
     """
     from corklift.net.scheduler import wall_clock
+
     scheduler = Scheduler(wall_clock(), lambda trace: None)
     links = Links(scheduler, limits_for(1, SECOND), Counters(), 1)
     found: list[Any] = []
@@ -320,6 +411,7 @@
             found.append(problem)
         finally:
             scheduler.stop()
+
     scheduler.spawn(ask)
     scheduler.run()
     if isinstance(found[0], RpcError):
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -49,7 +49,10 @@
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", lambda call: Answer(200, balance.figures())),
             "/admin/cordon": ("POST", lambda call: self._member(call, balance.take_out, "out")),
-            "/admin/uncordon": ("POST", lambda call: self._member(call, balance.put_back, "free to serve")),
+            "/admin/uncordon": (
+                "POST",
+                lambda call: self._member(call, balance.put_back, "free to serve"),
+            ),
         }
 
     def method(self, path: str) -> str:
@@ -65,7 +68,11 @@
         return self._calls[call.path][1](call)
 
     def _health(self, call: HttpCall) -> Answer:
-        return Answer(200, "It serves.\n") if self._balance.serves() else Answer(503, "It does not serve.\n")
+        return (
+            Answer(200, "It serves.\n")
+            if self._balance.serves()
+            else Answer(503, "It does not serve.\n")
+        )
 
     def _member(self, call: HttpCall, act: Callable[[str], bool], what: str) -> Answer:
         name = call.table().get("member")
@@ -80,27 +87,45 @@
         return Answer(200, f"Server {name:.80} is {what}.\n")
 
 
-def figures(counters: Counters, workloads: list[str], in_flight: int, known: int, excluded: int) -> str:
+def figures(
+    counters: Counters, workloads: list[str], in_flight: int, known: int, excluded: int
+) -> str:
     """A line a figure, from the counts that the program itself keeps: `|c` has grown since the start, `|g` stands now."""
-    lines = [f"app.{word}.{_part(name)}:{counters.answers[word, name]}|c"
-             for name in workloads for word in ("served", "refused", "failed")]
-    lines += [f"app.attempts:{counters['hand-offs written']}|c", f"app.in_flight:{in_flight}|g",
-              f"app.servers_known:{known}|g", f"app.servers_excluded:{excluded}|g",
-              f"app.reloads_ok:{counters['configurations taken']}|c",
-              f"app.reloads_failed:{counters['configurations refused']}|c"]
+    lines = [
+        f"app.{word}.{_part(name)}:{counters.answers[word, name]}|c"
+        for name in workloads
+        for word in ("served", "refused", "failed")
+    ]
+    lines += [
+        f"app.attempts:{counters['hand-offs written']}|c",
+        f"app.in_flight:{in_flight}|g",
+        f"app.servers_known:{known}|g",
+        f"app.servers_excluded:{excluded}|g",
+        f"app.reloads_ok:{counters['configurations taken']}|c",
+        f"app.reloads_failed:{counters['configurations refused']}|c",
+    ]
     return "\n".join(lines) + "\n"
 
 
 def _part(name: str) -> str:
     """A workload's name as a part of a figure's."""
-    return "".join(letter if letter.isprintable() and letter not in ":|@#. " else "_" for letter in name)
+    return "".join(
+        letter if letter.isprintable() and letter not in ":|@#. " else "_" for letter in name
+    )
 
 
 class Admin:
     """The door for operators."""
 
-    def __init__(self, scheduler: Scheduler, limits: Limits, counters: Counters, desk: Desk) -> None:
-        self._scheduler, self._limits, self._counters, self._desk = scheduler, limits, counters, desk
+    def __init__(
+        self, scheduler: Scheduler, limits: Limits, counters: Counters, desk: Desk
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._desk = (
+            scheduler,
+            limits,
+            counters,
+            desk,
+        )
         self._door: socket.socket | None = None
         self._acceptor: Task | None = None
         self._callers: dict[Stream, Task] = {}  # oldest first
@@ -149,7 +174,12 @@
     def _serve(self, stream: Stream) -> None:
         try:
             answer = self._answer(stream)
-            see_off(self._scheduler, stream, answer, self._scheduler.now() + self._limits.turned_away_time)
+            see_off(
+                self._scheduler,
+                stream,
+                answer,
+                self._scheduler.now() + self._limits.turned_away_time,
+            )
         except Gone:
             pass
         finally:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -22,7 +22,9 @@
 
 _SERVER_NAMED = re.compile(r"server (\d+)")
 UNLISTED = 0xFFFF  # a zone or machine type that the settings don't name
-COST_UNIT = 1_000  # ns in the microseconds of work a second in which a client's guess at its load is taken
+COST_UNIT = (
+    1_000  # ns in the microseconds of work a second in which a client's guess at its load is taken
+)
 
 
 class Place(NamedTuple):
@@ -53,50 +55,87 @@
 
 
 class Facade:
-    def __init__(self, scheduler: Scheduler, seed: int, arguments: dict[str, Any],
-                 report_names: dict[str, str], told: tuple[NoteKind, int] | None, localities: list[str],
-                 kinds: list[str], settle_time: int, log: Callable[[str], None], counters: Counters) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        seed: int,
+        arguments: dict[str, Any],
+        report_names: dict[str, str],
+        told: tuple[NoteKind, int] | None,
+        localities: list[str],
+        kinds: list[str],
+        settle_time: int,
+        log: Callable[[str], None],
+        counters: Counters,
+    ) -> None:
         self._scheduler, self._log, self._counters = scheduler, log, counters
         self._settle_time = settle_time
-        self._settled_at: int | None = None  # until then a report of nothing may be of before the start
+        self._settled_at: int | None = (
+            None  # until then a report of nothing may be of before the start
+        )
         self._zones: dict[str, int] = {}
         self._kinds: dict[str, int] = {}
-        self._counted: int | None = None  # balancers that place, where peers tell; otherwise the settings' count holds
+        self._counted: int | None = (
+            None  # balancers that place, where peers tell; otherwise the settings' count holds
+        )
         self._workloads: dict[str, int] = {}  # those that logins may name
-        self._all_workloads: list[Workload] = []  # and those that connections of before a new configuration have
+        self._all_workloads: list[
+            Workload
+        ] = []  # and those that connections of before a new configuration have
         arguments = self._take(arguments, report_names, told, localities, kinds)
         self._tickets: dict[int, Ticket] = {}
         self._standing = 0  # of them, connections
         self._next_login = 1
-        self.before_placing: Callable[[], None] = lambda: None  # whoever must see that this process was stopped sets it
+        self.before_placing: Callable[[], None] = lambda: (
+            None
+        )  # whoever must see that this process was stopped sets it
         self._names: dict[int, str] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
         self._ready: set[int] = set()  # by the list
         self._listed: set[int] = set()  # draining ones too
-        self._out: dict[int, str] = {}  # names of those that operators have taken out, listed or not
+        self._out: dict[
+            int, str
+        ] = {}  # names of those that operators have taken out, listed or not
         self._heard: set[int] = set()
         self._timers: list[tuple[int, int]] = []
         self._ticker: Task | None = None
         self._probes: deque[int] = deque()
         self._prober: Task | None = None
         self.close_probes: Callable[[int], None] = lambda server: None  # whoever probes sets it
-        self.reported: Callable[[int, float], None] = lambda server, count: None  # whoever counts connections sets it
+        self.reported: Callable[[int, float], None] = lambda server, count: (
+            None
+        )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
         self.door: Callable[[Opening, int], Refusal | None] = lambda opening, number: None
         self.went: Callable[[int, bool | None], None] = lambda number, up: None
-        self.missed: Callable[[int], None] = lambda server: None  # it did not answer, or broke a connection
+        self.missed: Callable[[int], None] = lambda server: (
+            None
+        )  # it did not answer, or broke a connection
         self.believed: Callable[[Scope, Listing], Listing] = lambda scope, content: content
         self._balancer = Balancer(self, Random(seed), now=scheduler.now(), **arguments)
 
-    def settings_changed(self, arguments: dict[str, Any], report_names: dict[str, str],
-                         told: tuple[NoteKind, int] | None, localities: list[str], kinds: list[str]) -> None:
+    def settings_changed(
+        self,
+        arguments: dict[str, Any],
+        report_names: dict[str, str],
+        told: tuple[NoteKind, int] | None,
+        localities: list[str],
+        kinds: list[str],
+    ) -> None:
         """A new configuration's settings; logins, connections, the list and all counts stay."""
-        self._balancer.settings_changed(self._scheduler.now(),
-                                        **self._take(arguments, report_names, told, localities, kinds))
-
-    def _take(self, arguments: dict[str, Any], report_names: dict[str, str], told: tuple[NoteKind, int] | None,
-              localities: list[str], kinds: list[str]) -> dict[str, Any]:
+        self._balancer.settings_changed(
+            self._scheduler.now(), **self._take(arguments, report_names, told, localities, kinds)
+        )
+
+    def _take(
+        self,
+        arguments: dict[str, Any],
+        report_names: dict[str, str],
+        told: tuple[NoteKind, int] | None,
+        localities: list[str],
+        kinds: list[str],
+    ) -> dict[str, Any]:
         """Returns the arguments for the Balancer, with numbers that mean what they meant before.
 
         Guards against open connections and listed servers that change their workload or zone as names move.
@@ -109,11 +148,17 @@
         self._workloads = {}
         for workload in arguments["workloads"]:
             at = self._workloads[workload.name] = numbers.setdefault(workload.name, len(numbers))
-            self._all_workloads[at:at + 1] = [workload]
+            self._all_workloads[at : at + 1] = [workload]
         zone = arguments["zone"]
-        self._arguments = arguments | {"workloads": list(self._all_workloads),
-                                       "zone": self._zones[localities[zone]] if zone < len(localities) else zone}
-        return self._arguments if self._counted is None else self._arguments | {"balancers": self._counted}
+        self._arguments = arguments | {
+            "workloads": list(self._all_workloads),
+            "zone": self._zones[localities[zone]] if zone < len(localities) else zone,
+        }
+        return (
+            self._arguments
+            if self._counted is None
+            else self._arguments | {"balancers": self._counted}
+        )
 
     # What the relay calls
 
@@ -143,15 +188,25 @@
         self._balancer.login_arrived(now, self._login(ticket, opening))
         return ticket, self._decision(ticket)
 
-    def report(self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None) -> Place | Refusal:
+    def report(
+        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
+    ) -> Place | Refusal:
         """A hand-off has ended without a connection; blocks until it is decided what comes next."""
         assert ticket.place is not None
         now = self._scheduler.now()
         ticket.decided = None
         self.went(ticket.number, False)
         self._lost(ticket.place.server, outcome)
-        self._balancer.hand_off_ended(now, ticket.number, False, ticket.place.server, outcome,
-                                      ticket.hand_offs - 1, now - ticket.sent_at, self._report(values))
+        self._balancer.hand_off_ended(
+            now,
+            ticket.number,
+            False,
+            ticket.place.server,
+            outcome,
+            ticket.hand_offs - 1,
+            now - ticket.sent_at,
+            self._report(values),
+        )
         return self._decision(ticket)
 
     def report_up(self, ticket: Ticket) -> None:
@@ -160,28 +215,43 @@
         now = self._scheduler.now()
         self._standing += 1
         self.went(ticket.number, True)
-        self._balancer.hand_off_started(now, ticket.number, ticket.hand_offs - 1, ticket.place.server,
-                                        now - ticket.sent_at)
+        self._balancer.hand_off_started(
+            now, ticket.number, ticket.hand_offs - 1, ticket.place.server, now - ticket.sent_at
+        )
 
     def report_carried(self, opening: Opening, server: int) -> Ticket:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
         ticket = self._ticket(now)
-        ticket.place, ticket.hand_offs, ticket.sent_at = Place(server, self._addresses[server], now), 1, now
+        ticket.place, ticket.hand_offs, ticket.sent_at = (
+            Place(server, self._addresses[server], now),
+            1,
+            now,
+        )
         self._standing += 1
         self._balancer.connection_carried(now, self._login(ticket, opening), server)
         return ticket
 
-    def report_end(self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None) -> None:
+    def report_end(
+        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
+    ) -> None:
         """A connection has ended."""
         if self._tickets.pop(ticket.number, None) is not None:
             assert ticket.place is not None
             now = self._scheduler.now()
             self._standing -= 1
             self._lost(ticket.place.server, outcome)
-            self._balancer.hand_off_ended(now, ticket.number, True, ticket.place.server, outcome,
-                                          ticket.hand_offs - 1, now - ticket.sent_at, self._report(values))
+            self._balancer.hand_off_ended(
+                now,
+                ticket.number,
+                True,
+                ticket.place.server,
+                outcome,
+                ticket.hand_offs - 1,
+                now - ticket.sent_at,
+                self._report(values),
+            )
 
     def report_left(self, ticket: Ticket) -> None:
         """The client has gone before its answer."""
@@ -195,15 +265,23 @@
             assert ticket.place is not None
             kind, unit = self._told
             self._counters[f"notes of {kind.name.lower()}"] += 1
-            self._balancer.hand_off_noted(self._scheduler.now(), ticket.number, ticket.hand_offs - 1,
-                                          ticket.place.server, kind, value * unit)
+            self._balancer.hand_off_noted(
+                self._scheduler.now(),
+                ticket.number,
+                ticket.hand_offs - 1,
+                ticket.place.server,
+                kind,
+                value * unit,
+            )
 
     def report_unanswered(self, ticket: Ticket, span: int) -> None:
         """A client's line has brought nothing back for so long: messages there take that long at the least."""
         assert ticket.place is not None
         self._counters["lines unanswered"] += 1
         now, server = self._scheduler.now(), ticket.place.server
-        self._balancer.hand_off_noted(now, ticket.number, ticket.hand_offs - 1, server, NoteKind.DELAY, float(span))
+        self._balancer.hand_off_noted(
+            now, ticket.number, ticket.hand_offs - 1, server, NoteKind.DELAY, float(span)
+        )
         self._balancer.hand_off_silent(now, server)
 
     def server_named(self, name: str) -> Place | None:
@@ -218,11 +296,15 @@
         now = self._scheduler.now()
         self._settled_at = now if self._settled_at is None else self._settled_at
         found = self._balancer.chances(now, self._workloads[workload], span)
-        return {self._names[server]: chance for server, chance in found.items() if server in self._names}
+        return {
+            self._names[server]: chance for server, chance in found.items() if server in self._names
+        }
 
     def placed_by_others(self, name: str, number: int, failed: int) -> None:
         """Others have placed so many logins on this server, and so many of them failed."""
-        self._balancer.placed_by_others(self._scheduler.now(), self._server_id(name), number, failed)
+        self._balancer.placed_by_others(
+            self._scheduler.now(), self._server_id(name), number, failed
+        )
 
     # What a part calls that knows the other balancers
 
@@ -230,7 +312,9 @@
         """So many balancers place logins, this one too: whatever the settings told or tell later."""
         if number != self._counted:
             self._counted = number
-            self._balancer.settings_changed(self._scheduler.now(), **self._arguments | {"balancers": number})
+            self._balancer.settings_changed(
+                self._scheduler.now(), **self._arguments | {"balancers": number}
+            )
 
     @property
     def standing(self) -> int:
@@ -271,18 +355,33 @@
 
     def sizes(self) -> dict[str, float]:
         """By server's name, how many connections fill it, where that is known."""
-        return {self._names[number]: size for number, size, *_ in self.learned()["servers"] if size is not None and number in self._names}
+        return {
+            self._names[number]: size
+            for number, size, *_ in self.learned()["servers"]
+            if size is not None and number in self._names
+        }
 
     def hint(self, sizes: dict[str, float]) -> None:
         """What servers could do before this process: taken until one shows what it can."""
-        self.follow({"servers": [[self._server_id(name), size, 0, 0.0, 0, 0, 0] for name, size in sizes.items()],
-                     "homes": [], "open": [], "rate": [0.0, self._scheduler.now()]})
+        self.follow(
+            {
+                "servers": [
+                    [self._server_id(name), size, 0, 0.0, 0, 0, 0] for name, size in sizes.items()
+                ],
+                "homes": [],
+                "open": [],
+                "rate": [0.0, self._scheduler.now()],
+            }
+        )
         self.alone()
 
     def ages(self) -> dict[str, int]:
         """By server's name, when it started as the decisions know it; 0: long past."""
-        return {self._names[number]: int(started_at) for number, _, started_at, *_ in self.learned()["servers"]
-                if number in self._names}
+        return {
+            self._names[number]: int(started_at)
+            for number, _, started_at, *_ in self.learned()["servers"]
+            if number in self._names
+        }
 
     def importance(self, opening: Opening) -> float:
         return self._all_workloads[self._workloads[opening.workload]].importance
@@ -334,8 +433,17 @@
         for entry in content.entries:
             server = self._server_id(entry.name)
             self._names[server], self._addresses[server] = entry.name, entry.address
-            lines.append(Listed(server, self._zones.get(entry.zone, UNLISTED), self._kinds.get(entry.kind, UNLISTED),
-                                entry.cell, entry.status, entry.weight, entry.started_at))
+            lines.append(
+                Listed(
+                    server,
+                    self._zones.get(entry.zone, UNLISTED),
+                    self._kinds.get(entry.kind, UNLISTED),
+                    entry.cell,
+                    entry.status,
+                    entry.weight,
+                    entry.started_at,
+                )
+            )
         named = {line.server for line in lines}
         gone = {line.server for line in lines if line.status is Status.GONE}
         if content.whole:
@@ -345,8 +453,12 @@
         for line in lines:
             (self._ready.add if line.status is Status.READY else self._ready.discard)(line.server)
         self._balancer.servers_listed(self._scheduler.now(), scope, content.version, tuple(lines))
-        used = {ticket.place.server for ticket in self._tickets.values() if ticket.place is not None}
-        for server in gone - used - self._out.keys():  # Guards against growth with every server that ever was.
+        used = {
+            ticket.place.server for ticket in self._tickets.values() if ticket.place is not None
+        }
+        for server in (
+            gone - used - self._out.keys()
+        ):  # Guards against growth with every server that ever was.
             for held in (self._names, self._addresses):
                 held.pop(server, None)
             self._heard.discard(server)
@@ -362,14 +474,22 @@
                 self.probed(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
-    def probed(self, server: int, outcome: Outcome, took: int, values: dict[str, float] | None) -> None:
+    def probed(
+        self, server: int, outcome: Outcome, took: int, values: dict[str, float] | None
+    ) -> None:
         self._heard.add(server)
-        if (values and any(not values.get(name, 1) for name in self._report_names)
-                and (self._settled_at is None or self._scheduler.now() < self._settled_at)):
+        if (
+            values
+            and any(not values.get(name, 1) for name in self._report_names)
+            and (self._settled_at is None or self._scheduler.now() < self._settled_at)
+        ):
             # Guards against a start that takes servers for empty, or for held connections without load: what
             # stood there is only coming up, and counts and pressures are not renewed together.
             self._counters["early reports of nothing"] += 1
-            outcome, values = Outcome.NOT_SENT, None  # not heard of, so it is asked again when that matters
+            outcome, values = (
+                Outcome.NOT_SENT,
+                None,
+            )  # not heard of, so it is asked again when that matters
         report = self._report(values)
         self._lost(server, outcome)
         self._balancer.probe_answered(self._scheduler.now(), server, took, outcome, report)
@@ -397,7 +517,11 @@
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         ticket = self._tickets[login]
-        place = Place(server, self._addresses[server], min(cut_at or ticket.time_limit_at, ticket.time_limit_at))
+        place = Place(
+            server,
+            self._addresses[server],
+            min(cut_at or ticket.time_limit_at, ticket.time_limit_at),
+        )
         ticket.place, ticket.decided = place, place
         ticket.hand_offs += 1
         ticket.sent_at = self._scheduler.now()
@@ -446,7 +570,11 @@
         """Balancers have no way to speak to each other here."""
 
     def log(self, text: str) -> None:
-        self._log(_SERVER_NAMED.sub(lambda found: f"server {self._names.get(int(found[1]), found[1])}", text))
+        self._log(
+            _SERVER_NAMED.sub(
+                lambda found: f"server {self._names.get(int(found[1]), found[1])}", text
+            )
+        )
 
     # Within
 
@@ -463,9 +591,16 @@
 
     def _login(self, ticket: Ticket, opening: Opening) -> Login:
         return Login(
-            ticket.number, self._workloads[opening.workload], 0, stable_id(opening.subject), ticket.time_limit_at,
+            ticket.number,
+            self._workloads[opening.workload],
+            0,
+            stable_id(opening.subject),
+            ticket.time_limit_at,
             None if opening.cost is None else round(opening.cost * COST_UNIT),
-            stable_id(opening.group) if opening.group and self._grouped else 0, False, opening.came_back)
+            stable_id(opening.group) if opening.group and self._grouped else 0,
+            False,
+            opening.came_back,
+        )
 
     def _decision(self, ticket: Ticket) -> Place | Refusal:
         while ticket.decided is None:
@@ -491,5 +626,10 @@
     def _report(self, values: dict[str, float] | None) -> Report | None:
         if not values:
             return None
-        return Report(**{self._report_names[name]: value for name, value in values.items()
-                         if name in self._report_names})
+        return Report(
+            **{
+                self._report_names[name]: value
+                for name, value in values.items()
+                if name in self._report_names
+            }
+        )
--- a/corklift/net/kin.py
+++ b/corklift/net/kin.py
@@ -42,11 +42,18 @@
         fcntl.flock(self._lock, fcntl.LOCK_EX)
 
     def _file(self, kind: str, generation: int | None = None) -> str:
-        return os.path.join(self._path, f"{self.generation if generation is None else generation}.{kind}")
+        return os.path.join(
+            self._path, f"{self.generation if generation is None else generation}.{kind}"
+        )
 
     def _generations(self) -> list[int]:
-        return sorted({int(name.partition(".")[0]) for name in os.listdir(self._path)
-                       if re.fullmatch(r"\d{1,9}\.(lock|life)", name)})
+        return sorted(
+            {
+                int(name.partition(".")[0])
+                for name in os.listdir(self._path)
+                if re.fullmatch(r"\d{1,9}\.(lock|life)", name)
+            }
+        )
 
     def tell(self, life: Life) -> None:
         beside = self._file("new")
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -28,7 +28,11 @@
     if not isinstance(table, dict) or key not in table:
         raise BadConfig(f"config: {where}{key} is missing")
     value = table[key]
-    if not isinstance(value, kind) or isinstance(value, bool) or (isinstance(value, float) and not isfinite(value)):
+    if (
+        not isinstance(value, kind)
+        or isinstance(value, bool)
+        or (isinstance(value, float) and not isfinite(value))
+    ):
         raise BadConfig(f"config: {where}{key} holds {value!r:.60}")
     return value
 
@@ -42,27 +46,51 @@
     stop_time: int  # after SIGTERM the process ends, whatever is left
     line: int = 4096  # bytes of a line, its end included
     ring: int = 8192  # bytes of a ring buffer; two lines at least
-    body: int = 4 << 20  # bytes of an answer of discovery; as it is read it takes some ten times as much
-    first_line_time: int = 2 * SECOND  # from a client's connect, or its first PONG, to the end of its line
-    name_time: int = 3 * SECOND  # for which a connection's name is still known after its end, or its last misuse
+    body: int = (
+        4 << 20
+    )  # bytes of an answer of discovery; as it is read it takes some ten times as much
+    first_line_time: int = (
+        2 * SECOND
+    )  # from a client's connect, or its first PONG, to the end of its line
+    name_time: int = (
+        3 * SECOND
+    )  # for which a connection's name is still known after its end, or its last misuse
     turned_away_time: int = 100 * MS  # for a bad client's own end, after its answer
     turned_away_bytes: int = 1 << 16  # that are still taken in from it meanwhile
     answer_margin: int = 25 * MS  # before a client's time limit, for its answer to be on its way
-    longest_wait: int = 3600 * SECOND  # a client that says it waits longer than that is not believed
+    longest_wait: int = (
+        3600 * SECOND
+    )  # a client that says it waits longer than that is not believed
     standing_time: int = 35 * SECOND  # to bring up a connection that stood before the start
     standing_pause: int = 250 * MS  # between tries of it
-    settle_time: int = 1500 * MS  # after a standing connection has come up, until reports surely hold it
-    silent_time: int = 5 * SECOND  # a line that brought nothing back for so long: the client is moved
+    settle_time: int = (
+        1500 * MS
+    )  # after a standing connection has come up, until reports surely hold it
+    silent_time: int = (
+        5 * SECOND
+    )  # a line that brought nothing back for so long: the client is moved
     end_time: int = 700 * MS  # to pass a connection's end on, and to wait for the other side's
     watch_wait: int = 4 * SECOND  # how long discovery may hold a watch
-    watch_slack: int = 2500 * MS  # how late its answer may be before the watch begins anew; it may come 2 s late
-    watch_stall: int = 100 * MS  # in which an answer that has begun must go on, within the least grace of a drain
-    watch_pause: int = 50 * MS  # before a call after one that failed, about; twice as long after each further one
+    watch_slack: int = (
+        2500 * MS
+    )  # how late its answer may be before the watch begins anew; it may come 2 s late
+    watch_stall: int = (
+        100 * MS
+    )  # in which an answer that has begun must go on, within the least grace of a drain
+    watch_pause: int = (
+        50 * MS
+    )  # before a call after one that failed, about; twice as long after each further one
     watch_pause_most: int = 2500 * MS  # up to about this
-    overbooked_pause: int = 5 * SECOND  # as watch_pause, after an answer that discovery has too much to do
+    overbooked_pause: int = (
+        5 * SECOND
+    )  # as watch_pause, after an answer that discovery has too much to do
     overbooked_pause_most: int = 20 * SECOND
-    first_call_spread: int = 0  # over which a start with a known list first asks what is new, where it must ask
-    ready_time: int = 1500 * MS  # after which a start without discovery or counts serves all the same
+    first_call_spread: int = (
+        0  # over which a start with a known list first asks what is new, where it must ask
+    )
+    ready_time: int = (
+        1500 * MS
+    )  # after which a start without discovery or counts serves all the same
     stop_accepting: int = 500 * MS  # after SIGTERM: clients still come until then
     look_pause: int = 50 * MS  # between looks at what other processes of this balancer tell
     calls: int = 0  # connections of operators at a time
@@ -84,11 +112,21 @@
 
     @property
     def probe_time(self) -> int:
-        return self.connect_time * 5 // 4  # a probe's answer is waited for a little longer than a connect
+        return (
+            self.connect_time * 5 // 4
+        )  # a probe's answer is waited for a little longer than a connect
 
     @classmethod
-    def of(cls, limits: Any, connect_time: int, servers: int, time_limit: int, ask_within: int,
-           ask_for_list: bool, operated: bool = False) -> Limits:
+    def of(
+        cls,
+        limits: Any,
+        connect_time: int,
+        servers: int,
+        time_limit: int,
+        ask_within: int,
+        ask_for_list: bool,
+        operated: bool = False,
+    ) -> Limits:
         """From the deployment's limits; each of a fleet's servers may have a probe's connection of its own."""
         sockets = need(limits, "sockets", int, "limits.")
         memory = need(limits, "memory_mb", (int, float), "limits.")
@@ -100,13 +138,23 @@
         by_memory = int(memory * (1 << 20) / 2) // (5 * cls.ring + 24 * 1024)
         clients = min(left // 2, by_memory)
         if sockets < 1 or clients < 1:
-            raise BadConfig(f"config: limits.{'sockets' if left < 2 else 'memory_mb'} leaves no room for a client")
+            raise BadConfig(
+                f"config: limits.{'sockets' if left < 2 else 'memory_mb'} leaves no room for a client"
+            )
         # The kill comes no sooner than the longest time limit, of 3 s at most, and 0.7 s more after SIGTERM.
-        return cls(clients=clients, waiting=waiting, probes=probes, connect_time=connect_time, calls=calls,
-                   stop_time=min(time_limit, 3 * SECOND) + 400 * MS, watch_pause_most=ask_within // 4,
-                   overbooked_pause=ask_within // 2,
-                   overbooked_pause_most=2 * ask_within, first_call_spread=ask_within // 5 if ask_for_list else 0,
-                   body=min(cls.body, int(memory * (1 << 20)) // 64))
+        return cls(
+            clients=clients,
+            waiting=waiting,
+            probes=probes,
+            connect_time=connect_time,
+            calls=calls,
+            stop_time=min(time_limit, 3 * SECOND) + 400 * MS,
+            watch_pause_most=ask_within // 4,
+            overbooked_pause=ask_within // 2,
+            overbooked_pause_most=2 * ask_within,
+            first_call_spread=ask_within // 5 if ask_for_list else 0,
+            body=min(cls.body, int(memory * (1 << 20)) // 64),
+        )
 
 
 def allow_sockets(wanted: int) -> int:
@@ -146,7 +194,12 @@
         "terminated": ("logins terminated",),
         "hand-offs": ("hand-offs",),
         "full": ("hand-offs full",),
-        "failed": ("hand-offs error", "hand-offs timed out", "hand-offs not connected", "hand-offs broken"),
+        "failed": (
+            "hand-offs error",
+            "hand-offs timed out",
+            "hand-offs not connected",
+            "hand-offs broken",
+        ),
         "moved": ("clients moved", "clients moved from silence"),
         "broken": ("connections broken",),
         "probes": ("probes",),
@@ -170,7 +223,9 @@
         self._last = now
         if not any(now[name] > last[name] for name in self.TROUBLE):
             return None
-        return "second: " + " ".join(f"{name}={now[name] - last[name]}" for name in now if now[name] > last[name])
+        return "second: " + " ".join(
+            f"{name}={now[name] - last[name]}" for name in now if now[name] > last[name]
+        )
 
 
 class Printer:
--- a/corklift/net/overlap.py
+++ b/corklift/net/overlap.py
@@ -18,8 +18,17 @@
 
 
 class Overlap:
-    def __init__(self, scheduler: Scheduler, limits: Limits, counters: Counters, log: Callable[[str], None],
-                 facade: Facade, relay: Relay, path: str | None, shares: bool) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        counters: Counters,
+        log: Callable[[str], None],
+        facade: Facade,
+        relay: Relay,
+        path: str | None,
+        shares: bool,
+    ) -> None:
         """`path`: where the processes meet, if anywhere; `shares`: whether the clients' socket is shared with them."""
         self._scheduler, self._limits, self._counters, self._log = scheduler, limits, counters, log
         self._facade, self._relay, self._path, self._shares = facade, relay, path, shares
@@ -27,10 +36,14 @@
         self._place = Succession(0)
         self._yielded = False  # what this process has learned is told
         self._held = 0  # as last told
-        self._ended: dict[tuple[int, int], float] = {}  # by process and server, what earlier ones have told of it
+        self._ended: dict[
+            tuple[int, int], float
+        ] = {}  # by process and server, what earlier ones have told of it
         self._followed: set[int] = set()  # processes whose learning has been taken over
         self._others_live = True  # until a look has shown it
-        self.words_elsewhere = False  # operators' words are kept by another part, which knows better
+        self.words_elsewhere = (
+            False  # operators' words are kept by another part, which knows better
+        )
 
     @property
     def serves(self) -> bool:
@@ -105,13 +118,23 @@
             self._held = self._relay.held
             learned = self._facade.learned() if self._yielded else {}
             try:
-                self._kin.tell(Life(self._place.generation, self._place.stage, self._held, self._place.words, learned))
+                self._kin.tell(
+                    Life(
+                        self._place.generation,
+                        self._place.stage,
+                        self._held,
+                        self._place.words,
+                        learned,
+                    )
+                )
             except OSError as problem:
                 self._counters["files that can't be written"] += 1
                 self._log(f"what this process tells the next can't be written: {problem}")
 
     def _take_words(self, lives: list[Life]) -> None:
-        for name, out in sorted(self._place.hear(lives).items()) if not self.words_elsewhere else ():
+        for name, out in (
+            sorted(self._place.hear(lives).items()) if not self.words_elsewhere else ()
+        ):
             self._facade.word_of(name, out)
 
     def _look(self) -> None:
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -18,8 +18,17 @@
 PING, PONG, STATS = b"PING\r\n", b"PONG\r\n", b"STATS\r\n"
 MOVE, FAILED, BUSY, ERR = b"MOVE\r\n", b"FAILED\r\n", b"BUSY\r\n", b"ERR\r\n"
 GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASONS = {200: "OK", 202: "Accepted", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           413: "Content Too Large", 500: "Internal Server Error", 503: "Service Unavailable"}
+REASONS = {
+    200: "OK",
+    202: "Accepted",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 STATUSES = {"active": Status.READY, "leaving": Status.DRAINING, "left": Status.GONE}
 _OPENING = re.compile(rb"OPEN ([!-~]+) ([!-~]+) ([!-~]+)\r\n", re.ASCII)
 _NAME = re.compile(r"[a-z_][a-z0-9_]*")
@@ -43,7 +52,11 @@
     that both order servers alike; any other, or one whose number another name has too, is hashed.
     """
     found = _NUMBERED.fullmatch(text) if plain else None
-    number = int(found[1], 16) if found else int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
+    number = (
+        int(found[1], 16)
+        if found
+        else int.from_bytes(blake2b(text.encode(), digest_size=8).digest(), "big")
+    )
     return number or 1
 
 
@@ -81,9 +94,17 @@
     wait = values.get("d")
     if wait is not None and not (wait.isdecimal() and len(wait) <= 12):
         raise Malformed("absurd time to wait")
-    return Opening(line, found[1].decode("ascii"), values["c"], None if wait is None else int(wait) * 1_000_000, found[2].decode("ascii"),
-                   values.get("g", ""), values.get("again") == "1", values.get("at", ""),
-                   _number(values["h"]) if "h" in values else None)
+    return Opening(
+        line,
+        found[1].decode("ascii"),
+        values["c"],
+        None if wait is None else int(wait) * 1_000_000,
+        found[2].decode("ascii"),
+        values.get("g", ""),
+        values.get("again") == "1",
+        values.get("at", ""),
+        _number(values["h"]) if "h" in values else None,
+    )
 
 
 def _number(text: str) -> float:
@@ -153,12 +174,23 @@
 def _entry(item: Any) -> Entry:
     try:
         found = _ADDRESS.fullmatch(item["address"])
-        if found is None or int(found[2]) > 65535 or any(int(part) > 255 for part in found[1].split(".")):
+        if (
+            found is None
+            or int(found[2]) > 65535
+            or any(int(part) > 255 for part in found[1].split("."))
+        ):
             raise Malformed("address")
         started = item.get("since_ms", 0)
-        entry = Entry(item["name"], (found[1], int(found[2])), str(item.get("zone", "")), str(item.get("type", "")),
-                      int(item.get("group", 0)), STATUSES[item["status"]], float(item.get("weight", 1.0)),
-                      int(started) * 1_000_000)
+        entry = Entry(
+            item["name"],
+            (found[1], int(found[2])),
+            str(item.get("zone", "")),
+            str(item.get("type", "")),
+            int(item.get("group", 0)),
+            STATUSES[item["status"]],
+            float(item.get("weight", 1.0)),
+            int(started) * 1_000_000,
+        )
     except (KeyError, TypeError, ValueError, OverflowError) as problem:
         raise Malformed(f"entry: {problem!r}") from None
     if not isinstance(entry.name, str) or not entry.name or not math.isfinite(entry.weight):
@@ -186,7 +218,9 @@
 
 
 def http_get(path: str, host: str) -> bytes:
-    return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode("ascii")
+    return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode(
+        "ascii"
+    )
 
 
 class HttpMessage(ABC):
@@ -245,7 +279,7 @@
         if end < 0:
             return
         first, *lines = bytes(self._bytes[:end]).split(b"\r\n")
-        del self._bytes[:end + 4]
+        del self._bytes[: end + 4]
         self._first_line(first)
         self.fields = fields = {}
         for line in lines:
@@ -285,8 +319,8 @@
             self._bytes.clear()
             return
         assert self._left is not None
-        part = self._bytes[:self._left]
-        del self._bytes[:len(part)]
+        part = self._bytes[: self._left]
+        del self._bytes[: len(part)]
         self._body += part
         self._left -= len(part)
         self.done = not self._left
@@ -300,7 +334,7 @@
                 if end < 0:
                     return
                 size = bytes(self._bytes[:end]).split(b";")[0].strip()
-                del self._bytes[:end + 2]
+                del self._bytes[: end + 2]
                 if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size):
                     raise Malformed("chunk")
                 self._left = int(size, 16)
@@ -314,15 +348,15 @@
                     raise Malformed("trailer")
                 if end < 0:
                     return
-                del self._bytes[:end + 2]
+                del self._bytes[: end + 2]
                 self.done = end == 0
                 continue
             if len(self._bytes) < self._left + 2:
                 return
-            if self._bytes[self._left:self._left + 2] != b"\r\n":
+            if self._bytes[self._left : self._left + 2] != b"\r\n":
                 raise Malformed("chunk")
-            self._body += self._bytes[:self._left]
-            del self._bytes[:self._left + 2]
+            self._body += self._bytes[: self._left]
+            del self._bytes[: self._left + 2]
             self._left = None
 
 
@@ -373,7 +407,10 @@
         found = re.fullmatch(rb"([A-Z]{1,16}) ([!-~]{1,2048}) HTTP/1\.[01]", line)
         if found is None:
             raise Malformed("no HTTP/1.1")
-        self.method, self.path = found[1].decode("ascii"), found[2].decode("ascii").partition("?")[0]
+        self.method, self.path = (
+            found[1].decode("ascii"),
+            found[2].decode("ascii").partition("?")[0],
+        )
 
     def _without_length(self) -> None:
         self._left = 0
@@ -382,5 +419,7 @@
 def http_answer(status: int, text: str, more: str = "") -> bytes:
     """The one answer on its connection, which then ends."""
     body = text.encode()
-    return (f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
-            f"Content-Length: {len(body)}\r\n{more}Connection: close\r\n\r\n").encode("ascii") + body
+    return (
+        f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
+        f"Content-Length: {len(body)}\r\n{more}Connection: close\r\n\r\n"
+    ).encode("ascii") + body
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -15,8 +15,21 @@
 from corklift.net.blocking import door, see_off
 from corklift.net.facade import Facade, Place, Refusal, Ticket
 from corklift.net.limits import MS, Counters, Limits
-from corklift.net.parsers import (BUSY, ERR, FAILED, MOVE, PING, PONG, Malformed, Opening, busy, figure, load_report,
-                                  opening, server_line)
+from corklift.net.parsers import (
+    BUSY,
+    ERR,
+    FAILED,
+    MOVE,
+    PING,
+    PONG,
+    Malformed,
+    Opening,
+    busy,
+    figure,
+    load_report,
+    opening,
+    server_line,
+)
 from corklift.net.scheduler import BAD, ENDED, READ, WRITE, Scheduler, Task
 from corklift.net.stream import OverLong, Stream
 
@@ -39,8 +52,15 @@
 
 
 class Relay:
-    def __init__(self, scheduler: Scheduler, limits: Limits, counters: Counters, facade: Facade) -> None:
-        self._scheduler, self._limits, self._counters, self._facade = scheduler, limits, counters, facade
+    def __init__(
+        self, scheduler: Scheduler, limits: Limits, counters: Counters, facade: Facade
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._facade = (
+            scheduler,
+            limits,
+            counters,
+            facade,
+        )
         self._now = scheduler.now
         self._listeners: list[socket.socket] = []  # the last is the one in force
         self._acceptor: Task | None = None
@@ -48,7 +68,9 @@
         self._waiting: dict[Stream, Task] = {}  # clients not placed, oldest first
         self._unwanted: set[Stream] = set()  # those among them that must make room
         self._held: set[str] = set()  # names of the clients that are placed or being placed
-        self._past: dict[str, int] = {}  # names of those that have ended, oldest first, and until when they are known
+        self._past: dict[
+            str, int
+        ] = {}  # names of those that have ended, oldest first, and until when they are known
         self._open: dict[int, Ticket] = {}
         self._turning_away = False
         self._taking = True  # clients are taken in, not left in the queue
@@ -142,7 +164,9 @@
 
         An eighth of the door at a time, so that hundreds who say nothing don't keep those behind them waiting.
         """
-        oldest = [client for client in self._waiting if client not in self._unwanted][:1 + self._limits.waiting // 8]
+        oldest = [client for client in self._waiting if client not in self._unwanted][
+            : 1 + self._limits.waiting // 8
+        ]
         for client in oldest:
             self._unwanted.add(client)
             self._counters["clients closed without a line"] += 1
@@ -179,7 +203,9 @@
                     return None
                 if not ponged:
                     ponged, until = True, self._now() + self._limits.first_line_time
-                self._scheduler.wait({}, self._now())  # a flood of these must not keep others waiting
+                self._scheduler.wait(
+                    {}, self._now()
+                )  # a flood of these must not keep others waiting
             elif line is not None:
                 return opening(line)
             elif client.ended or client.broken:
@@ -196,7 +222,10 @@
     def _pong(self, client: Stream) -> bool:
         """Answers a PING, as soon as this balancer can serve."""
         while not self.ready:
-            if self._scheduler.wait({client.fd: ENDED}, self._now() + 50 * MS) or client in self._unwanted:
+            if (
+                self._scheduler.wait({client.fd: ENDED}, self._now() + 50 * MS)
+                or client in self._unwanted
+            ):
                 return False
         client.write(PONG)
         return not client.broken and not len(client.outbox)
@@ -204,7 +233,9 @@
     def _admit(self, client: Stream, first: Opening) -> None:
         if self._facade.workload(first.workload) is None:
             if first.workload in self._facade.workloads():
-                self._counters.answered("failed", first.workload)  # one that a new configuration has taken away
+                self._counters.answered(
+                    "failed", first.workload
+                )  # one that a new configuration has taken away
             raise Malformed("unknown workload")
         if first.name in self._held or self._past.get(first.name, 0) > self._now():
             # Guards against a client that takes another's name: servers turn that down, and it would count
@@ -216,7 +247,9 @@
             self._counters["standing connections in"] += 1
         else:
             self._counters["logins in"] += 1
-        if len(self._held) + self.held_elsewhere >= self._limits.clients or (self._turning_away and not first.stands_at):
+        if len(self._held) + self.held_elsewhere >= self._limits.clients or (
+            self._turning_away and not first.stands_at
+        ):
             self._counters["logins bounced without room"] += 1
             self._counters.answered("refused", first.workload)
             self._turn_away(client, BUSY)
@@ -242,10 +275,15 @@
             oldest = next(iter(self._past))
 
     def _place(self, client: Stream, first: Opening) -> None:
-        if first.wait is None or not self._limits.answer_margin < first.wait <= self._limits.longest_wait:
+        if (
+            first.wait is None
+            or not self._limits.answer_margin < first.wait <= self._limits.longest_wait
+        ):
             raise Malformed("absurd time to wait")
         time_limit = min(first.wait, self._facade.time_limit(first))
-        ticket, decided = self._facade.pick(first, self._now() + time_limit - self._limits.answer_margin)
+        ticket, decided = self._facade.pick(
+            first, self._now() + time_limit - self._limits.answer_margin
+        )
         answer, word = FAILED, "failed"
         try:
             while isinstance(decided, Place):
@@ -277,7 +315,9 @@
 
     def _stand(self, client: Stream, first: Opening) -> None:
         """Brings up a connection that stood at a server before the start: there and nowhere else."""
-        until = self._now() + min(self._limits.standing_time, first.wait or self._limits.standing_time)
+        until = self._now() + min(
+            self._limits.standing_time, first.wait or self._limits.standing_time
+        )
         self._standing, counted = self._standing + 1, True
         try:
             while self._now() < until:
@@ -363,7 +403,9 @@
             if line is None:
                 self._await(client, server, READ, place.cut_at)
             else:
-                self._scheduler.wait({}, self._now())  # a flood of lines must not keep others waiting
+                self._scheduler.wait(
+                    {}, self._now()
+                )  # a flood of lines must not keep others waiting
 
     def _await(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
         """Whether the server's stream is ready; the client's end ends the wait, and so does anything it says."""
@@ -376,7 +418,9 @@
 
     # One connection
 
-    def _connected(self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: Opening) -> None:
+    def _connected(
+        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: Opening
+    ) -> None:
         self._counters["connections up"] += 1
         self._counters.answered("served", first.workload)
         self._open[ticket.number] = ticket
@@ -459,7 +503,9 @@
         lines = []
         while True:
             length = source.inbox.line_length()
-            if length > self._limits.line or (not length and len(source.inbox) >= self._limits.line):
+            if length > self._limits.line or (
+                not length and len(source.inbox) >= self._limits.line
+            ):
                 raise OverLong
             if not length and source.ended:
                 length = len(source.inbox)  # the rest, without a line's end
@@ -518,9 +564,9 @@
             # against clients sent away while a balancer that was stopped before this one is not back yet. Evenly
             # where the next process takes them in: it is there.
             most = max(most, len(still))
-            part = moving ** 2 - (moving - left) ** 2 if not self._shared else left * moving
-            number = len(still) - most * part // moving ** 2
-            for ticket in [self._open[at] for at in still[:max(0, number)]]:
+            part = moving**2 - (moving - left) ** 2 if not self._shared else left * moving
+            number = len(still) - most * part // moving**2
+            for ticket in [self._open[at] for at in still[: max(0, number)]]:
                 ticket.to_move = True
                 self._scheduler.wake(ticket.task)
             self._scheduler.sleep(20 * MS)
--- a/corklift/net/scheduler.py
+++ b/corklift/net/scheduler.py
@@ -48,8 +48,9 @@
 
 
 class Scheduler:
-    def __init__(self, now: Callable[[], int], failed: Callable[[str], None],
-                 poller: Any = None) -> None:
+    def __init__(
+        self, now: Callable[[], int], failed: Callable[[str], None], poller: Any = None
+    ) -> None:
         self.now = now
         self._failed = failed
         self._poll = poller or select.poll()
@@ -76,6 +77,7 @@
             except Exception:  # ends this task alone; its own finally clauses have run
                 self._failed(traceback.format_exc(limit=-4))
             task.done = True
+
         task = Task(guarded, self._hub)
         self._ready.append(task)
         return task
@@ -171,7 +173,9 @@
                 self._release(waiter)
         # Guards against growth with time: most timers are void long before they are due.
         if len(self._timers) > 1000 and len(self._timers) > 4 * len(self._by_fd) + 1000:
-            self._timers = [entry for entry in self._timers if entry[2].waits and entry[2].turn == entry[3]]
+            self._timers = [
+                entry for entry in self._timers if entry[2].waits and entry[2].turn == entry[3]
+            ]
             heapq.heapify(self._timers)
 
     def _pause(self) -> int | None:
@@ -203,5 +207,7 @@
         while self._arrived:
             try:
                 self._signals[self._arrived.popleft()]()
-            except Exception:  # Guards against a signal whose handling fails and ends all connections.
+            except (
+                Exception
+            ):  # Guards against a signal whose handling fails and ends all connections.
                 self._failed(traceback.format_exc(limit=-4))
--- a/corklift/net/stream.py
+++ b/corklift/net/stream.py
@@ -47,13 +47,15 @@
         if not self._bytes:
             self._bytes = bytearray(self._size)
         at = (self._start + self._held) % self._size
-        return memoryview(self._bytes)[at:self._size if at >= self._start or not self._held else self._start][:self.room]
+        return memoryview(self._bytes)[
+            at : self._size if at >= self._start or not self._held else self._start
+        ][: self.room]
 
     def filled(self, number: int) -> None:
         self._held += number
 
     def held_part(self) -> memoryview:
-        return memoryview(self._bytes)[self._start:min(self._size, self._start + self._held)]
+        return memoryview(self._bytes)[self._start : min(self._size, self._start + self._held)]
 
     def drop(self, number: int) -> None:
         self._held -= number
--- a/corklift/net/upkeep.py
+++ b/corklift/net/upkeep.py
@@ -15,7 +15,15 @@
 from corklift.net.blocking import Gone, Late, connected, send
 from corklift.net.facade import Facade, Place
 from corklift.net.limits import Counters, Limits, Printer
-from corklift.net.parsers import STATS, HttpAnswer, Malformed, http_get, listing, load_report, server_line
+from corklift.net.parsers import (
+    STATS,
+    HttpAnswer,
+    Malformed,
+    http_get,
+    listing,
+    load_report,
+    server_line,
+)
 from corklift.net.scheduler import READ, Scheduler, Task
 from corklift.net.stream import OverLong, Stream
 
@@ -37,11 +45,24 @@
 class Probes:
     """One task a server that is probed; it ends when the server has not been for a while."""
 
-    IDLE = 4  # times the longest wait for an answer of keeping a connection that nothing is asked of
-
-    def __init__(self, scheduler: Scheduler, limits: Limits, counters: Counters, facade: Facade,
-                 kept_for: int) -> None:
-        self._scheduler, self._limits, self._counters, self._facade = scheduler, limits, counters, facade
+    IDLE = (
+        4  # times the longest wait for an answer of keeping a connection that nothing is asked of
+    )
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        counters: Counters,
+        facade: Facade,
+        kept_for: int,
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._facade = (
+            scheduler,
+            limits,
+            counters,
+            facade,
+        )
         self._kept_for = kept_for
         self._tasks: dict[int, Task] = {}
         self._asked: dict[int, deque[Place]] = {}
@@ -118,8 +139,12 @@
         while True:
             try:
                 if stream is None:
-                    stream = connected(self._scheduler, self._limits, address,
-                                       min(until, began + self._limits.connect_time))
+                    stream = connected(
+                        self._scheduler,
+                        self._limits,
+                        address,
+                        min(until, began + self._limits.connect_time),
+                    )
                     self._kept[server] = stream
                     self._counters["probe connections"] += 1
                 outcome, values = self._ask(stream, until)
@@ -166,12 +191,28 @@
 class Watch:
     """Follows the list: the whole of it first, then each change; anew wherever discovery is said to be."""
 
-    def __init__(self, scheduler: Scheduler, limits: Limits, counters: Counters, printer: Printer, facade: Facade,
-                 address: tuple[str, int], rng: Random, known: int | None = None) -> None:
-        self._scheduler, self._limits, self._counters, self._facade = scheduler, limits, counters, facade
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        counters: Counters,
+        printer: Printer,
+        facade: Facade,
+        address: tuple[str, int],
+        rng: Random,
+        known: int | None = None,
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._facade = (
+            scheduler,
+            limits,
+            counters,
+            facade,
+        )
         self._printer, self._address = printer, address
         self._stream: Stream | None = None
-        self._index = known  # the version of the list that is known; None: the whole of it is asked for
+        self._index = (
+            known  # the version of the list that is known; None: the whole of it is asked for
+        )
         self._rng = rng
         self._failures = 0  # in a row
         self._set_backoff(limits)
@@ -208,7 +249,9 @@
                 self._failures = 0
             finally:
                 self._drop()
-                self._index = None  # the whole list first: another discovery numbers its own versions
+                self._index = (
+                    None  # the whole list first: another discovery numbers its own versions
+                )
 
     def _watch_here(self) -> None:
         while True:
@@ -224,8 +267,10 @@
                 self._failures += 1
                 self._counters["discovery failures"] += 1
                 if self._failures & (self._failures - 1) == 0:
-                    self._printer.say(f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
-                                      "the known list stays in force")
+                    self._printer.say(
+                        f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
+                        "the known list stays in force"
+                    )
                 if isinstance(problem, Malformed):
                     self._index = None  # begin anew with the whole list
                 backoff = self._refusals if isinstance(problem, Overbooked) else self._faults
@@ -245,7 +290,9 @@
             path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
-            self._stream = connected(self._scheduler, self._limits, self._address, now + self._limits.watch_slack)
+            self._stream = connected(
+                self._scheduler, self._limits, self._address, now + self._limits.watch_slack
+            )
         stream = self._stream
         send(self._scheduler, stream, http_get(path, "%s:%d" % self._address), until)
         answer = HttpAnswer(self._limits.body)
