--- a/corklift/rpc/session.py
+++ b/corklift/rpc/session.py
@@ -14,21 +14,47 @@
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.errors import ErrorCodes
-from h2.events import (ConnectionTerminated, DataReceived, PingAckReceived, PingReceived, RemoteSettingsChanged,
-                       RequestReceived, ResponseReceived, SettingsAcknowledged, StreamEnded, StreamReset,
-                       TrailersReceived)
+from h2.events import (
+    ConnectionTerminated,
+    DataReceived,
+    PingAckReceived,
+    PingReceived,
+    RemoteSettingsChanged,
+    RequestReceived,
+    ResponseReceived,
+    SettingsAcknowledged,
+    StreamEnded,
+    StreamReset,
+    TrailersReceived,
+)
 from h2.exceptions import H2Error, ProtocolError
 from h2.settings import SettingCodes, Settings
 from hyperframe.frame import GoAwayFrame
 
-from corklift.rpc.core import (PREFIX, SECOND, Code, RpcError, RpcLimits, Unpacker, http_error, packed, status_message,
-                               status_of, time_out, time_out_text)
+from corklift.rpc.core import (
+    PREFIX,
+    SECOND,
+    Code,
+    RpcError,
+    RpcLimits,
+    Unpacker,
+    http_error,
+    packed,
+    status_message,
+    status_of,
+    time_out,
+    time_out_text,
+)
 
 WINDOW = 65_535  # HTTP/2's first window
 LAST_STREAM = (1 << 31) - 1
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-RESETS = {ErrorCodes.NO_ERROR: Code.INTERNAL, ErrorCodes.REFUSED_STREAM: Code.UNAVAILABLE,
-          ErrorCodes.CANCEL: Code.CANCELLED, ErrorCodes.ENHANCE_YOUR_CALM: Code.RESOURCE_EXHAUSTED}
+RESETS = {
+    ErrorCodes.NO_ERROR: Code.INTERNAL,
+    ErrorCodes.REFUSED_STREAM: Code.UNAVAILABLE,
+    ErrorCodes.CANCEL: Code.CANCELLED,
+    ErrorCodes.ENHANCE_YOUR_CALM: Code.RESOURCE_EXHAUSTED,
+}
 GO_AWAY = 7
 FRAME_HEAD = 9
 CONTENT = "application/grpc"
@@ -45,10 +71,14 @@
         self.number, self.path, self.began_at = number, path, now
         self.metadata: dict[bytes, bytes] = {}
         self.deadline: int | None = None
-        self.inbox: deque[tuple[bytes, int]] = deque()  # messages, and how much of the window each gives back
+        self.inbox: deque[tuple[bytes, int]] = (
+            deque()
+        )  # messages, and how much of the window each gives back
         self.outbox = bytearray()
         self.sent = 0  # bytes cut into frames so far
-        self.marks: deque[tuple[int, int]] = deque()  # the count of sent bytes that ends a message; when it was queued
+        self.marks: deque[tuple[int, int]] = (
+            deque()
+        )  # the count of sent bytes that ends a message; when it was queued
         self.headers_sent = self.headers_came = False
         self.remote_ended = False  # nothing more will come
         self.ended = False  # it is over, both ways
@@ -63,10 +93,15 @@
 class Session:
     """House style: one method for each thing that can happen. `opened` is called for each call of a peer."""
 
-    def __init__(self, limits: RpcLimits, client: bool, opened: Callable[[Call], None] | None = None) -> None:
+    def __init__(
+        self, limits: RpcLimits, client: bool, opened: Callable[[Call], None] | None = None
+    ) -> None:
         self._limits, self._client, self._opened = limits, client, opened
-        settings = {SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-                    SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers, SettingCodes.ENABLE_PUSH: 0}
+        settings = {
+            SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
+            SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers,
+            SettingCodes.ENABLE_PUSH: 0,
+        }
         self._h2 = H2Connection(H2Configuration(client_side=client, header_encoding=None))
         self._h2.local_settings = Settings(client=client, initial_values=settings)
         self._h2.max_inbound_frame_size = self._h2.local_settings.max_frame_size
@@ -77,11 +112,15 @@
         self._out = bytearray(self._h2.data_to_send())
         self._calls: dict[int, Call] = {}
         self._sending: dict[int, Call] = {}  # those with something to send, in turn
-        self._raw = bytearray()  # of a client: a frame that is not whole yet; of a server: a frame's head
+        self._raw = (
+            bytearray()
+        )  # of a client: a frame that is not whole yet; of a server: a frame's head
         self._left = 0 if client else len(PREFACE)  # of a server: bytes until the next frame's head
         self._second, self._frames = 0, 0
         self.settled = False  # the peer's settings have come
-        self.leaving = False  # the peer takes no further calls, or this side has said that it takes none
+        self.leaving = (
+            False  # the peer takes no further calls, or this side has said that it takes none
+        )
         self.over = False  # nothing more will be sent or taken
         self.ping_at = 0  # when a ping that is still unanswered was sent
 
@@ -103,7 +142,12 @@
                     handler = self._HANDLERS.get(type(event))
                     if handler is not None:
                         handler(self, now, event)
-        except (H2Error, ValueError, IndexError, KeyError) as problem:  # hpack and hyperframe raise the latter three
+        except (
+            H2Error,
+            ValueError,
+            IndexError,
+            KeyError,
+        ) as problem:  # hpack and hyperframe raise the latter three
             self._end_with(str(problem) or type(problem).__name__)
         if len(self._out) > self._limits.outbox:
             raise Broken("answers pile up unread")
@@ -117,7 +161,7 @@
         """Guards against a frame of 16 MB, which h2 would gather before it turns it down."""
         at = 0
         while at < len(content):
-            part = content[at:at + (self._left or 3 - len(self._raw))]
+            part = content[at : at + (self._left or 3 - len(self._raw))]
             at += len(part)
             if self._left:
                 self._left -= len(part)
@@ -137,7 +181,7 @@
         at = plain = 0
         raw = bytes(self._raw)
         while len(raw) - at >= FRAME_HEAD:
-            end = at + FRAME_HEAD + int.from_bytes(raw[at:at + 3], "big")
+            end = at + FRAME_HEAD + int.from_bytes(raw[at : at + 3], "big")
             if len(raw) < end:
                 if end - at > FRAME_HEAD + self._h2.max_inbound_frame_size:
                     self._end_with("a frame over the limit")
@@ -145,7 +189,7 @@
             if raw[at + 3] == GO_AWAY:
                 if at > plain:
                     yield raw[plain:at]
-                self._go_away(raw[at + FRAME_HEAD:end])
+                self._go_away(raw[at + FRAME_HEAD : end])
                 plain = end
             at = end
         del self._raw[:at]
@@ -153,10 +197,15 @@
             yield raw[plain:at]
 
     def _go_away(self, payload: bytes) -> None:
-        last, code = int.from_bytes(payload[:4], "big") & LAST_STREAM, int.from_bytes(payload[4:8], "big")
+        last, code = (
+            int.from_bytes(payload[:4], "big") & LAST_STREAM,
+            int.from_bytes(payload[4:8], "big"),
+        )
         self.leaving = True
         for call in [c for c in self._calls.values() if c.number > last]:
-            self._ended(call, RpcError(Code.UNAVAILABLE, "the server goes away and has not taken this call"))
+            self._ended(
+                call, RpcError(Code.UNAVAILABLE, "the server goes away and has not taken this call")
+            )
         if code:
             text = payload[8:].decode("ascii", "replace")[:200]
             self._end_with(f"sent away, error {code} {text}")
@@ -166,11 +215,17 @@
 
     def _on_request(self, now: int, event: Any) -> None:
         headers = self._headers(event.headers)
-        call = Call(event.stream_id, headers.get(b":path", b"").decode("ascii", "replace"), self._limits, now)
+        call = Call(
+            event.stream_id,
+            headers.get(b":path", b"").decode("ascii", "replace"),
+            self._limits,
+            now,
+        )
         self._calls[call.number] = call
         call.metadata = headers
-        if (headers.get(b":method") != b"POST"
-                or not headers.get(b"content-type", b"").startswith(CONTENT.encode())):
+        if headers.get(b":method") != b"POST" or not headers.get(b"content-type", b"").startswith(
+            CONTENT.encode()
+        ):
             self._refuse(now, call, 415)
             return
         try:
@@ -263,8 +318,15 @@
         if call is not None:
             code = RESETS.get(event.error_code, Code.INTERNAL)
             # A server may end the call before it has read all: the status has come, and stands.
-            self._ended(call, call.error or (None if call.remote_ended and self._client else
-                                             RpcError(code, f"reset by the peer ({int(event.error_code)})")))
+            self._ended(
+                call,
+                call.error
+                or (
+                    None
+                    if call.remote_ended and self._client
+                    else RpcError(code, f"reset by the peer ({int(event.error_code)})")
+                ),
+            )
 
     def _on_settings(self, now: int, event: Any) -> None:
         self.settled = True
@@ -289,15 +351,29 @@
             self._end_with(f"more than {self._limits.control_frames} control frames in a second")
 
     _HANDLERS: dict[type, Callable[[Session, int, Any], None]] = {
-        RequestReceived: _on_request, ResponseReceived: _on_response, DataReceived: _on_data,
-        TrailersReceived: _on_trailers, StreamEnded: _on_stream_ended, StreamReset: _on_stream_reset,
-        RemoteSettingsChanged: _on_settings, PingReceived: _on_ping, PingAckReceived: _on_ping_answer,
-        SettingsAcknowledged: _on_settings, ConnectionTerminated: _on_terminated}
+        RequestReceived: _on_request,
+        ResponseReceived: _on_response,
+        DataReceived: _on_data,
+        TrailersReceived: _on_trailers,
+        StreamEnded: _on_stream_ended,
+        StreamReset: _on_stream_reset,
+        RemoteSettingsChanged: _on_settings,
+        PingReceived: _on_ping,
+        PingAckReceived: _on_ping_answer,
+        SettingsAcknowledged: _on_settings,
+        ConnectionTerminated: _on_terminated,
+    }
 
     # What this side does
 
-    def call(self, now: int, authority: str, path: str, deadline: int | None,
-             metadata: Iterable[tuple[str, str]] = ()) -> Call:
+    def call(
+        self,
+        now: int,
+        authority: str,
+        path: str,
+        deadline: int | None,
+        metadata: Iterable[tuple[str, str]] = (),
+    ) -> Call:
         """A client begins a call.
 
         Raises:
@@ -305,12 +381,22 @@
         """
         if self.leaving or self.over:
             raise RpcError(Code.UNAVAILABLE, "the connection takes no further calls")
-        if len(self._calls) >= min(self._limits.streams, self._h2.remote_settings.max_concurrent_streams):
+        if len(self._calls) >= min(
+            self._limits.streams, self._h2.remote_settings.max_concurrent_streams
+        ):
             raise RpcError(Code.RESOURCE_EXHAUSTED, "as many calls as the connection takes")
         call = Call(self._h2.get_next_available_stream_id(), path, self._limits, now)
         call.deadline = deadline
-        headers = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", authority),
-                   ("te", "trailers"), ("content-type", CONTENT), ("user-agent", "corklift"), *metadata]
+        headers = [
+            (":method", "POST"),
+            (":scheme", "http"),
+            (":path", path),
+            (":authority", authority),
+            ("te", "trailers"),
+            ("content-type", CONTENT),
+            ("user-agent", "corklift"),
+            *metadata,
+        ]
         if deadline is not None:
             headers.append(("grpc-timeout", time_out_text(deadline - now)))
         self._h2.send_headers(call.number, headers)
@@ -339,7 +425,9 @@
             return None
         message, part = call.inbox.popleft()
         if not call.ended:
-            self._give_back(call, part + (call._held if len(call.inbox) < self._limits.inbox else 0))
+            self._give_back(
+                call, part + (call._held if len(call.inbox) < self._limits.inbox else 0)
+            )
             call._held = call._held if len(call.inbox) >= self._limits.inbox else 0
         return message
 
@@ -354,7 +442,9 @@
             call.finishing = True
         else:
             code, text = (problem.code, problem.message) if problem else (Code.OK, "")
-            call.trailers = [("grpc-status", str(int(code)))] + ([("grpc-message", status_message(text))] if text else [])
+            call.trailers = [("grpc-status", str(int(code)))] + (
+                [("grpc-message", status_message(text))] if text else []
+            )
             call.finishing = True
             if problem is not None:
                 call.outbox.clear()  # the status is told at once
@@ -424,7 +514,7 @@
         if len(self._out) < most and self._sending and not self.over:
             self._cut_frames(most)
         part = bytes(self._out[:most])
-        del self._out[:len(part)]
+        del self._out[: len(part)]
         return part
 
     def _cut_frames(self, most: int) -> None:
@@ -451,8 +541,11 @@
             self._h2.send_headers(call.number, [(":status", "200"), ("content-type", CONTENT)])
             call.headers_sent = went = True
         if call.outbox:
-            number = min(len(call.outbox), self._h2.local_flow_control_window(call.number),
-                         self._h2.max_outbound_frame_size)
+            number = min(
+                len(call.outbox),
+                self._h2.local_flow_control_window(call.number),
+                self._h2.max_outbound_frame_size,
+            )
             if number <= 0:
                 return went
             self._h2.send_data(call.number, bytes(call.outbox[:number]))
@@ -477,7 +570,9 @@
         head = [] if call.headers_sent else [(":status", "200"), ("content-type", CONTENT)]
         self._h2.send_headers(call.number, head + call.trailers, end_stream=True)
         if not call.remote_ended:
-            self._h2.reset_stream(call.number, ErrorCodes.NO_ERROR)  # so that the peer stops sending
+            self._h2.reset_stream(
+                call.number, ErrorCodes.NO_ERROR
+            )  # so that the peer stops sending
         self._ended(call, call.error)
 
     def _ended(self, call: Call, problem: RpcError | None) -> None:
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -34,11 +34,15 @@
     listen: Address
     join: list[Address] = []  # any of the others, or all
     advertise: Address | None = None  # where others reach `listen`, if elsewhere
-    expected: Annotated[int, Meta(ge=1, le=4096)] | None = None  # balancers that there may be; settings.balancers by default
+    expected: Annotated[int, Meta(ge=1, le=4096)] | None = (
+        None  # balancers that there may be; settings.balancers by default
+    )
     zone: Annotated[str, Meta(max_length=100)] = ""
     period_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1000  # between two probes
     links: Annotated[int, Meta(ge=4, le=256)] = 16  # to peers, kept
-    via: dict[str, Address] = {}  # by name or address of a peer, where it is reached from here instead
+    via: dict[
+        str, Address
+    ] = {}  # by name or address of a peer, where it is reached from here instead
 
     @property
     def at(self) -> tuple[str, int]:
@@ -50,10 +54,18 @@
 
 
 class StoreTable(Table):
-    path: Annotated[str, Meta(min_length=1, max_length=1000)]  # a folder of this balancer alone, on a disk that outlives a restart
-    boot: str = "/proc/sys/kernel/random/boot_id"  # a file that tells this boot of the machine from others
-    patience_ms: Annotated[int, Meta(ge=20, le=60_000)] = 3000  # for the disk's first answer; then it starts with what others tell
-    copies: Annotated[int, Meta(ge=0, le=16)] = 2  # other balancers on whose disk a word is before operators get a yes
+    path: Annotated[
+        str, Meta(min_length=1, max_length=1000)
+    ]  # a folder of this balancer alone, on a disk that outlives a restart
+    boot: str = (
+        "/proc/sys/kernel/random/boot_id"  # a file that tells this boot of the machine from others
+    )
+    patience_ms: Annotated[int, Meta(ge=20, le=60_000)] = (
+        3000  # for the disk's first answer; then it starts with what others tell
+    )
+    copies: Annotated[int, Meta(ge=0, le=16)] = (
+        2  # other balancers on whose disk a word is before operators get a yes
+    )
 
 
 class ServeTable(Table):
@@ -65,7 +77,11 @@
         """What `run` would be given; descriptors for peers are put aside, so that clients never take the last one."""
         given = {"known": {"index": 0, "snapshot": True, "endpoints": []}} | self.balancer
         limits = given.get("limits")
-        if self.peers is not None and isinstance(limits, dict) and isinstance(limits.get("sockets"), int):
+        if (
+            self.peers is not None
+            and isinstance(limits, dict)
+            and isinstance(limits.get("sockets"), int)
+        ):
             allow_sockets(limits["sockets"])
             given["limits"] = limits | {"sockets": limits["sockets"] - 3 * self.peers.links - 4}
         return given
@@ -73,7 +89,7 @@
 
 def read(path: str) -> ServeTable:
     """Raises:
-        BadConfig: names the key at fault.
+    BadConfig: names the key at fault.
     """
     try:
         with open(path, "rb") as file:
@@ -87,14 +103,22 @@
     if peers is not None:
         if peers.at[0] == "0.0.0.0" and peers.advertise is None:
             # Guards against a member that tells all others to call themselves.
-            raise BadConfig("config: peers.advertise is missing: listen holds every address, and others need one")
-        for key, address in [("listen", peers.listen), ("advertise", peers.advertise or peers.listen),
-                             *(("join", at) for at in peers.join), *((f"via.{name}", at) for name, at in peers.via.items())]:
+            raise BadConfig(
+                "config: peers.advertise is missing: listen holds every address, and others need one"
+            )
+        for key, address in [
+            ("listen", peers.listen),
+            ("advertise", peers.advertise or peers.listen),
+            *(("join", at) for at in peers.join),
+            *((f"via.{name}", at) for name, at in peers.via.items()),
+        ]:
             host, port = split(address)
             try:
                 socket.inet_pton(socket.AF_INET, host)
             except OSError:
-                raise BadConfig(f"config: peers.{key} holds {address!r}, an IPv4 address and a port are needed") from None
+                raise BadConfig(
+                    f"config: peers.{key} holds {address!r}, an IPv4 address and a port are needed"
+                ) from None
             if port > 65535:
                 raise BadConfig(f"config: peers.{key} holds {address!r}: there is no such port")
     return found
@@ -103,7 +127,9 @@
 class JsonPrinter(Printer):
     """Each line a JSON object, by structlog's renderers: `at_ns` on the one clock, `event`, and what the event brings."""
 
-    def __init__(self, limits: Limits, now: Callable[[], int], counters: Counters, name: str = "") -> None:
+    def __init__(
+        self, limits: Limits, now: Callable[[], int], counters: Counters, name: str = ""
+    ) -> None:
         super().__init__(limits, now, counters)
         self._clock, self._name = now, name
         self._fields: dict[str, Any] = {}
@@ -115,7 +141,11 @@
         self._fields = {}
 
     def form(self, text: str) -> str:
-        line = self._render(None, "info", {"at_ns": self._clock(), "name": self._name, "event": text[:1900]} | self._fields)
+        line = self._render(
+            None,
+            "info",
+            {"at_ns": self._clock(), "name": self._name, "event": text[:1900]} | self._fields,
+        )
         return str(line)
 
 
@@ -125,7 +155,9 @@
     def make() -> Process:
         given = read(path)
         if given.peers is not None and os.environ.get("BALANCER_LISTEN_FD"):
-            raise BadConfig("environment: BALANCER_LISTEN_FD is set: with peers no socket is taken over, as both would have one name")
+            raise BadConfig(
+                "environment: BALANCER_LISTEN_FD is set: with peers no socket is taken over, as both would have one name"
+            )
         name = given.peers.name if given.peers else ""
 
         def part(process: Process) -> Part:
@@ -136,11 +168,30 @@
                 made.append(Peers(process, peers, tell))
             else:
                 from corklift.recovery.part import MESSAGE, Return
-                made.append(Return(process, store, name, (peers.period_ms if peers else 1000) * MS, tell, None if peers is None else
-                                   lambda further: Peers(process, peers, tell, waits=True, message=MESSAGE, further=further)))
+
+                made.append(
+                    Return(
+                        process,
+                        store,
+                        name,
+                        (peers.period_ms if peers else 1000) * MS,
+                        tell,
+                        None
+                        if peers is None
+                        else lambda further: Peers(
+                            process, peers, tell, waits=True, message=MESSAGE, further=further
+                        ),
+                    )
+                )
             return made[0]
-        return Process(given.whole(), read_anew=lambda: read(path).whole(), printer=partial(JsonPrinter, name=name),
-                       parts=[part] if given.peers or given.store else [])
+
+        return Process(
+            given.whole(),
+            read_anew=lambda: read(path).whole(),
+            printer=partial(JsonPrinter, name=name),
+            parts=[part] if given.peers or given.store else [],
+        )
+
     code = carry_on(make)
     if made and made[0].refused_why:
         print(f"corklift: {made[0].refused_why}", file=sys.stderr)
@@ -150,7 +201,7 @@
 
 def check(path: str) -> str:
     """Raises:
-        BadConfig: names the key at fault.
+    BadConfig: names the key at fault.
     """
     given = read(path)
     whole = Configuration.of(given.whole())
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -36,7 +36,9 @@
     if text.isascii() and text.isdecimal():
         try:
             sock = socket.socket(fileno=int(text))
-            if sock.family == socket.AF_INET and sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+            if sock.family == socket.AF_INET and sock.getsockopt(
+                socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+            ):
                 sock.setblocking(False)
                 return sock
             sock.detach()
@@ -57,37 +59,78 @@
 class Process:
     """The parts of one balancer, put together."""
 
-    def __init__(self, config: Any, now: Callable[[], int] | None = None, poller: Any = None, *,
-                 read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
-                 printer: Callable[..., Printer] = Printer, parts: Sequence[Callable[[Process], Part]] = ()) -> None:
+    def __init__(
+        self,
+        config: Any,
+        now: Callable[[], int] | None = None,
+        poller: Any = None,
+        *,
+        read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
+        printer: Callable[..., Printer] = Printer,
+        parts: Sequence[Callable[[Process], Part]] = (),
+    ) -> None:
         """`read_anew`: the configuration anew, at SIGHUP; `parts`: what this program has beside those of `run`."""
         self.counters = Counters()
         self._read = read_anew
         now = now or wall_clock()
-        self._admin_told = os.environ.get("BALANCER_ADMIN_ADDR")  # of this process, so it goes before the file's
+        self._admin_told = os.environ.get(
+            "BALANCER_ADMIN_ADDR"
+        )  # of this process, so it goes before the file's
         self._configuration = given = Configuration.of(config, self._admin_told)
         self.limits = limits = given.limits
         self.printer = printer(limits, now, self.counters)
         self.scheduler = scheduler = Scheduler(now, self._failed, poller)
-        self.facade = Facade(scheduler, given.seed, given.arguments, given.report_names, given.told,
-                             given.localities, given.kinds, limits.settle_time, self.printer.say, self.counters)
+        self.facade = Facade(
+            scheduler,
+            given.seed,
+            given.arguments,
+            given.report_names,
+            given.told,
+            given.localities,
+            given.kinds,
+            limits.settle_time,
+            self.printer.say,
+            self.counters,
+        )
         self.relay = Relay(scheduler, limits, self.counters, self.facade)
         listen_fd = os.environ.get("BALANCER_LISTEN_FD", "")
-        self.port = self.relay.share(inherited(listen_fd)) if listen_fd else self.relay.listen(given.listen)
+        self.port = (
+            self.relay.share(inherited(listen_fd)) if listen_fd else self.relay.listen(given.listen)
+        )
         self._shares = bool(listen_fd)
-        name = os.environ.get("BALANCER_NAME") or ("%s:%d" % given.listen if given.listen[1] else "")
+        name = os.environ.get("BALANCER_NAME") or (
+            "%s:%d" % given.listen if given.listen[1] else ""
+        )
         place = folder(os.environ.get("TMPDIR"), name)
-        self.overlap = Overlap(scheduler, limits, self.counters, lambda text: self.printer.say(text, always=True),
-                               self.facade, self.relay, place, self._shares)
+        self.overlap = Overlap(
+            scheduler,
+            limits,
+            self.counters,
+            lambda text: self.printer.say(text, always=True),
+            self.facade,
+            self.relay,
+            place,
+            self._shares,
+        )
         self.probes = Probes(scheduler, limits, self.counters, self.facade, given.kept_for)
-        self.watch = Watch(scheduler, limits, self.counters, self.printer, self.facade, given.discovery,
-                           Random(given.seed ^ 1),
-                           given.known.version if given.known.whole and given.known.entries else None)
+        self.watch = Watch(
+            scheduler,
+            limits,
+            self.counters,
+            self.printer,
+            self.facade,
+            given.discovery,
+            Random(given.seed ^ 1),
+            given.known.version if given.known.whole and given.known.entries else None,
+        )
         self.admin = Admin(scheduler, limits, self.counters, Desk(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
         self._stopping = False
-        self.words: Callable[[str, bool], bool] = lambda name, out: (  # a part that keeps operators' words sets it
-            self.overlap.take_out(name) if out else self.overlap.put_back(name))
+        self.words: Callable[[str, bool], bool] = (
+            lambda name, out: (  # a part that keeps operators' words sets it
+                self.overlap.take_out(name) if out else self.overlap.put_back(name)
+            )
+        )
         self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
         self.more_figures: list[Callable[[], str]] = []
         self._parts = [part(self) for part in parts]
@@ -103,9 +146,17 @@
         self.printer.wake = lambda: scheduler.wake(printing)
         self.overlap.join()
         self.facade.listed(Scope.CACHED, self._configuration.known)
-        for job in (self.facade.keep_ticking, self.probes.keep_probing, self.watch.keep_watching,
-                    self.admin.keep_accepting, self.relay.keep_accepting, self._get_ready, self._keep_telling,
-                    self.overlap.keep_looking, *(job for part in self._parts for job in part.jobs())):
+        for job in (
+            self.facade.keep_ticking,
+            self.probes.keep_probing,
+            self.watch.keep_watching,
+            self.admin.keep_accepting,
+            self.relay.keep_accepting,
+            self._get_ready,
+            self._keep_telling,
+            self.overlap.keep_looking,
+            *(job for part in self._parts for job in part.jobs()),
+        ):
             scheduler.spawn(self._keep, job)
 
     def _keep(self, job: Callable[[], None]) -> None:
@@ -126,7 +177,9 @@
         try:
             new = Configuration.of(self._read(), self._admin_told)
             # The list is for a start only, and whoever leaves the operators' address out keeps it.
-            lacks = left_out(old.whole | {"known": None, "admin_addr": None}, new.whole | {"admin_addr": None})
+            lacks = left_out(
+                old.whole | {"known": None, "admin_addr": None}, new.whole | {"admin_addr": None}
+            )
             if lacks is not None:
                 raise BadConfig(f"config: {lacks} is missing, which the configuration in force has")
             if new.listen != old.listen and not self._stopping and not self._shares:
@@ -140,15 +193,26 @@
             return
         self._configuration, self.limits = new, new.limits
         self.printer.limits = new.limits
-        self.facade.settings_changed(new.arguments, new.report_names, new.told, new.localities, new.kinds)
+        self.facade.settings_changed(
+            new.arguments, new.report_names, new.told, new.localities, new.kinds
+        )
         self.relay.reconfigure(new.limits)
         self.admin.reconfigure(new.limits)
         self.probes.reconfigure(new.limits, new.kept_for)
         self.watch.follow(new.discovery, new.limits)
-        changed = sorted({name if name in ("listen", "discovery", "seed", "known", "limits", "admin") else "settings"
-                          for name in new._fields if name != "whole" and getattr(new, name) != getattr(old, name)})
+        changed = sorted(
+            {
+                name
+                if name in ("listen", "discovery", "seed", "known", "limits", "admin")
+                else "settings"
+                for name in new._fields
+                if name != "whole" and getattr(new, name) != getattr(old, name)
+            }
+        )
         self.counters["configurations taken"] += 1
-        self.printer.say(f"configuration read anew, changed: {' '.join(changed) or 'nothing'}", always=True)
+        self.printer.say(
+            f"configuration read anew, changed: {' '.join(changed) or 'nothing'}", always=True
+        )
 
     # What operators ask and tell
 
@@ -157,8 +221,14 @@
 
     def figures(self) -> str:
         known, avoided = self.facade.known_and_avoided()
-        return "".join([figures(self.counters, self.facade.workloads(), self.relay.in_flight, known, avoided),
-                        *(more() for more in self.more_figures)])
+        return "".join(
+            [
+                figures(
+                    self.counters, self.facade.workloads(), self.relay.in_flight, known, avoided
+                ),
+                *(more() for more in self.more_figures),
+            ]
+        )
 
     def take_out(self, name: str) -> bool:
         return self.words(name, True)
--- a/corklift/settings.py
+++ b/corklift/settings.py
@@ -25,10 +25,14 @@
     return value
 
 
-def _number(table: dict[str, Any], key: str, where: str, default: Any = _ABSENT, least: float = 0) -> Any:
+def _number(
+    table: dict[str, Any], key: str, where: str, default: Any = _ABSENT, least: float = 0
+) -> Any:
     value = _need(table, key, where, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < inf:
-        raise BadSettings(f"settings: {where}{key} holds {value!r}, a number of at least {least} is needed")
+        raise BadSettings(
+            f"settings: {where}{key} holds {value!r}, a number of at least {least} is needed"
+        )
     return value
 
 
@@ -57,7 +61,9 @@
     part = _number(goal, "nines-part", "goal.", 0.0)
     full = _number(goal, "top-nines", "goal.", 0.0)
     if part and not full:
-        raise BadSettings("settings: goal.top-nines holds 0, more is needed where goal.nines-part is told")
+        raise BadSettings(
+            "settings: goal.top-nines holds 0, more is needed where goal.nines-part is told"
+        )
 
 
 def translate(top: Any) -> tuple[dict[str, Any], tuple[str | None, ...]]:
@@ -80,7 +86,9 @@
     arguments = dict(
         zone=int(_number(top, "zone", "", 0)),
         balancers=balancers,
-        workloads=[_workload(item, f"workloads[{at}].", limits.get(at, 0)) for at, item in enumerate(items)],
+        workloads=[
+            _workload(item, f"workloads[{at}].", limits.get(at, 0)) for at, item in enumerate(items)
+        ],
         per_work=_need(top, "importance-per", "", "request") == "work",
         cold=ColdRule(
             start_share=_number(rules, "cold-from", "rules.", 0.3),
@@ -91,7 +99,8 @@
         max_hand_offs=int(_number(allow, "max-hand-offs", "permissions.", 1, least=1)),
         cancel_allowed=bool(_need(allow, "cancelling", "permissions.", False)),
         max_retry_after=int(_number(allow, "max-retry-after-ns", "permissions.", 0))
-        if _need(allow, "retry-after", "permissions.", False) else 0,
+        if _need(allow, "retry-after", "permissions.", False)
+        else 0,
         probes_allowed=bool(_need(allow, "probes", "permissions.", False)),
         ask_for_list=_need(top, "discovery", "", "pushed") == "on_request",
         ask_within=int(_number(rules, "ask-within-ns", "rules.", 10_000_000_000)),
@@ -107,7 +116,11 @@
 def report_names(top: Any) -> dict[str, str]:
     """Our names for the values of a load report, by the name that servers give them."""
     _, names = translate(top)
-    return {field: name for field, name in zip(top["report"]["fields"], names) if name is not None} if names else {}
+    return (
+        {field: name for field, name in zip(top["report"]["fields"], names) if name is not None}
+        if names
+        else {}
+    )
 
 
 def told_figure(top: Any) -> tuple[NoteKind, int] | None:
@@ -134,7 +147,12 @@
             found = left_out(value, new[key], f"{where}{key}.")
             if found is not None:
                 return found
-    elif isinstance(old, list) and isinstance(new, list) and old and all(isinstance(item, dict) for item in old):
+    elif (
+        isinstance(old, list)
+        and isinstance(new, list)
+        and old
+        and all(isinstance(item, dict) for item in old)
+    ):
         shared = dict.fromkeys(set.intersection(*(set(item) for item in old)))
         for at, item in enumerate(new):
             found = left_out(shared, item, f"{where[:-1]}[{at}].")
--- a/corklift/standins/client.py
+++ b/corklift/standins/client.py
@@ -9,7 +9,9 @@
 from corklift.net.scheduler import READ, WRITE, Scheduler
 from corklift.net.stream import OverLong, Stream
 
-CLIENT = Limits(clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=1024)
+CLIENT = Limits(
+    clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=1024
+)
 
 
 def connected(scheduler: Scheduler, address: tuple[str, int], until: int) -> Stream | None:
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -18,7 +18,9 @@
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import Server, unary
 
-LIMITS = Limits(clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=2048)
+LIMITS = Limits(
+    clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=2048
+)
 SAY, HOLD = "/standin.Transcriber/Say", "/standin.Transcriber/Hold"
 _OPEN = re.compile(rb"OPEN (\S+) (\S+) (\S+)\r\n")
 
@@ -31,15 +33,25 @@
 
 
 class Transcriber:
-    def __init__(self, scheduler: Scheduler, name: str, size: float, note: Callable[[Placed], None],
-                 ramp: int = 0) -> None:
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        name: str,
+        size: float,
+        note: Callable[[Placed], None],
+        ramp: int = 0,
+    ) -> None:
         self._scheduler, self.name, self.size, self._note = scheduler, name, size, note
         self.open = 0
         self.fails = False  # turns down all that is new
         self.silent = False  # answers no probe
         self.ramp, self.started_at = ramp, scheduler.now()
-        self._rpc = Server(scheduler, RpcLimits(connections=5000, ping_after=0, streams=1000), Counters(),
-                           {SAY: unary(self._say), HOLD: self._hold})
+        self._rpc = Server(
+            scheduler,
+            RpcLimits(connections=5000, ping_after=0, streams=1000),
+            Counters(),
+            {SAY: unary(self._say), HOLD: self._hold},
+        )
         self._listener: socket.socket | None = None
         self.port = 0
 
@@ -91,7 +103,9 @@
                     self._probed()
                     while self.silent:
                         self._scheduler.sleep(SECOND // 10)
-                    stream.write(b"PONG inflight=%d,x0=%.4f\r\n" % (self.open, self.open / self.size))
+                    stream.write(
+                        b"PONG inflight=%d,x0=%.4f\r\n" % (self.open, self.open / self.size)
+                    )
                 elif (found := _OPEN.fullmatch(line)) and not up:
                     login = found[1].decode()
                     self._opening()
--- a/corklift/store/files.py
+++ b/corklift/store/files.py
@@ -19,9 +19,15 @@
 
     def names(self) -> list[str]: ...
     def read(self, name: str) -> bytes: ...
-    def create(self, name: str) -> int: ...  # a new, empty file; raises FileExistsError for one that is there
-    def append(self, handle: int, content: bytes) -> None: ...  # after OSError any part of it may be there
-    def sync(self, handle: int) -> None: ...  # after OSError nothing is known of what was appended since the last one
+    def create(
+        self, name: str
+    ) -> int: ...  # a new, empty file; raises FileExistsError for one that is there
+    def append(
+        self, handle: int, content: bytes
+    ) -> None: ...  # after OSError any part of it may be there
+    def sync(
+        self, handle: int
+    ) -> None: ...  # after OSError nothing is known of what was appended since the last one
     def sync_folder(self) -> None: ...
     def close(self, handle: int) -> None: ...
     def remove(self, name: str) -> None: ...
@@ -47,12 +53,17 @@
             return file.read(MOST_READ)
 
     def create(self, name: str) -> int:
-        return os.open(name, os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
+        return os.open(
+            name,
+            os.O_CREAT | os.O_EXCL | os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC,
+            0o600,
+            dir_fd=self._folder,
+        )
 
     def append(self, handle: int, content: bytes) -> None:
         left = memoryview(content)
         while left:
-            left = left[os.write(handle, left):]
+            left = left[os.write(handle, left) :]
 
     def sync(self, handle: int) -> None:
         os.fdatasync(handle)  # the length too, as it is needed to read what was written
@@ -69,7 +80,9 @@
     def lock(self) -> bool:
         if self._lock is None:
             try:
-                handle = os.open("lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600, dir_fd=self._folder)
+                handle = os.open(
+                    "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600, dir_fd=self._folder
+                )
             except OSError:
                 # A disk that is full or read-only: whoever has the store has the file.
                 try:
--- a/corklift/store/form.py
+++ b/corklift/store/form.py
@@ -80,11 +80,15 @@
 
 
 def head(given: Head) -> bytes:
-    plain = HEAD.pack(MAGIC, VERSION, 0, given.store, given.number, given.before, given.read, given.sequence, 0, 0)[:-4]
+    plain = HEAD.pack(
+        MAGIC, VERSION, 0, given.store, given.number, given.before, given.read, given.sequence, 0, 0
+    )[:-4]
     return plain + crc32c(plain).to_bytes(4, "little")
 
 
-def frame(kind: int, sequence: int, synced: int, chain: int, body: bytes = b"") -> tuple[bytes, int]:
+def frame(
+    kind: int, sequence: int, synced: int, chain: int, body: bytes = b""
+) -> tuple[bytes, int]:
     """The bytes, and the mark by which the next one is chained to it."""
     plain = FRAME.pack(len(body), kind, b"\0\0\0", sequence, synced, chain, crc32c(body), 0)[:-4]
     mark = crc32c(plain)
@@ -93,13 +97,17 @@
 
 def encode(items: Iterable[tuple[bytes, bytes | None]]) -> bytes:
     """Raises:
-        ValueError: a key or a value is too long.
+    ValueError: a key or a value is too long.
     """
     out = bytearray()
     for key, value in items:
         if not 0 < len(key) <= MOST_KEY or len(value or b"") > MOST_VALUE:
             raise ValueError(f"a key of {len(key)} bytes with a value of {len(value or b'')}")
-        out += ITEM.pack(DELETE if value is None else PUT, len(key), len(value or b"")) + key + (value or b"")
+        out += (
+            ITEM.pack(DELETE if value is None else PUT, len(key), len(value or b""))
+            + key
+            + (value or b"")
+        )
     if len(out) > MOST_BODY:
         raise ValueError(f"a batch of {len(out)} bytes")
     return bytes(out)
@@ -112,7 +120,7 @@
         at += ITEM.size
         if kind not in (PUT, DELETE) or at + key + value > len(body):
             raise ValueError("an item that is none")
-        yield body[at:at + key], None if kind == DELETE else body[at + key:at + key + value]
+        yield body[at : at + key], None if kind == DELETE else body[at + key : at + key + value]
         at += key + value
 
 
@@ -132,14 +140,14 @@
 
 def read_head(name: str, content: bytes) -> Head:
     """Raises:
-        Refused: it is none, or of another form.
+    Refused: it is none, or of another form.
     """
     if len(content) < HEAD.size:
         raise Refused(name, len(content), "it ends within its head")
     magic, version, _, store, number, before, read, sequence, _, check = HEAD.unpack_from(content)
     if magic != MAGIC:
         raise Refused(name, 0, "it is no segment of a store")
-    if crc32c(content[:HEAD.size - 4]) != check:
+    if crc32c(content[: HEAD.size - 4]) != check:
         raise Refused(name, 0, "the head's checksum does not hold")
     if version != VERSION:
         raise Refused(name, 8, f"it is of form {version}, this program reads {VERSION}")
@@ -154,12 +162,12 @@
         length, kind, _, sequence, synced, chain, body_check, check = FRAME.unpack_from(content, at)
     except error:
         return "it ends within a frame's head"
-    if crc32c(content[at:at + FRAME.size - 4]) != check:
+    if crc32c(content[at : at + FRAME.size - 4]) != check:
         return "the checksum of a frame's head does not hold"
     end = at + FRAME.size + length
     if end > len(content):
         return "it ends within a frame"
-    body = content[at + FRAME.size:end]
+    body = content[at + FRAME.size : end]
     if crc32c(body) != body_check:
         return "the checksum of a frame's body does not hold"
     return Frame(kind, sequence, synced, at, end, body, check)
@@ -171,8 +179,8 @@
     for found in _MAYBE.finditer(content, since + 4):
         at = found.start() - 4
         if at >= since and at + FRAME.size <= len(content):
-            check = int.from_bytes(content[at + FRAME.size - 4:at + FRAME.size], "little")
-            if crc32c(content[at:at + FRAME.size - 4]) == check:
+            check = int.from_bytes(content[at + FRAME.size - 4 : at + FRAME.size], "little")
+            if crc32c(content[at : at + FRAME.size - 4]) == check:
                 most = max(most, FRAME.unpack_from(content, at)[4])
     return most
 
@@ -182,7 +190,7 @@
 
     def __init__(self, name: str, content: bytes) -> None:
         """Raises:
-            Refused: damaged in what was known to be synced.
+        Refused: damaged in what was known to be synced.
         """
         self.name = name
         self.state: dict[bytes, bytes] = {}
@@ -191,7 +199,7 @@
         self.head = read_head(name, content)
         self.sequence = self.head.sequence
         self.frames: list[Frame] = []
-        chain = int.from_bytes(content[HEAD.size - 4:HEAD.size], "little")
+        chain = int.from_bytes(content[HEAD.size - 4 : HEAD.size], "little")
         at = HEAD.size
         while at < len(content):
             got = frame_at(content, at)
@@ -207,10 +215,13 @@
         self.read = at
 
     def _take(self, got: Frame, content: bytes, chain: int) -> str:
-        if int.from_bytes(content[got.at + 24:got.at + 28], "little") != chain:
+        if int.from_bytes(content[got.at + 24 : got.at + 28], "little") != chain:
             return "a frame that does not follow the one before it"
-        if got.kind == BATCH and not (self.whole and got.sequence == self.sequence + 1) or (
-                got.kind in (PART, WHOLE) and (self.whole or got.sequence != self.head.sequence)):
+        if (
+            got.kind == BATCH
+            and not (self.whole and got.sequence == self.sequence + 1)
+            or (got.kind in (PART, WHOLE) and (self.whole or got.sequence != self.head.sequence))
+        ):
             return f"a frame of kind {got.kind} with number {got.sequence} is out of place"
         if got.kind not in (BATCH, PART, WHOLE, MARK):
             return f"a frame of kind {got.kind}"
@@ -231,7 +242,9 @@
 
 def _torn_creation(content: bytes) -> bool:
     """A head never came: a head lies within the first sector, which is there whole or not at all."""
-    return (len(content) < HEAD.size or not any(content[:HEAD.size])) and not _known_synced(content, 0)
+    return (len(content) < HEAD.size or not any(content[: HEAD.size])) and not _known_synced(
+        content, 0
+    )
 
 
 def load(names: Iterable[str], read: Callable[[str], bytes]) -> Found:
@@ -268,7 +281,9 @@
         if not first:
             raise Refused(numbered[0], 0, "no whole segment is there, though there was one")
         return Found({}, 0, store, newest, 0, 0, tuple(cuts))
-    return Found(best.state, best.sequence, best.head.store, newest, best.head.number, best.read, tuple(cuts))
+    return Found(
+        best.state, best.sequence, best.head.store, newest, best.head.number, best.read, tuple(cuts)
+    )
 
 
 class Salvaged(NamedTuple):
@@ -289,7 +304,7 @@
             continue
         except Refused as problem:
             lost.append(str(problem))
-            content = content[:HEAD.size].ljust(HEAD.size, b"\0") + content[HEAD.size:]
+            content = content[: HEAD.size].ljust(HEAD.size, b"\0") + content[HEAD.size :]
         at = HEAD.size
         whole = False
         held: dict[bytes, bytes] = {}
--- a/corklift/store/keeper.py
+++ b/corklift/store/keeper.py
@@ -32,7 +32,9 @@
 
     def _numbers(self) -> list[int]:
         os.makedirs(self._path, mode=0o700, exist_ok=True)
-        return sorted(int(name[6:]) for name in os.listdir(self._path) if re.fullmatch(r"store-\d{1,6}", name))
+        return sorted(
+            int(name[6:]) for name in os.listdir(self._path) if re.fullmatch(r"store-\d{1,6}", name)
+        )
 
     def newest(self) -> Files:
         return self._kind(os.path.join(self._path, f"store-{max(self._numbers(), default=1)}"))
@@ -114,7 +116,11 @@
             if saved.state and not store.items():
                 store.commit([dict(saved.state)])
             # The folder is new, what was read of the old one is not.
-            return store, store.notes._replace(fresh=not store.items(), sequence=store.sequence), "; ".join((str(problem), *saved.lost))
+            return (
+                store,
+                store.notes._replace(fresh=not store.items(), sequence=store.sequence),
+                "; ".join((str(problem), *saved.lost)),
+            )
 
     def _work(self) -> None:
         store = None
@@ -126,7 +132,9 @@
         else:
             items = store.items()
             self._tell(lambda: self._opened(notes, items, lost, ""))
-        while (taken := self._wait(store is not None and store.compact(lambda: bool(self._next)))) is not None:
+        while (
+            taken := self._wait(store is not None and store.compact(lambda: bool(self._next)))
+        ) is not None:
             batch, calls = taken
             if not calls:
                 continue
@@ -161,4 +169,5 @@
             self.since = self._scheduler.now()
             for call in calls:
                 call(number, why)
+
         self._tell(back)
--- a/corklift/store/log.py
+++ b/corklift/store/log.py
@@ -12,7 +12,22 @@
 from typing import NamedTuple
 
 from corklift.store.files import Files
-from corklift.store.form import BATCH, HEAD, MARK, PART, WHOLE, Batch, Cut, Head, encode, frame, head, load, name_of, parts
+from corklift.store.form import (
+    BATCH,
+    HEAD,
+    MARK,
+    PART,
+    WHOLE,
+    Batch,
+    Cut,
+    Head,
+    encode,
+    frame,
+    head,
+    load,
+    name_of,
+    parts,
+)
 
 GARBAGE = 2.0  # times what is kept that a segment may have, before what is kept is written anew ...
 LEAST = 64 << 10  # ... and so many bytes
@@ -44,7 +59,7 @@
         self.files, self.number = files, given.number
         self.handle = files.create(name_of(given.number))
         content = head(given)
-        self._chain = int.from_bytes(content[HEAD.size - 4:], "little")
+        self._chain = int.from_bytes(content[HEAD.size - 4 :], "little")
         self._held = bytearray(content)
         self.size, self.synced = 0, 0
 
@@ -256,7 +271,9 @@
             if writing.size < self._least or writing.size < (1 + GARBAGE) * self._live:
                 return False
             try:
-                self._compaction = _Compaction(self._next(self.sequence), self._state, self.sequence)
+                self._compaction = _Compaction(
+                    self._next(self.sequence), self._state, self.sequence
+                )
             except OSError:
                 self.failures += 1
                 return False
--- a/corklift/succession.py
+++ b/corklift/succession.py
@@ -51,8 +51,15 @@
 
 
 def encode(life: Life) -> bytes:
-    content = json.dumps({"generation": life.generation, "stage": life.stage.value, "held": life.held,
-                          "words": life.words, "learned": life.learned}).encode()
+    content = json.dumps(
+        {
+            "generation": life.generation,
+            "stage": life.stage.value,
+            "held": life.held,
+            "words": life.words,
+            "learned": life.learned,
+        }
+    ).encode()
     return b"%b %08x\n%b" % (FORM, zlib.crc32(content), content)
 
 
@@ -65,9 +72,17 @@
         raise Unreadable("it is not whole")
     try:
         told = json.loads(content)
-        words = {str(name): Word(int(number), int(generation), bool(out))
-                 for name, (number, generation, out) in told["words"].items()}
-        return Life(int(told["generation"]), Stage(told["stage"]), int(told["held"]), words, dict(told["learned"]))
+        words = {
+            str(name): Word(int(number), int(generation), bool(out))
+            for name, (number, generation, out) in told["words"].items()
+        }
+        return Life(
+            int(told["generation"]),
+            Stage(told["stage"]),
+            int(told["held"]),
+            words,
+            dict(told["learned"]),
+        )
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
         raise Unreadable(repr(problem)) from None
 
@@ -103,7 +118,10 @@
 
         Nobody serves but after a look at the others since it told that it is ready. Guards against two that look at the
         same moment and each find the other not yet ready."""
-        before, active = self.stage, [life.generation for life in living if life.stage in (Stage.READY, Stage.SERVING)]
+        before, active = (
+            self.stage,
+            [life.generation for life in living if life.stage in (Stage.READY, Stage.SERVING)],
+        )
         if before is Stage.LEAVING:
             return False
         if not ready:
--- a/examples/control/grpc_client.py
+++ b/examples/control/grpc_client.py
@@ -21,9 +21,16 @@
 
 def bootstrap(control: str, node: str) -> str:
     """Writes what gRPC wants to know of its control service; returns the file's path."""
-    content = {"xds_servers": [{"server_uri": control, "channel_creds": [{"type": "insecure"}],
-                                "server_features": ["xds_v3"]}],
-               "node": {"id": node, "locality": {"zone": "here"}}}
+    content = {
+        "xds_servers": [
+            {
+                "server_uri": control,
+                "channel_creds": [{"type": "insecure"}],
+                "server_features": ["xds_v3"],
+            }
+        ],
+        "node": {"id": node, "locality": {"zone": "here"}},
+    }
     file = tempfile.NamedTemporaryFile("w", suffix=".json", delete=False)
     with file:
         json.dump(content, file)
@@ -36,13 +43,16 @@
     path = bootstrap(control, f"grpc-client-{os.getpid()}")
     os.environ["GRPC_XDS_BOOTSTRAP"] = path
     import grpc  # reads the variable at its first use
+
     took: Counter[str] = Counter()
     over = threading.Event()
     if not calls:
         threading.Thread(target=lambda: (sys.stdin.read(), over.set()), daemon=True).start()
     try:
         with grpc.insecure_channel(target) as channel:
-            say = channel.unary_unary(SAY, request_serializer=lambda m: m, response_deserializer=lambda m: m)
+            say = channel.unary_unary(
+                SAY, request_serializer=lambda m: m, response_deserializer=lambda m: m
+            )
             number = 0
             while number < calls or (not calls and not over.is_set()):
                 began = time.monotonic_ns()
--- a/tests/loop.py
+++ b/tests/loop.py
@@ -48,6 +48,7 @@
             except BaseException as problem:
                 out.append((None, problem))
             done.set()
+
         self._jobs.append(lambda: self.scheduler.spawn(run))
         assert done.wait(timeout), "the job has not come to an end"
         if out[0][1] is not None:
