--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -13,7 +13,15 @@
 
 from corklift.interface import Login, NoteKind, Outcome, Report, Scope
 from corklift.net.limits import BadConfig, Counters, Limits, Printer
-from corklift.net.parsers import HttpAnswer, Malformed, busy, listing, load_report, opening, stable_id
+from corklift.net.parsers import (
+    HttpAnswer,
+    Malformed,
+    busy,
+    listing,
+    load_report,
+    opening,
+    stable_id,
+)
 from corklift.net.scheduler import Scheduler
 from corklift.net.stream import OverLong, Ring
 
@@ -30,8 +38,15 @@
 def test_a_hand_off_that_fails_goes_on_and_a_refusal_is_the_last_word():
     # The outcome decides what follows: each kind of end before UP, with one server and then with a good one.
     wire = Wire("up")
-    for act in ("busy", "err", "reset", "silent", lambda wire, stream, line: stream.write(b"nonsense\r\n"),
-                lambda wire, stream, line: stream.write(b"x" * 5000), lambda wire, stream, line: stream.close()):
+    for act in (
+        "busy",
+        "err",
+        "reset",
+        "silent",
+        lambda wire, stream, line: stream.write(b"nonsense\r\n"),
+        lambda wire, stream, line: stream.write(b"x" * 5000),
+        lambda wire, stream, line: stream.close(),
+    ):
         wire.behaviour["s1"] = act
         wire.say(f"-- {act if isinstance(act, str) else 'garbage, or an end'}")
         wire.client("c", OPEN)
@@ -45,9 +60,19 @@
 
 def test_whether_the_last_byte_left_decides_if_it_may_have_run():
     # A once-only login may follow a refused connect, but nothing that may have run.
-    once = [{"name": "plain", "effect": "side_effect", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}]
-    for act, closed, tries, answer in (("reset", False, 1, "FAILED"), ("busy", False, 3, "BUSY"),
-                                       ("up", True, 0, "BUSY")):
+    once = [
+        {
+            "name": "plain",
+            "effect": "side_effect",
+            "soft-limit-ns": 800 * MS,
+            "time-limit-ns": 3200 * MS,
+        }
+    ]
+    for act, closed, tries, answer in (
+        ("reset", False, 1, "FAILED"),
+        ("busy", False, 3, "BUSY"),
+        ("up", True, 0, "BUSY"),
+    ):
         wire = Wire(act, workloads=once)
         if closed:
             wire.listeners["s1"].close()
@@ -57,11 +82,26 @@
         assert [line.split()[-1] for line in wire.lines if "c <" in line] == [answer]
 
 
-BAD = ["", "\r\n", "GET / HTTP/1.1\r\n", "OPEN 1 2\r\n", "OPEN 1 2 c=plain,d=2000\n", "OPEN 1 2 c=other,d=2000\r\n",
-       "OPEN 1 2 c=plain\r\n", "OPEN 1 2 c=plain,d=-5\r\n", "OPEN 1 2 c=plain,d=0\r\n", "OPEN 1 2 c=plain,d=1e9\r\n",
-       "OPEN 1 2 c=plain,d=99999999999\r\n", "OPEN 1 2 c=plain,d=2000,d=2000\r\n", "OPEN 1 2 c=plain,d=2000,h=nan\r\n",
-       "OPEN 1 2 c=plain,,\r\n", "OPEN 1 2 c=plain,d=2000,g=\xff\r\n", "x" * 4096, "OPEN " + "x" * 4100 + "\r\n",
-       "OPEN 1 2 c=pl"]
+BAD = [
+    "",
+    "\r\n",
+    "GET / HTTP/1.1\r\n",
+    "OPEN 1 2\r\n",
+    "OPEN 1 2 c=plain,d=2000\n",
+    "OPEN 1 2 c=other,d=2000\r\n",
+    "OPEN 1 2 c=plain\r\n",
+    "OPEN 1 2 c=plain,d=-5\r\n",
+    "OPEN 1 2 c=plain,d=0\r\n",
+    "OPEN 1 2 c=plain,d=1e9\r\n",
+    "OPEN 1 2 c=plain,d=99999999999\r\n",
+    "OPEN 1 2 c=plain,d=2000,d=2000\r\n",
+    "OPEN 1 2 c=plain,d=2000,h=nan\r\n",
+    "OPEN 1 2 c=plain,,\r\n",
+    "OPEN 1 2 c=plain,d=2000,g=\xff\r\n",
+    "x" * 4096,
+    "OPEN " + "x" * 4100 + "\r\n",
+    "OPEN 1 2 c=pl",
+]
 
 
 def test_bad_first_lines_get_one_failing_line_or_an_end_and_a_count():
@@ -85,9 +125,14 @@
     wire = Wire("up", limits={"sockets": 256, "memory_mb": 32})
     wire.client("c1", OPEN, 9000, "still here\r\n")
     wire.run(100)
-    for name, steps in (("twin", ("OPEN c1 9 c=plain,d=2000\r\n",)), ("pair", (OPEN + "OPEN 2 2 c=plain,d=9\r\n",)),
-                        ("pings", ("PING\r\n" * 300,)), ("drip", (*["PING\r\n", 100] * 40,)),
-                        ("endless", ("x" * 2000, 1) * 60), ("mute", ())):
+    for name, steps in (
+        ("twin", ("OPEN c1 9 c=plain,d=2000\r\n",)),
+        ("pair", (OPEN + "OPEN 2 2 c=plain,d=9\r\n",)),
+        ("pings", ("PING\r\n" * 300,)),
+        ("drip", (*["PING\r\n", 100] * 40,)),
+        ("endless", ("x" * 2000, 1) * 60),
+        ("mute", ()),
+    ):
         wire.say(f"-- {name}")
         wire.client(name, *steps)
         wire.run(3000)
@@ -116,7 +161,10 @@
     wire.run(3000)
     ups = [line for line in wire.lines if " < UP" in line]
     assert len(ups) == 10 and (wire.START + int(ups[-1].split()[0]) * MS - began) < 250 * MS
-    assert len([line for line in wire.lines if "bad" in line or "mute" in line and "ended" in line]) >= 900
+    assert (
+        len([line for line in wire.lines if "bad" in line or "mute" in line and "ended" in line])
+        >= 900
+    )
     assert wire.counters["exceptions"] == 0 and not wire.process.relay._waiting
 
 
@@ -126,10 +174,15 @@
 
     def fin(wire, stream, line):
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.end_sending()
+
     wire = Wire("up")
-    for what, act, steps in (("client ends", "up", (100, None)), ("client resets", "up", (100, ...)),
-                             ("server resets", reset, (100, "x\r\n")), ("server ends", fin, (100, "x\r\n")),
-                             ("client leaves before its answer", "silent", (100, None))):
+    for what, act, steps in (
+        ("client ends", "up", (100, None)),
+        ("client resets", "up", (100, ...)),
+        ("server resets", reset, (100, "x\r\n")),
+        ("server ends", fin, (100, "x\r\n")),
+        ("client leaves before its answer", "silent", (100, None)),
+    ):
         wire.behaviour["s1"] = act
         wire.say(f"-- {what}")
         wire.client("c", OPEN, *steps)
@@ -140,6 +193,7 @@
 def test_move_comes_between_two_lines_and_a_silent_server_is_left_in_time():
     def drip(wire, stream, line):
         stream.write(b"UP s1\r\n" if line.startswith("OPEN") else b"half a li")
+
     wire = Wire(drip)
     wire.client("c1", OPEN, 500, "x\r\n")
     wire.run(1500)
@@ -147,7 +201,11 @@
     wire.run(2000)
     wire.check("move_between_lines")
     # A server that falls into garbage: its client is told to come again.
-    wire = Wire(lambda wire, stream, line: stream.write(b"UP s1\r\n" if line.startswith("OPEN") else b"x" * 5000))
+    wire = Wire(
+        lambda wire, stream, line: stream.write(
+            b"UP s1\r\n" if line.startswith("OPEN") else b"x" * 5000
+        )
+    )
     wire.client("c1", OPEN, 500, "x\r\n")
     wire.run(1500)
     assert [line[7:] for line in wire.lines if " c1 <" in line] == ["c1 < UP s1", "c1 < MOVE"]
@@ -166,11 +224,15 @@
     def deaf(wire, stream, line):
         if line.startswith("OPEN"):
             stream.write(b"UP s1\r\n")
+
     wire = Wire(deaf)
     wire.client("c1", OPEN, 1000, "one\r\n")
     wire.run(7800)
     assert [line.split()[1:] for line in wire.lines if " c1 <" in line or "c1 ended" in line] == [
-        ["c1", "<", "UP", "s1"], ["c1", "<", "MOVE"], ["c1", "ended"]]
+        ["c1", "<", "UP", "s1"],
+        ["c1", "<", "MOVE"],
+        ["c1", "ended"],
+    ]
 
 
 def test_without_room_busy_is_answered_at_once_and_lurkers_make_room():
@@ -181,10 +243,17 @@
     for number in range(1, 9):
         wire.client(f"c{number}", 50, OPEN, 200, "still here\r\n")
     wire.run(1000)
-    answers = [line.split(" < ")[1].split()[0] for line in wire.lines if " < UP" in line or " < BUSY" in line]
+    answers = [
+        line.split(" < ")[1].split()[0]
+        for line in wire.lines
+        if " < UP" in line or " < BUSY" in line
+    ]
     assert sorted(answers) == ["BUSY"] * 3 + ["UP"] * 5
     assert len([line for line in wire.lines if "echo still here" in line]) == 5
-    assert wire.counters["logins bounced without room"] == 3 and not wire.counters["no descriptor for a client"]
+    assert (
+        wire.counters["logins bounced without room"] == 3
+        and not wire.counters["no descriptor for a client"]
+    )
 
 
 def test_pong_comes_once_it_can_serve_and_a_standing_connection_goes_to_its_server():
@@ -215,8 +284,12 @@
 def test_discovery_is_followed_and_the_known_list_outlives_its_troubles():
     wire = Wire("up", "up")
     wire.run(500)
-    for answer in (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}", b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
-                   b"HTTP/1.1 what\r\n\r\n", b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]'):
+    for answer in (
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
+        b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
+        b"HTTP/1.1 what\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
+    ):
         wire.answer(answer)
         wire.run(400)
     wire.client("c1", OPEN)
@@ -264,7 +337,9 @@
     wire.move_discovery()
     wire.process.watch.follow(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
     wire.run(3000)
-    assert wire.counters["exceptions"] == 0 and wire.told[0][1] == "/registry/instances at 2", wire.told
+    assert wire.counters["exceptions"] == 0 and wire.told[0][1] == "/registry/instances at 2", (
+        wire.told
+    )
 
 
 def test_a_new_configuration_moves_the_watch_at_once_and_a_bad_one_changes_nothing(tmp_path):
@@ -278,8 +353,13 @@
         wire.reload(tmp_path / "config")
         wire.run(40 * number)
     wire.run(500)
-    for change in ({"discovery": "nowhere"}, {"limits": {"sockets": 5}}, {"settings": {"workloads": 3}},
-                   {"settings": wire.config["settings"] | {"family-info": 7}}, {"known": None}):
+    for change in (
+        {"discovery": "nowhere"},
+        {"limits": {"sockets": 5}},
+        {"settings": {"workloads": 3}},
+        {"settings": wire.config["settings"] | {"family-info": 7}},
+        {"known": None},
+    ):
         wire.reload(tmp_path / "config", **change)
         wire.run(300)
     wire.change(wire.entry("s1", "leaving"))
@@ -288,7 +368,9 @@
     wire.run(4000)
     wire.say(f"calls {wire.told}")
     wire.check("reload")
-    assert wire.counters["configurations taken"] == 6 and wire.counters["configurations refused"] == 5
+    assert (
+        wire.counters["configurations taken"] == 6 and wire.counters["configurations refused"] == 5
+    )
     assert not wire.counters["exceptions"]
 
 
@@ -296,7 +378,9 @@
     # Guards against logins to a server whose drain was in an answer that never became whole.
     wire = Wire("up", "up")
     wire.run(500)
-    body = json.dumps({"index": 2, "snapshot": False, "endpoints": [wire.entry("s1", "leaving")]}).encode()
+    body = json.dumps(
+        {"index": 2, "snapshot": False, "endpoints": [wire.entry("s1", "leaving")]}
+    ).encode()
     wire.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-5]))
     wire.run(10)
     wire.index, wire.watch_answer = 2, json.loads(body)
@@ -314,8 +398,14 @@
     wire.client("c1", OPEN, 3000, "x\r\n")
     wire.run(1000)
     settings = wire.config["settings"] | {
-        "workloads": [plain | {"name": "new", "time-limit-ns": 900 * MS}, plain | {"importance": 3}],
-        "localities": ["b", "a"], "zone": 0, "permissions": wire.config["settings"]["permissions"] | {"max-hand-offs": 1}}
+        "workloads": [
+            plain | {"name": "new", "time-limit-ns": 900 * MS},
+            plain | {"importance": 3},
+        ],
+        "localities": ["b", "a"],
+        "zone": 0,
+        "permissions": wire.config["settings"]["permissions"] | {"max-hand-offs": 1},
+    }
     wire.reload(tmp_path / "config", settings=settings)
     wire.run(500)
     balancer = wire.process.facade._balancer
@@ -354,12 +444,17 @@
         seen.append(stream)
         stream.write(b"PONG x0=0.2,inflight=3\r\n" if len(seen) % 3 else b"PONG x0=lots\r\n")
         stream.end_sending()
+
     wire = Wire("up", "up")
     wire.probed = once
     wire.run(20_000)
     assert not wire.counters["exceptions"] and len(set(seen)) == len(seen)
     assert wire.counters["bad answers to probes (no number)"] == len(seen) // 3
-    assert wire.counters["probes fulfilled"] == len(seen) - len(seen) // 3 == wire.counters["probes"] - len(seen) // 3
+    assert (
+        wire.counters["probes fulfilled"]
+        == len(seen) - len(seen) // 3
+        == wire.counters["probes"] - len(seen) // 3
+    )
     wire.probed = None
     wire.run(20_000)
     assert wire.counters["probe connections"] <= len(seen) + 2
@@ -370,9 +465,14 @@
     assert wire.limits.probes == 8
     real = wire.process.facade.probed
     wire.process.facade.probed = lambda server, outcome, *rest: (
-        outcome is Outcome.FULFILLED and seen.add(server), real(server, outcome, *rest))
+        outcome is Outcome.FULFILLED and seen.add(server),
+        real(server, outcome, *rest),
+    )
     wire.run(4000)
-    assert len(seen) == 12 and wire.counters["probes without a descriptor"] == wire.counters["exceptions"] == 0
+    assert (
+        len(seen) == 12
+        and wire.counters["probes without a descriptor"] == wire.counters["exceptions"] == 0
+    )
     assert len(wire.process.probes._tasks) <= wire.limits.probes + 1
 
 
@@ -388,7 +488,10 @@
     wire.run(1000)
     assert wire.counters["exceptions"] == 1
     assert any("c1 < echo x" in line for line in wire.lines)
-    assert [line.split()[2:] for line in wire.lines if " c2" in line and "OPEN" not in line] == [["<", "FAILED"], ["ended"]]
+    assert [line.split()[2:] for line in wire.lines if " c2" in line and "OPEN" not in line] == [
+        ["<", "FAILED"],
+        ["ended"],
+    ]
     assert len(wire.process.facade._tickets) == 1
 
 
@@ -403,6 +506,7 @@
         def fails(*arguments, name=name, real=real):
             setattr(facade, name, real)
             raise RuntimeError(name)
+
         setattr(facade, name, fails)
         wire.change(wire.entry("s1"))
         wire.run(3000)
@@ -433,7 +537,7 @@
     rng = Random(3)
     ring, model = Ring(50), b""
     for step in range(3000):
-        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[:ring.room]
+        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[: ring.room]
         ring.put(content)
         model += content
         assert len(ring) == len(model) and ring.line_length() == model.find(b"\n") + 1
@@ -444,26 +548,36 @@
 
 def test_an_answer_of_discovery_is_read_alike_in_any_split():
     body = b'{"index":3,"snapshot":true,"endpoints":[]}'
-    answers = [b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body,
-               b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10;x=1\r\n" + body[:16] + b"\r\n1A\r\n"
-               + body[16:] + b"\r\n0\r\nTrailer: x\r\n\r\n",
-               b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body]
+    answers = [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body,
+        b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10;x=1\r\n"
+        + body[:16]
+        + b"\r\n1A\r\n"
+        + body[16:]
+        + b"\r\n0\r\nTrailer: x\r\n\r\n",
+        b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body,
+    ]
     rng = Random(1)
     for whole in answers:
         for _ in range(50):
             answer, at = HttpAnswer(1000), 0
             while not answer.done:
                 step = rng.randrange(1, 9)
-                answer.feed(whole[at:at + step])
+                answer.feed(whole[at : at + step])
                 at += step
             assert answer.json() == json.loads(body) and answer.keeps
     answer = HttpAnswer(1000)
     answer.feed(b"HTTP/1.0 200 OK\r\n\r\n" + body)
     answer.ended()
     assert answer.json()["index"] == 3 and not answer.keeps
-    for bad in (b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
-                b"x" * 20000, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
-                b"HTTP/1.1 200 OK\r\n\r\n" + b"y" * 2000, b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n"):
+    for bad in (
+        b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
+        b"x" * 20000,
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\n" + b"y" * 2000,
+        b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
+    ):
         with pytest.raises(Malformed):
             HttpAnswer(1000).feed(bad)
     with pytest.raises(Malformed):
@@ -475,36 +589,59 @@
 def test_a_first_line_goes_on_unchanged_but_for_the_time_left():
     line = b"OPEN 9b1f dd=5 c=plain,pd=1,d=2000,g=5c\r\n"
     first = opening(line)
-    assert (first.workload, first.wait, first.subject, first.group) == ("plain", 2000 * MS, "dd=5", "5c")
+    assert (first.workload, first.wait, first.subject, first.group) == (
+        "plain",
+        2000 * MS,
+        "dd=5",
+        "5c",
+    )
     assert first.with_wait(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
     assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_wait(MS) == b"OPEN 1 2 d=1,c=a,again=1\r\n"
     assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").came_back
     assert busy(0) == b"BUSY\r\n" and busy(250 * MS) == b"BUSY 250\r\n"
-    assert load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0} and load_report("") is None
+    assert (
+        load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0}
+        and load_report("") is None
+    )
 
 
 def test_names_give_the_same_number_everywhere_and_two_names_never_the_same():
-    assert stable_id("s-5be2a07c") == stable_id("5be2a07c") == 0x5be2a07c and stable_id("here") == stable_id("here")
+    assert stable_id("s-5be2a07c") == stable_id("5be2a07c") == 0x5BE2A07C and stable_id(
+        "here"
+    ) == stable_id("here")
     assert stable_id("s1") != stable_id("s2")
     wire = Wire()
     facade = wire.process.facade
-    entries = [{"name": name, "address": f"127.0.0.1:{port}", "status": "active"}
-               for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)]
+    entries = [
+        {"name": name, "address": f"127.0.0.1:{port}", "status": "active"}
+        for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)
+    ]
     for _ in range(2):
         facade.listed(Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries}))
     places = [facade.server_named(entry["name"]) for entry in entries]
-    assert [place.address[1] for place in places] == [1, 2, 3] and len({place.server for place in places}) == 3
+    assert [place.address[1] for place in places] == [1, 2, 3] and len(
+        {place.server for place in places}
+    ) == 3
 
 
 def test_a_list_that_can_not_be_read_takes_no_server_away():
     good = {"name": "s1", "address": "127.0.0.1:1", "status": "active", "since_ms": 5}
-    for change in ({"address": "here"}, {"address": "1.2.3.999:1"}, {"status": "odd"}, {"weight": "x"}, {"name": 3},
-                   {"since_ms": None}, {"weight": float("inf")}):
+    for change in (
+        {"address": "here"},
+        {"address": "1.2.3.999:1"},
+        {"status": "odd"},
+        {"weight": "x"},
+        {"name": 3},
+        {"since_ms": None},
+        {"weight": float("inf")},
+    ):
         with pytest.raises(Malformed):
             listing({"index": 1, "snapshot": True, "endpoints": [good, good | change]})
         changes = listing({"index": 1, "snapshot": False, "endpoints": [good, good | change]})
         assert len(changes.entries) == 1 and changes.spoiled == 1
-    assert listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at == 5 * MS
+    assert (
+        listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at == 5 * MS
+    )
 
 
 def test_timers_that_are_void_do_not_pile_up_and_a_wake_up_is_not_lost():
@@ -518,8 +655,11 @@
             scheduler.wait({}, wire.now + 3600_000 * MS)
             seen.append(1)
         scheduler.stop()
+
     task = scheduler.spawn(sleeper)
-    scheduler.spawn(lambda: [(scheduler.wake(task), scheduler.wait({}, wire.now)) for _ in range(6000)])
+    scheduler.spawn(
+        lambda: [(scheduler.wake(task), scheduler.wait({}, wire.now)) for _ in range(6000)]
+    )
     scheduler.run()
     assert len(seen) == 5000 and len(scheduler._timers) < 2500
 
@@ -527,7 +667,9 @@
 def test_a_log_flood_is_dropped_and_counted(capsys):
     now = [0]
     counters = Counters()
-    limits = Limits.of({"sockets": 100, "memory_mb": 64}, 200 * MS, 3, 3200 * MS, 10_000 * MS, False)
+    limits = Limits.of(
+        {"sockets": 100, "memory_mb": 64}, 200 * MS, 3, 3200 * MS, 10_000 * MS, False
+    )
     printer = Printer(limits, lambda: now[0], counters)
     for number in range(1000):
         printer.say(f"line {number}")
@@ -535,43 +677,86 @@
     printer.say("later")
     printer.print_all()
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == limits.printed + 1 and counters["log lines dropped"] == 1000 - limits.printed
+    assert (
+        len(lines) == limits.printed + 1 and counters["log lines dropped"] == 1000 - limits.printed
+    )
     assert lines[-1] == f"corklift: later ({1000 - limits.printed} lines before this were dropped)"
 
 
 def test_limits_leave_room_for_probes_and_refuse_what_serves_nobody():
     for sockets, memory in ((36, 64), (1024, 192), (20000, 192), (400, 16)):
-        limits = Limits.of({"sockets": sockets, "memory_mb": memory}, 200 * MS, 12, 3200 * MS, 10_000 * MS, False)
+        limits = Limits.of(
+            {"sockets": sockets, "memory_mb": memory}, 200 * MS, 12, 3200 * MS, 10_000 * MS, False
+        )
         assert 2 * limits.clients + limits.waiting + limits.probes + 10 <= sockets
         assert limits.clients * 4 * limits.ring <= memory << 20 >> 1
-    for sockets, memory, key in ((20, 64, "sockets"), (400, 0, "memory_mb"), ("many", 64, "sockets")):
+    for sockets, memory, key in (
+        (20, 64, "sockets"),
+        (400, 0, "memory_mb"),
+        ("many", 64, "sockets"),
+    ):
         with pytest.raises(BadConfig, match=key):
-            Limits.of({"sockets": sockets, "memory_mb": memory}, 200 * MS, 12, 3200 * MS, 10_000 * MS, False)
+            Limits.of(
+                {"sockets": sockets, "memory_mb": memory},
+                200 * MS,
+                12,
+                3200 * MS,
+                10_000 * MS,
+                False,
+            )
 
 
 def balancer(tmp_path, config, wait=None) -> subprocess.CompletedProcess:
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
-    process = subprocess.Popen([sys.executable, "-m", "corklift"], cwd=Path(__file__).parent.parent,
-                               env=os.environ | {"BALANCER_CONFIG": str(path)}, stderr=subprocess.PIPE, text=True)
+    process = subprocess.Popen(
+        [sys.executable, "-m", "corklift"],
+        cwd=Path(__file__).parent.parent,
+        env=os.environ | {"BALANCER_CONFIG": str(path)},
+        stderr=subprocess.PIPE,
+        text=True,
+    )
     if wait:
         wait(process)
     return process.wait(timeout=20), process.stderr.read()
 
 
-CONFIG = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "5", "limits": {"memory_mb": 64, "sockets": 200},
-          "known": {"index": 1, "snapshot": True, "endpoints": []},
-          "settings": {"workloads": [{"name": "w", "soft-limit-ns": 8, "time-limit-ns": 9}], "rules": {},
-                       "permissions": {"connect-timeout-ns": 200, "keepalive-ns": 5000}}}
-
-
-@pytest.mark.parametrize("change, key", [
-    ({"listen": "nowhere"}, "listen"), ({"discovery": "registry.example:80"}, "discovery"),
-    ({"limits": {"sockets": 200, "memory_mb": 1e306}}, "limits"),
-    pytest.param("[" * 100_000, "BALANCER_CONFIG", id="deep"), ({"seed": "zz"}, "seed"), ({"limits": {}}, "limits.sockets"),
-    ({"known": {"endpoints": 3}}, "known"), ({"settings": {}}, "rules"), ("{", "BALANCER_CONFIG"),
-    ({"settings": CONFIG["settings"] | {"workloads": [{"name": "w", "time-limit-ns": -1, "soft-limit-ns": 1}]}},
-     "time-limit-ns"), ({"settings": CONFIG["settings"] | {"rules": {"cold-from": "x"}}}, "cold-from")])
+CONFIG = {
+    "listen": "127.0.0.1:0",
+    "discovery": "127.0.0.1:1",
+    "seed": "5",
+    "limits": {"memory_mb": 64, "sockets": 200},
+    "known": {"index": 1, "snapshot": True, "endpoints": []},
+    "settings": {
+        "workloads": [{"name": "w", "soft-limit-ns": 8, "time-limit-ns": 9}],
+        "rules": {},
+        "permissions": {"connect-timeout-ns": 200, "keepalive-ns": 5000},
+    },
+}
+
+
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        ({"listen": "nowhere"}, "listen"),
+        ({"discovery": "registry.example:80"}, "discovery"),
+        ({"limits": {"sockets": 200, "memory_mb": 1e306}}, "limits"),
+        pytest.param("[" * 100_000, "BALANCER_CONFIG", id="deep"),
+        ({"seed": "zz"}, "seed"),
+        ({"limits": {}}, "limits.sockets"),
+        ({"known": {"endpoints": 3}}, "known"),
+        ({"settings": {}}, "rules"),
+        ("{", "BALANCER_CONFIG"),
+        (
+            {
+                "settings": CONFIG["settings"]
+                | {"workloads": [{"name": "w", "time-limit-ns": -1, "soft-limit-ns": 1}]}
+            },
+            "time-limit-ns",
+        ),
+        ({"settings": CONFIG["settings"] | {"rules": {"cold-from": "x"}}}, "cold-from"),
+    ],
+)
 def test_bad_settings_end_it_with_a_line_that_names_the_key(tmp_path, change, key):
     code, said = balancer(tmp_path, change if isinstance(change, str) else CONFIG | change)
     assert code not in (0, None) and key in said and said.count("\n") == 1
@@ -587,8 +772,13 @@
         while "counters" not in line:
             line = process.stderr.readline()
         process.send_signal(signal.SIGTERM)
+
     code, said = balancer(tmp_path, CONFIG, signals)
-    assert code == 0 and "told to stop" in said and said.splitlines()[-1].startswith("corklift: counters: ")
+    assert (
+        code == 0
+        and "told to stop" in said
+        and said.splitlines()[-1].startswith("corklift: counters: ")
+    )
 
 
 # Decisions that sockets asked for
@@ -606,7 +796,9 @@
     while scene.balancer._counts.heard(scene.now, server):
         scene.run(10)
     asked = len(scene.asked)
-    scene.balancer.hand_off_noted(scene.now, 9, 0, 2, NoteKind.DELAY, 400 * MS)  # a note alone does not
+    scene.balancer.hand_off_noted(
+        scene.now, 9, 0, 2, NoteKind.DELAY, 400 * MS
+    )  # a note alone does not
     assert len(scene.asked) == asked
     scene.balancer.hand_off_silent(scene.now, 2)
     scene.balancer.hand_off_silent(scene.now, 2)  # one answer at a time is waited for
@@ -632,7 +824,10 @@
     wire, taken = Wire("up", "up"), []
     wire.probed = lambda stream: stream.write(told)
     real = wire.process.facade._balancer.probe_answered
-    wire.process.facade._balancer.probe_answered = lambda *told: (taken.append((told[0], told[-1])), real(*told))
+    wire.process.facade._balancer.probe_answered = lambda *told: (
+        taken.append((told[0], told[-1])),
+        real(*told),
+    )
     wire.client("c1", 1500, "OPEN 5 7f c=plain,at=s2\r\n")
     wire.run(6000)
     known = [at for at, report in taken if report is not None]
@@ -646,6 +841,7 @@
         def poll(self, pause):
             now[0] += (pause or 0) * MS
             return []
+
     scheduler = Scheduler(lambda: now[0], problems.append, Poll())
 
     def child():
@@ -657,6 +853,7 @@
         scheduler.wait({}, 50 * MS)
         seen.append(("parent", now[0] // MS, scheduler.current is task))
         scheduler.stop()
+
     task = scheduler.spawn(parent)
     scheduler.run()
     assert seen == [("child", 5), ("parent", 50, True)] and not problems
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -15,10 +15,10 @@
 import pytest
 from scene import MS, Scene, Wire
 
-from corklift.service import inherited
 from corklift.interface import ColdRule, Outcome, Report
 from corklift.net.kin import Kin
 from corklift.net.limits import BadConfig
+from corklift.service import inherited
 from corklift.succession import Life, Stage, Succession, Unreadable, Word, decode, encode
 
 
@@ -40,7 +40,9 @@
                 number = rng.choice(list(places))
                 place = places[number]
                 if number in seen:  # tells what it decided by its last look
-                    if place.step(seen.pop(number), rng.random() < 0.98 or place.stage is not Stage.STARTING):
+                    if place.step(
+                        seen.pop(number), rng.random() < 0.98 or place.stage is not Stage.STARTING
+                    ):
                         told[number] = told[number]._replace(stage=place.stage)
                 else:
                     told[number] = told[number]._replace(stage=place.stage)
@@ -66,19 +68,29 @@
     assert new.hear([early]) == {} and new.out() == {"s2"}  # heard again, it changes nothing
     assert old.hear([Life(2, Stage.SERVING, 0, dict(new.words), {})]) == {"s1": False}
     old.say("s1", True)
-    assert old.out() == {"s1", "s2"} and new.hear([Life(1, Stage.LEAVING, 0, dict(old.words), {})]) == {"s1": True}
+    assert old.out() == {"s1", "s2"} and new.hear(
+        [Life(1, Stage.LEAVING, 0, dict(old.words), {})]
+    ) == {"s1": True}
 
 
 def test_what_is_not_whole_is_left_out_and_told(tmp_path):
     life = Life(1, Stage.SERVING, 3, {"s1": Word(1, 1, True)}, {"homes": [[1, 2]]})
     whole = encode(life)
     assert decode(whole) == life
-    for bad in (b"", b"corklift 2" + whole[10:], whole[:-3], whole.replace(b"s1", b"s2"), b"\xff" * 50):
+    for bad in (
+        b"",
+        b"corklift 2" + whole[10:],
+        whole[:-3],
+        whole.replace(b"s1", b"s2"),
+        b"\xff" * 50,
+    ):
         with pytest.raises(Unreadable):
             decode(bad)
     said = []
     for number in (3, 7):
-        (tmp_path / f"{number}.life").write_bytes(whole if number == 3 else encode(life._replace(generation=7))[:-1])
+        (tmp_path / f"{number}.life").write_bytes(
+            whole if number == 3 else encode(life._replace(generation=7))[:-1]
+        )
     kin = Kin(str(tmp_path), said.append)
     assert kin.generation == 8 and kin.others() == ([], []) and kin.others() == ([], [])
     assert len(said) == 2 and "7.life" in said[1]
@@ -100,6 +112,7 @@
         for _ in range(40):
             made.balancer._counts.take(made.now, made.balancer._roster.servers[1], Report(20, 0.5))
         return made
+
     alone = scene()
     most = 0
     while alone.login(most + 1) is not None:
@@ -122,6 +135,7 @@
         made.listed(1, 2, 3, 4)
         made.run(3000)
         return made
+
     old, new, stranger = scene(1), scene(2), scene(2)
     for number in range(1, 9):
         assert old.login(number, group=77) is not None
@@ -130,7 +144,9 @@
     homes = {server for _, server in old.sent}
     old.balancer.stand_by(True)
     new.balancer.follow(new.now, json.loads(json.dumps(old.balancer.learned(old.now))))
-    new.balancer.follow(new.now, {"servers": [], "homes": [], "rate": [0, 0], "open": [[9, 77]], "ended": []})
+    new.balancer.follow(
+        new.now, {"servers": [], "homes": [], "rate": [0, 0], "open": [[9, 77]], "ended": []}
+    )
     for number in range(1, 9):
         old.ends(number, Outcome.CANCELLED, closed=True)
     for server, load in old.balancer.learned(old.now)["ended"]:
@@ -142,7 +158,11 @@
     assert set(placed["new"]) <= homes and None in placed["stranger"]
     draw = new.balancer._draw
     new.balancer.alone()
-    assert draw.total_load == 0 and not draw.group_load and not any(s.groups for s in new.balancer._roster.ready)
+    assert (
+        draw.total_load == 0
+        and not draw.group_load
+        and not any(s.groups for s in new.balancer._roster.ready)
+    )
 
 
 def test_a_value_that_is_no_listening_socket_is_named():
@@ -162,8 +182,11 @@
     for number in range(4):
         wire.client(f"c{number}", 100, "OPEN 1 7f c=plain,d=2000\r\n")
     wire.run(1000)
-    assert sorted(line.split(" < ")[1].split()[0] for line in wire.lines if " < UP" in line or " < BUSY" in line) == [
-        "BUSY", "BUSY", "UP", "UP"]
+    assert sorted(
+        line.split(" < ")[1].split()[0]
+        for line in wire.lines
+        if " < UP" in line or " < BUSY" in line
+    ) == ["BUSY", "BUSY", "UP", "UP"]
 
 
 class Served(threading.Thread):
@@ -189,7 +212,9 @@
             sock.sendall(f"OPEN {name} 7f c=plain,d=3000\r\n".encode())
             lines = sock.makefile("rb")
             first = lines.readline().decode().strip()
-            until = time.monotonic() + (0.4 if self.number % 3 else 8.0)  # these last until they are moved
+            until = time.monotonic() + (
+                0.4 if self.number % 3 else 8.0
+            )  # these last until they are moved
             while first.startswith("UP") and self.goes_on and time.monotonic() < until:
                 sock.sendall(b"line\r\n")
                 answer = lines.readline()
@@ -207,22 +232,54 @@
     config = tmp_path / "config.json"
     held = socket.create_server(("127.0.0.1", 0), backlog=256)
     told, stop = [], threading.Event()
-    config.write_text(json.dumps(world.config | {"listen": "127.0.0.1:%d" % held.getsockname()[1],
-                                                 "settings": world.config["settings"] | {"rules": {"ramp-time-ns": 300 * MS}}}))
-    peers = subprocess.Popen([sys.executable, "-c", PEERS, json.dumps([each.fileno() for each in world.listeners.values()]),
-                              str(world.agent.fileno()), json.dumps([world.entry(name) for name in world.behaviour])],
-                             pass_fds=[*(each.fileno() for each in world.listeners.values()), world.agent.fileno()],
-                             stdout=subprocess.PIPE, text=True)
+    config.write_text(
+        json.dumps(
+            world.config
+            | {
+                "listen": "127.0.0.1:%d" % held.getsockname()[1],
+                "settings": world.config["settings"] | {"rules": {"ramp-time-ns": 300 * MS}},
+            }
+        )
+    )
+    peers = subprocess.Popen(
+        [
+            sys.executable,
+            "-c",
+            PEERS,
+            json.dumps([each.fileno() for each in world.listeners.values()]),
+            str(world.agent.fileno()),
+            json.dumps([world.entry(name) for name in world.behaviour]),
+        ],
+        pass_fds=[*(each.fileno() for each in world.listeners.values()), world.agent.fileno()],
+        stdout=subprocess.PIPE,
+        text=True,
+    )
     placed = []
-    threading.Thread(target=lambda: [placed.append((time.monotonic(), name)) for line in peers.stdout
-                              for name in line.split()],
-                     daemon=True).start()
+    threading.Thread(
+        target=lambda: [
+            placed.append((time.monotonic(), name))
+            for line in peers.stdout
+            for name in line.split()
+        ],
+        daemon=True,
+    ).start()
 
     def start(admin):
-        env = os.environ | {"BALANCER_CONFIG": str(config), "TMPDIR": str(tmp_path), "BALANCER_NAME": "n1",
-                            "BALANCER_LISTEN_FD": str(held.fileno()), "BALANCER_ADMIN_ADDR": f"127.0.0.1:{admin}"}
-        process = subprocess.Popen([sys.executable, "-m", "corklift"], env=env, pass_fds=[held.fileno()],
-                                   cwd=Path(__file__).parent.parent, stderr=subprocess.PIPE, text=True)
+        env = os.environ | {
+            "BALANCER_CONFIG": str(config),
+            "TMPDIR": str(tmp_path),
+            "BALANCER_NAME": "n1",
+            "BALANCER_LISTEN_FD": str(held.fileno()),
+            "BALANCER_ADMIN_ADDR": f"127.0.0.1:{admin}",
+        }
+        process = subprocess.Popen(
+            [sys.executable, "-m", "corklift"],
+            env=env,
+            pass_fds=[held.fileno()],
+            cwd=Path(__file__).parent.parent,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
         until = time.monotonic() + 6
         while time.monotonic() < until:
             try:
@@ -235,7 +292,9 @@
 
     def call(admin, method, what, member=None):
         connection = HTTPConnection("127.0.0.1", admin, timeout=1)
-        connection.request(method, f"/admin/{what}", None if member is None else json.dumps({"member": member}))
+        connection.request(
+            method, f"/admin/{what}", None if member is None else json.dumps({"member": member})
+        )
         status = connection.getresponse().status
         connection.close()
         return status
@@ -244,7 +303,10 @@
     for _ in range(4):
         with socket.create_server(("127.0.0.1", 0)) as free:
             ports.append(free.getsockname()[1])
-    processes, clients = [start(ports[0])], [Served(held.getsockname()[1], number) for number in range(12)]
+    processes, clients = (
+        [start(ports[0])],
+        [Served(held.getsockname()[1], number) for number in range(12)],
+    )
     try:
         for client in clients:
             client.start()
@@ -283,10 +345,16 @@
             assert "exception" not in process.stderr.read()
         peers.terminate()
         peers.wait(5)
-    ends = [end for client in clients for at, end in client.ends if not killed < at < killed + 0.5
-            and not crashed < at < crashed + 1.0]
+    ends = [
+        end
+        for client in clients
+        for at, end in client.ends
+        if not killed < at < killed + 0.5 and not crashed < at < crashed + 1.0
+    ]
     assert set(ends) == {"UP", "moved"} and ends.count("moved") >= 4, ends.count("moved")
-    assert [end for client in clients for at, end in client.ends if at > crashed + 1.0].count("UP") > 3
+    assert [end for client in clients for at, end in client.ends if at > crashed + 1.0].count(
+        "UP"
+    ) > 3
     while_out = [name for at, name in placed if both_out + 0.2 < at < back]
     assert while_out and "s2" not in while_out and "s1" in while_out
     assert "s2" in [name for at, name in placed if at > back]
@@ -338,8 +406,13 @@
     path.write_text(json.dumps(config | {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1"}))
     with socket.create_server(("127.0.0.1", 0)) as door:
         environment = {key: value for key, value in os.environ.items() if key != "TMPDIR"}
-        process = subprocess.Popen([sys.executable, "-m", "corklift"], pass_fds=[door.fileno()], stderr=subprocess.DEVNULL,
-                                   env=environment | {"BALANCER_CONFIG": str(path), "BALANCER_LISTEN_FD": str(door.fileno())})
+        process = subprocess.Popen(
+            [sys.executable, "-m", "corklift"],
+            pass_fds=[door.fileno()],
+            stderr=subprocess.DEVNULL,
+            env=environment
+            | {"BALANCER_CONFIG": str(path), "BALANCER_LISTEN_FD": str(door.fileno())},
+        )
         try:
             with socket.create_connection(door.getsockname(), 20) as client:
                 client.sendall(b"OPEN x y z\r\n")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,7 +12,22 @@
 from corklift.recovery import facts as recovery_facts
 from corklift.recovery.core import Outcome, Recovery, Step, Terms
 from corklift.recovery.door import Door, come_back
-from corklift.recovery.facts import COUNT, DRAIN, ENDED, KINDS, OUT, SELF, Fact, Facts, How, Server, Trust, Unreadable, decoded, encoded
+from corklift.recovery.facts import (
+    COUNT,
+    DRAIN,
+    ENDED,
+    KINDS,
+    OUT,
+    SELF,
+    Fact,
+    Facts,
+    How,
+    Server,
+    Trust,
+    Unreadable,
+    decoded,
+    encoded,
+)
 from corklift.recovery.messages import Answer, Ask, Marker, Tell, Told, decode, encode
 
 SECOND = 1_000_000_000
@@ -21,8 +36,26 @@
 
 class Host:
     def __init__(self, boot="one", alone=False, expected=5):
-        self.asks, self.tells, self.keeps, self.steps, self.out, self.logs, self.relists = [], [], [], [], set(), [], 0
-        self.core = Recovery(self, Random(1), Terms(SECOND, cold=RULE), 0, name="b1", life=1, boot=boot, expected=expected, alone=alone)
+        self.asks, self.tells, self.keeps, self.steps, self.out, self.logs, self.relists = (
+            [],
+            [],
+            [],
+            [],
+            set(),
+            [],
+            0,
+        )
+        self.core = Recovery(
+            self,
+            Random(1),
+            Terms(SECOND, cold=RULE),
+            0,
+            name="b1",
+            life=1,
+            boot=boot,
+            expected=expected,
+            alone=alone,
+        )
 
     def ask(self, number, name, message, until):
         self.asks.append((number, name, message))
@@ -65,8 +98,28 @@
         self.keeps = []
 
 
-def answer(*facts, lived=False, remembers=True, name="b2", yours=Marker(), hows=None, ages=None, power_lost=False):
-    return Answer(name, 2, lived, facts, tuple(hows or [How.READ] * len(facts)), Marker(), yours, ages or {}, remembers, power_lost)
+def answer(
+    *facts,
+    lived=False,
+    remembers=True,
+    name="b2",
+    yours=Marker(),
+    hows=None,
+    ages=None,
+    power_lost=False,
+):
+    return Answer(
+        name,
+        2,
+        lived,
+        facts,
+        tuple(hows or [How.READ] * len(facts)),
+        Marker(),
+        yours,
+        ages or {},
+        remembers,
+        power_lost,
+    )
 
 
 def out(server, number, value=True, by="b1"):
@@ -79,7 +132,9 @@
     assert facts.out() == {"s1"} and facts.how(OUT, "s1") is How.READ
     assert not facts.take(out("s1", 3), How.LIVE) and facts.how(OUT, "s1") is How.LIVE
     assert facts.take(out("s1", 4, False), How.HEARD) and facts.out() == set()
-    assert facts.take(out("s1", 4, True, by="b9"), How.HEARD)  # of two at once the name decides, at all alike
+    assert facts.take(
+        out("s1", 4, True, by="b9"), How.HEARD
+    )  # of two at once the name decides, at all alike
     other = Facts()
     for fact in (out("s1", 4, True, by="b9"), out("s1", 4, False), out("s1", 3)):
         other.take(fact, How.HEARD)
@@ -105,14 +160,27 @@
         core.drained(0, f"s{at}", 0, 10 + at, True)
     core.listed(0, [Server("s0", "10.0.0.1", 1, "", "", 0, 2, 1.0)], 30)
     assert [fact.name for fact in host.forgotten] == ["s1", "s2"]
-    assert core.facts.leaves("s0", 0, 9) and core.facts.leaves("s5", 0, 9) and not core.facts.leaves("s1", 0, 9)
+    assert (
+        core.facts.leaves("s0", 0, 9)
+        and core.facts.leaves("s5", 0, 9)
+        and not core.facts.leaves("s1", 0, 9)
+    )
 
 
 def test_what_is_never_believed_is_never_kept():
-    assert {name for name, (trust, _) in KINDS.items() if trust is Trust.NEVER} == {"connections", "health", "cold"}
+    assert {name for name, (trust, _) in KINDS.items() if trust is Trust.NEVER} == {
+        "connections",
+        "health",
+        "cold",
+    }
     for fact in (out("s1", 3), Fact(DRAIN, "s", (0, 3), True), Fact(COUNT, "", (1,), 9)):
         assert decoded(encoded(fact)[1]) == fact
-    for bad in (Fact(OUT, "s", (1,), "yes"), Fact(COUNT, "", (1,), -1), Fact(OUT, "s" * 300, (1,), True), Fact(OUT, "s", (), True)):
+    for bad in (
+        Fact(OUT, "s", (1,), "yes"),
+        Fact(COUNT, "", (1,), -1),
+        Fact(OUT, "s" * 300, (1,), True),
+        Fact(OUT, "s", (), True),
+    ):
         with pytest.raises(Unreadable):
             decoded(encoded(bad)[1])
     with pytest.raises(Unreadable):
@@ -143,7 +211,9 @@
     core.looked(0, ["s1", "s2"], True)
     assert core.step is Step.OPEN and core.login(0, 1.0) is None and core.login(0, 1.0) is not None
     core.ended(0, True)
-    assert core.login(0, 1.0) is None and core.login(0, 1.0) is None and core.login(0, 1.0) is not None
+    assert (
+        core.login(0, 1.0) is None and core.login(0, 1.0) is None and core.login(0, 1.0) is not None
+    )
 
 
 def test_a_disk_that_does_not_answer_is_not_waited_for_and_heard_late_all_the_same():
@@ -166,7 +236,9 @@
     assert len(host.asks) == 6 and host.core.step is Step.ASK
     for number, name, _ in host.asks[3:]:
         host.core.answered(0, number, answer(name=name, remembers=False))
-    assert host.core.step is Step.ASK  # those that remember nothing can't say that there was nothing
+    assert (
+        host.core.step is Step.ASK
+    )  # those that remember nothing can't say that there was nothing
     for number, name, _ in host.asks[6:]:
         host.core.answered(0, number, answer(name=name))
     assert host.core.step is Step.LOOK and host.core.complete
@@ -190,7 +262,10 @@
     empty.core.members(0, [], True)
     empty.core.tick(600 * SECOND)
     assert empty.core.step is Step.ASK
-    for act in (lambda core: core.unread(0, "InUse"), lambda core: core.tick(4 * SECOND)):  # in use elsewhere; stalled
+    for act in (
+        lambda core: core.unread(0, "InUse"),
+        lambda core: core.tick(4 * SECOND),
+    ):  # in use elsewhere; stalled
         unread = Host()
         act(unread.core)
         unread.core.members(5 * SECOND, [], True)
@@ -208,8 +283,14 @@
     core.answered(0, host.asks[0][0], answer(out("s1", 3), hows=[How.LIVE]))
     assert host.out == {"s1"} and core.facts.how(OUT, "s1") is How.HEARD and not core.lived_heard
     told = core.asked(0, Ask("b3", 5, Marker(), 0, True))
-    assert not told.lived and not told.ages and told.hows[[fact.kind for fact in told.facts].index(OUT)] == How.HEARD
-    core.answered(0, host.asks[1][0], answer(out("s1", 4, False), lived=True, hows=[How.LIVE], ages={"s1": 5}))
+    assert (
+        not told.lived
+        and not told.ages
+        and told.hows[[fact.kind for fact in told.facts].index(OUT)] == How.HEARD
+    )
+    core.answered(
+        0, host.asks[1][0], answer(out("s1", 4, False), lived=True, hows=[How.LIVE], ages={"s1": 5})
+    )
     assert core.lived_heard and host.out == set() and core.facts.how(OUT, "s1") is How.LIVE
 
 
@@ -256,7 +337,9 @@
     assert said == [(Outcome.KEPT, 3, 3)]
 
 
-@pytest.mark.parametrize("fine, answers, kept", [(False, [Told(True), None, None, None], 1), (True, [None] * 4, 1)])
+@pytest.mark.parametrize(
+    "fine, answers, kept", [(False, [Told(True), None, None, None], 1), (True, [None] * 4, 1)]
+)
 def test_no_yes_where_too_few_have_it(fine, answers, kept):
     host, core = ready()
     said = []
@@ -337,8 +420,13 @@
 
 
 def test_servers_back_within_two_seconds_that_no_list_tells_of():
-    fallen = {kind: sum(play(Day(seed, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind).fallen for seed in range(4))
-              for kind in ("serve", "today")}
+    fallen = {
+        kind: sum(
+            play(Day(seed, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind).fallen
+            for seed in range(4)
+        )
+        for kind in ("serve", "today")
+    }
     assert fallen["serve"] == 0 and fallen["today"] >= 4
 
 
@@ -348,7 +436,11 @@
     assert door.may_pass(0, 1.0) and door.may_pass(0, 1.0) and not door.may_pass(0, 1.0)
     door.ended(True)
     door.ended(True)
-    assert door.window == 4.0 and [door.may_pass(0, 0.0) for _ in range(3)] == [True, True, False]  # least importance: half of it
+    assert door.window == 4.0 and [door.may_pass(0, 0.0) for _ in range(3)] == [
+        True,
+        True,
+        False,
+    ]  # least importance: half of it
     door.ended(False)
     assert door.window == 2.0
     for _ in range(40):
@@ -371,7 +463,12 @@
 def test_days_of_power_loss():
     for seed in range(1, 13):
         seen = play(Day.drawn(seed))
-        assert not seen.rules and not seen.words_forgotten and not seen.words_invented and not seen.stuck, seen
+        assert (
+            not seen.rules
+            and not seen.words_forgotten
+            and not seen.words_invented
+            and not seen.stuck
+        ), seen
         assert seen.restored_s >= 0 and (seen.alone_on_a_lying_disk or not seen.placed_out), seen
 
 
@@ -392,7 +489,9 @@
 
 def _old_answer_taken_for_live(monkeypatch):
     monkeypatch.setattr(recovery_facts.Facts, "leaves", lambda self, name, started_at, index: False)
-    monkeypatch.setattr(Recovery, "drained", lambda self, now, name, started_at, index, leaving: leaving)
+    monkeypatch.setattr(
+        Recovery, "drained", lambda self, now, name, started_at, index, leaving: leaving
+    )
 
 
 def _steps_skipped(monkeypatch):
@@ -409,6 +508,7 @@
     def keep(self, facts, done=lambda fine: None):
         done(True)
         plain(self, facts)
+
     monkeypatch.setattr(Recovery, "_keep", keep)
 
 
@@ -416,16 +516,27 @@
     monkeypatch.setattr(recovery_core.Door, "cold", lambda self, now, servers, balancers: None)
 
 
-@pytest.mark.parametrize("fault", [_old_answer_taken_for_live, _steps_skipped, _words_not_asked, _yes_before_the_disk])
+@pytest.mark.parametrize(
+    "fault", [_old_answer_taken_for_live, _steps_skipped, _words_not_asked, _yes_before_the_disk]
+)
 def test_deliberate_faults_are_found(monkeypatch, fault):
     fault(monkeypatch)
     wrong = 0
     for seed in range(1, 40):
         if fault in (_words_not_asked, _yes_before_the_disk):
-            wrong += bool(lab_explore.wander(lambda: lab_explore.world("recovery", Returns()._asdict()), 100, 50, seed).what)
+            wrong += bool(
+                lab_explore.wander(
+                    lambda: lab_explore.world("recovery", Returns()._asdict()), 100, 50, seed
+                ).what
+            )
         else:
             seen = play(Day.drawn(seed))
-            wrong += bool(seen.rules or seen.placed_out and not seen.alone_on_a_lying_disk or seen.words_forgotten)
+            wrong += bool(
+                seen.rules
+                or seen.placed_out
+                and not seen.alone_on_a_lying_disk
+                or seen.words_forgotten
+            )
         if wrong:
             break
     assert wrong
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -15,26 +15,48 @@
 from loop import Loop, wait_for
 
 from corklift.rpc.client import Channel
-from corklift.rpc.core import (MS, SECOND, BackOff, Code, RpcError, RpcLimits, Unpacker, packed, status_message,
-                               status_text, time_out, time_out_text)
+from corklift.rpc.core import (
+    MS,
+    SECOND,
+    BackOff,
+    Code,
+    RpcError,
+    RpcLimits,
+    Unpacker,
+    packed,
+    status_message,
+    status_text,
+    time_out,
+    time_out_text,
+)
 from corklift.rpc.server import Server, unary
 from corklift.rpc.session import Broken, Session
 
 SAME = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
 
 
-@given(st.lists(st.binary(max_size=300), max_size=8), st.lists(st.integers(1, 64), min_size=1, max_size=50))
+@given(
+    st.lists(st.binary(max_size=300), max_size=8),
+    st.lists(st.integers(1, 64), min_size=1, max_size=50),
+)
 def test_messages_come_out_alike_in_any_split(messages, cuts):
     raw, unpacker, found, at = b"".join(map(packed, messages)), Unpacker(300), [], 0
     while at < len(raw):
         step = cuts[at % len(cuts)]
-        found += unpacker.feed(raw[at:at + step])
+        found += unpacker.feed(raw[at : at + step])
         at += step
     assert found == messages and not unpacker.partial
 
 
-@pytest.mark.parametrize("raw, code", [(b"\1\0\0\0\1x", Code.UNIMPLEMENTED), (b"\7\0\0\0\1x", Code.INTERNAL),
-                                       (b"\0\0\0\1\x2d", Code.RESOURCE_EXHAUSTED), (b"\0\xff\xff\xff\xff", Code.RESOURCE_EXHAUSTED)])
+@pytest.mark.parametrize(
+    "raw, code",
+    [
+        (b"\1\0\0\0\1x", Code.UNIMPLEMENTED),
+        (b"\7\0\0\0\1x", Code.INTERNAL),
+        (b"\0\0\0\1\x2d", Code.RESOURCE_EXHAUSTED),
+        (b"\0\xff\xff\xff\xff", Code.RESOURCE_EXHAUSTED),
+    ],
+)
 def test_a_message_that_is_not_taken_is_told_by_its_prefix(raw, code):
     with pytest.raises(RpcError) as problem:
         Unpacker(300).feed(raw)
@@ -68,8 +90,17 @@
         back_off = BackOff(Random(seed), limits)
         waits.append([back_off.failed() for _ in range(12)])
     firsts = sorted(wait[0] for wait in waits)
-    assert limits.back_off / 2 <= firsts[0] < 0.55 * limits.back_off < 0.95 * limits.back_off < firsts[-1] <= limits.back_off
-    assert all(wait[-1] <= limits.back_off_most and wait[-1] >= limits.back_off_most / 2 for wait in waits)
+    assert (
+        limits.back_off / 2
+        <= firsts[0]
+        < 0.55 * limits.back_off
+        < 0.95 * limits.back_off
+        < firsts[-1]
+        <= limits.back_off
+    )
+    assert all(
+        wait[-1] <= limits.back_off_most and wait[-1] >= limits.back_off_most / 2 for wait in waits
+    )
 
 
 class Pair:
@@ -126,7 +157,10 @@
         pair.client.send(0, unread, b"x" * 10_000)
     pair.client.send(0, other, b"here")
     pair.pass_bytes()
-    assert sum(len(message) for message, _ in theirs.inbox) <= 200_000 and len(unread.outbox) > 1_000_000
+    assert (
+        sum(len(message) for message, _ in theirs.inbox) <= 200_000
+        and len(unread.outbox) > 1_000_000
+    )
     assert pair.server.take_message(others) == b"here"
     with pytest.raises(RpcError) as problem:
         for _ in range(1000):
@@ -153,8 +187,13 @@
     assert pair.client.take_message(mine) == b"still" and mine.ended and mine.error is None
 
 
-GARBAGE = [b"GET / HTTP/1.1\r\n\r\n", b"\0" * 100, b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 200,
-           b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\0\0\4\x03\0\0\0\0\1\0\0\0\0", b"\x16\x03\x01\x02\x00\x01"]
+GARBAGE = [
+    b"GET / HTTP/1.1\r\n\r\n",
+    b"\0" * 100,
+    b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 200,
+    b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\0\0\4\x03\0\0\0\0\1\0\0\0\0",
+    b"\x16\x03\x01\x02\x00\x01",
+]
 
 
 @pytest.mark.parametrize("content", GARBAGE, ids=range(len(GARBAGE)))
@@ -167,7 +206,9 @@
 def test_any_bytes_are_taken_or_broken_off(content, preface):
     session = Session(RpcLimits(), False, lambda call: None)
     try:
-        session.received(0, (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0" if preface else b"") + content)
+        session.received(
+            0, (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0" if preface else b"") + content
+        )
     except Broken:
         assert session.over or len(session.take(1 << 20)) >= 0
 
@@ -178,8 +219,14 @@
     return client
 
 
-HEADERS = [(":method", "POST"), (":path", "/a/b"), (":scheme", "http"), (":authority", "x"),
-           ("content-type", "application/grpc"), ("te", "trailers")]
+HEADERS = [
+    (":method", "POST"),
+    (":path", "/a/b"),
+    (":scheme", "http"),
+    (":authority", "x"),
+    ("content-type", "application/grpc"),
+    ("te", "trailers"),
+]
 
 
 def test_rapid_resets_pings_and_oversized_headers_end_the_connection():
@@ -239,8 +286,17 @@
     def failing(call):
         raise RpcError(Code.FAILED_PRECONDITION, "not 100 % ready: é")
 
-    server = Server(loop.scheduler, limits, loop.counters, {
-        "/t/Unary": unary(lambda call, request: request * 2), "/t/Both": both_ways, "/t/Slow": slow, "/t/Fail": failing})
+    server = Server(
+        loop.scheduler,
+        limits,
+        loop.counters,
+        {
+            "/t/Unary": unary(lambda call, request: request * 2),
+            "/t/Both": both_ways,
+            "/t/Slow": slow,
+            "/t/Fail": failing,
+        },
+    )
     port = server.listen(("127.0.0.1", 0))
     loop.do(lambda: loop.scheduler.spawn(server.keep_accepting))
     return server, port, seen
@@ -257,7 +313,9 @@
                 double(b"x" * (5 << 20), timeout=20)
             assert problem.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
             many = [bytes([n % 256]) * (n * 37) for n in range(300)]
-            assert list(channel.stream_stream("/t/Both", **SAME)(iter(many), timeout=20)) == [m[::-1] for m in many]
+            assert list(channel.stream_stream("/t/Both", **SAME)(iter(many), timeout=20)) == [
+                m[::-1] for m in many
+            ]
             with pytest.raises(grpc.RpcError) as problem:
                 channel.unary_unary("/t/Fail", **SAME)(b"", timeout=5)
             assert problem.value.code() is grpc.StatusCode.FAILED_PRECONDITION
@@ -316,10 +374,15 @@
 
         def failing(request, context):
             context.abort(grpc.StatusCode.NOT_FOUND, "none, 100 %")
-        return {"/t/Unary": grpc.unary_unary_rpc_method_handler(lambda request, context: request * 2),
-                "/t/Both": grpc.stream_stream_rpc_method_handler(lambda it, context: (m[::-1] for m in it)),
-                "/t/Slow": grpc.unary_unary_rpc_method_handler(slow),
-                "/t/Fail": grpc.unary_unary_rpc_method_handler(failing)}.get(details.method)
+
+        return {
+            "/t/Unary": grpc.unary_unary_rpc_method_handler(lambda request, context: request * 2),
+            "/t/Both": grpc.stream_stream_rpc_method_handler(
+                lambda it, context: (m[::-1] for m in it)
+            ),
+            "/t/Slow": grpc.unary_unary_rpc_method_handler(slow),
+            "/t/Fail": grpc.unary_unary_rpc_method_handler(failing),
+        }.get(details.method)
 
 
 def grpcio_server(port=0):
@@ -332,13 +395,23 @@
 def test_our_client_talks_to_grpcio_and_follows_its_leaving():
     server, port = grpcio_server()
     with Loop() as loop:
-        channel = Channel(loop.scheduler, RpcLimits(back_off=100 * MS), loop.counters, ("127.0.0.1", port), Random(1))
+        channel = Channel(
+            loop.scheduler,
+            RpcLimits(back_off=100 * MS),
+            loop.counters,
+            ("127.0.0.1", port),
+            Random(1),
+        )
         loop.do(lambda: loop.scheduler.spawn(channel.keep_connected))
 
         def soon(seconds=5):
             return loop.scheduler.now() + seconds * SECOND
+
         assert loop.do(lambda: channel.unary("/t/Unary", b"ab", soon())) == b"abab"
-        assert loop.do(lambda: channel.unary("/t/Unary", b"x" * 1_000_000, soon(10))) == b"x" * 2_000_000
+        assert (
+            loop.do(lambda: channel.unary("/t/Unary", b"x" * 1_000_000, soon(10)))
+            == b"x" * 2_000_000
+        )
         for path, code in (("/t/Fail", Code.NOT_FOUND), ("/t/None", Code.UNIMPLEMENTED)):
             with pytest.raises(RpcError) as problem:
                 loop.do(lambda: channel.unary(path, b"", soon()))
@@ -356,6 +429,7 @@
             call.done_sending()
             assert call.receive() is None
             return got
+
         assert loop.do(both_ways) == [(b"%d" % number * 100)[::-1] for number in range(100)]
         server.stop(0.2).wait()
         with pytest.raises(RpcError) as problem:
@@ -367,7 +441,13 @@
 
 
 def test_peers_that_are_silent_slow_or_speak_otherwise_are_dropped_and_others_served():
-    limits = RpcLimits(handshake_time=200 * MS, stall_time=400 * MS, ping_after=200 * MS, ping_wait=200 * MS, end_time=50 * MS)
+    limits = RpcLimits(
+        handshake_time=200 * MS,
+        stall_time=400 * MS,
+        ping_after=200 * MS,
+        ping_wait=200 * MS,
+        end_time=50 * MS,
+    )
     with Loop() as loop:
         server, port, _ = serving(loop, limits)
 
@@ -379,6 +459,7 @@
             except ConnectionResetError:
                 pass
             sock.close()
+
         for content in (b"", *GARBAGE):  # nothing at all, or no HTTP/2
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(content)
@@ -394,7 +475,11 @@
         client = raw_client()
         client.send_headers(1, HEADERS[:1] + [(":path", "/t/Unary")] + HEADERS[2:])
         for number in range(4):
-            client.send_data(1, packed(b"x" * 60_000)[number * 16_000:(number + 1) * 16_000], end_stream=number == 3)
+            client.send_data(
+                1,
+                packed(b"x" * 60_000)[number * 16_000 : (number + 1) * 16_000],
+                end_stream=number == 3,
+            )
         sock.sendall(client.data_to_send())
         reset, at = None, time.monotonic()
         while reset is None and time.monotonic() < at + 5:
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -35,10 +35,12 @@
 def test_each_cut_and_each_flipped_bit_gives_the_last_state_or_a_refusal():
     disk = Memory(Random(1))
     filled(disk, 3)
-    name, = disk.names()
+    (name,) = disk.names()
     content = disk.read(name)
     whole = load([name], disk.read).state
-    states = [whole, {}] + [{b"a": b"%d" % at} | {b"k%d" % n: b"v" * 40 for n in range(at + 1)} for at in range(3)]
+    states = [whole, {}] + [
+        {b"a": b"%d" % at} | {b"k%d" % n: b"v" * 40 for n in range(at + 1)} for at in range(3)
+    ]
     last = 0
     for at in range(len(content) + 1):
         found = load([name], lambda _, at=at: content[:at]).state
@@ -58,7 +60,7 @@
 def test_a_segment_that_failed_is_never_written_to_again(fault):
     disk = Memory(Random(2))
     store = filled(disk)
-    before, = disk.names()
+    (before,) = disk.names()
     disk.faults = Faults(**{fault: 1.0})
     if fault in ("append", "sync"):
         with pytest.raises(NotKept):
@@ -101,34 +103,43 @@
             assert type(problem).__name__ == "PowerLost"
         disk.power_lost()
         found = load(disk.names(), disk.read).state
-        assert all(found.get(key) == value for key, value in state.items()) or found == state | batch, cut
+        assert (
+            all(found.get(key) == value for key, value in state.items()) or found == state | batch
+        ), cut
 
 
 def test_foreign_newer_missing_and_swapped_segments_are_told_apart():
     disk = Memory(Random(4))
     filled(disk)
-    name, = disk.names()
+    (name,) = disk.names()
     content = disk.read(name)
 
     def refusal(files):
         with pytest.raises(Refused) as caught:
             load(files, files.get)
         return str(caught.value)
+
     newer = bytearray(content)
     newer[8] = 2
-    newer[HEAD.size - 4:HEAD.size] = form.crc32c(bytes(newer[:HEAD.size - 4])).to_bytes(4, "little")
+    newer[HEAD.size - 4 : HEAD.size] = form.crc32c(bytes(newer[: HEAD.size - 4])).to_bytes(
+        4, "little"
+    )
     assert "is of form 2" in refusal({name: bytes(newer)})
     assert "no segment of a store" in refusal({name: b"x" * 600})
     assert "says that it is" in refusal({form.name_of(9): content})
     other = Memory(Random(5))
     Store(other, b"o" * 16)
-    assert "another store" in refusal({name: other.read(other.names()[0]), form.name_of(2): _numbered(content, 2)})
+    assert "another store" in refusal(
+        {name: other.read(other.names()[0]), form.name_of(2): _numbered(content, 2)}
+    )
     assert load([], {}.get).segment == 0  # an empty folder is a new store: only peers can tell
 
 
 def _numbered(content, number):
     given = form.read_head(form.name_of(1), content)
-    frames, mark = form.frame(WHOLE, 0, 0, int.from_bytes(form.head(given._replace(number=number))[-4:], "little"))
+    frames, mark = form.frame(
+        WHOLE, 0, 0, int.from_bytes(form.head(given._replace(number=number))[-4:], "little")
+    )
     return form.head(given._replace(number=number)) + frames
 
 
@@ -141,7 +152,9 @@
     disk.end()
     again = Store(Disk(str(tmp_path / "store")))
     assert again.sequence == 5 and again.get(b"a") == b"4" and not again.notes.fresh
-    assert [name for name in os.listdir(tmp_path / "store") if name.endswith(".seg")] == [form.name_of(2)]
+    assert [name for name in os.listdir(tmp_path / "store") if name.endswith(".seg")] == [
+        form.name_of(2)
+    ]
 
 
 def test_commands_say_where_a_store_is_damaged_and_salvage_the_rest(tmp_path):
@@ -182,6 +195,7 @@
         finally:
             keeper.stop()
             scheduler.stop()
+
     scheduler.spawn(keeper.keep_hearing)
     scheduler.spawn(whole)
     scheduler.run()
@@ -207,7 +221,10 @@
         (control / PLAN).write_text("{}")
         assert keeper.settle(20_000_000_000)
         return done, longest
-    done, longest = kept(Folders(str(tmp_path), lambda path: Played(path, control=str(control))), conduct)
+
+    done, longest = kept(
+        Folders(str(tmp_path), lambda path: Played(path, control=str(control))), conduct
+    )
     assert done == [(1, "")] and longest < 1.0
 
 
@@ -247,6 +264,7 @@
             plain(self, handle)
         except OSError:
             plain(self, handle)
+
     monkeypatch.setattr(Memory, "sync", twice)
 
 
@@ -259,17 +277,26 @@
                 self._remove(name)
         self._files.sync_folder()
         plain(self, writing, sequence, batches)
+
     monkeypatch.setattr(log.Store, "_finish", finish)
 
 
-@pytest.mark.parametrize("fault, kind", [(_unchecked, "flip"), (_folder_not_synced, "power"), (_tail_accepted, "flip"),
-                                         (_sync_tried_again, "failing"), (_old_removed_first, "power")])
+@pytest.mark.parametrize(
+    "fault, kind",
+    [
+        (_unchecked, "flip"),
+        (_folder_not_synced, "power"),
+        (_tail_accepted, "flip"),
+        (_sync_tried_again, "failing"),
+        (_old_removed_first, "power"),
+    ],
+)
 def test_deliberate_faults_are_found(monkeypatch, fault, kind):
     fault(monkeypatch)
     if kind == "flip":
         disk = Memory(Random(1))
         filled(disk)
-        name, = disk.names()
+        (name,) = disk.names()
         whole, content, wrong = load([name], disk.read).state, disk.read(name), 0
         for bit in range(8 * HEAD.size, 8 * len(content)):
             flipped = bytearray(content)
@@ -280,16 +307,23 @@
                 pass
         assert wrong
     else:
-        assert any(verdict.invented or verdict.lost_synced for verdict in (play(seed, kind) for seed in range(400)))
+        assert any(
+            verdict.invented or verdict.lost_synced
+            for verdict in (play(seed, kind) for seed in range(400))
+        )
 
 
 def test_a_batch_is_whole_or_not_there():
     disk = Memory(Random(6))
     store = Store(disk)
     store.commit([{b"%d" % at: b"1" * 30 for at in range(1000)}])
-    name, = disk.names()
+    (name,) = disk.names()
     content = disk.read(name)
-    frame = next(at for at in range(HEAD.size, len(content)) if getattr(form.frame_at(content, at), "kind", 0) == BATCH)
+    frame = next(
+        at
+        for at in range(HEAD.size, len(content))
+        if getattr(form.frame_at(content, at), "kind", 0) == BATCH
+    )
     for at in range(frame, len(content) - 36, 997):
         assert load([name], lambda _, at=at: content[:at]).state == {}
     with pytest.raises(ValueError):
@@ -312,8 +346,25 @@
         keeper.keep({b"new": b"1"}, lambda number, why: None)
         assert keeper.settle()
         return opened[0]
+
     notes, items, lost, why = kept(Folders(str(tmp_path)), conduct)
-    assert notes is not None and not notes.fresh and notes.sequence == 1 and dict(items)[b"a"] == b"4" and file.name in lost and not why
+    assert (
+        notes is not None
+        and not notes.fresh
+        and notes.sequence == 1
+        and dict(items)[b"a"] == b"4"
+        and file.name in lost
+        and not why
+    )
     assert file.read_bytes() == content
-    assert kept(Folders(str(tmp_path)), lambda scheduler, keeper, opened: scheduler.sleep(300_000_000) or opened)[0][2] == ""
-    assert load(os.listdir(tmp_path / "store-2"), Disk(str(tmp_path / "store-2")).read).state[b"new"] == b"1"
+    assert (
+        kept(
+            Folders(str(tmp_path)),
+            lambda scheduler, keeper, opened: scheduler.sleep(300_000_000) or opened,
+        )[0][2]
+        == ""
+    )
+    assert (
+        load(os.listdir(tmp_path / "store-2"), Disk(str(tmp_path / "store-2")).read).state[b"new"]
+        == b"1"
+    )
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -6,7 +6,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from corklift.control.views import EVERY, MS, SECOND, Kind, Resource, Settings, TooMany, Views, version_of
+from corklift.control.views import (
+    EVERY,
+    MS,
+    SECOND,
+    Kind,
+    Resource,
+    Settings,
+    TooMany,
+    Views,
+    version_of,
+)
 
 C, E, L, R = Kind.CLUSTERS, Kind.ENDPOINTS, Kind.LISTENERS, Kind.ROUTES
 
@@ -43,7 +53,14 @@
         if self.views.streams[number].incremental:
             self.change(number, response.kind, nonce=response.nonce, problem=problem)
         else:
-            self.ask(number, response.kind, names, response.version if problem is None else "", response.nonce, problem)
+            self.ask(
+                number,
+                response.kind,
+                names,
+                response.version if problem is None else "",
+                response.nonce,
+                problem,
+            )
 
     def settle(self, number, names):
         """Reads and accepts until there is nothing more."""
@@ -60,7 +77,12 @@
 
 
 def tables(*clusters, text="", shape=""):
-    return {C: table(*clusters, text=shape), E: table(*clusters, text=text), L: table("door", text=shape), R: table("door", text="+".join(clusters) + shape, refers=clusters)}
+    return {
+        C: table(*clusters, text=shape),
+        E: table(*clusters, text=text),
+        L: table("door", text=shape),
+        R: table("door", text="+".join(clusters) + shape, refers=clusters),
+    }
 
 
 NAMES = {E: ("a", "b"), R: ("door",)}
@@ -82,7 +104,12 @@
     wire.views.changed(wire.now, tables("a", "b"))
     got = wire.settle(1, NAMES)
     assert [response.kind for response in got] == [C, E, L, R]
-    assert [sorted(r.name for r in response.resources) for response in got] == [["a", "b"], ["a", "b"], ["door"], ["door"]]
+    assert [sorted(r.name for r in response.resources) for response in got] == [
+        ["a", "b"],
+        ["a", "b"],
+        ["door"],
+        ["door"],
+    ]
     assert wire.views.behind(1) == [] and wire.read(1) == []
 
 
@@ -149,7 +176,9 @@
     wire.views.closed(1)
     wire.open(2)
     for kind in (C, E, L, R):
-        wire.ask(2, kind, NAMES.get(kind, ()), versions[kind], nonce="77")  # the nonce is of the stream that is gone
+        wire.ask(
+            2, kind, NAMES.get(kind, ()), versions[kind], nonce="77"
+        )  # the nonce is of the stream that is gone
     assert wire.read(2) == [] and wire.views.behind(2) == []
     wire.views.closed(2)
     wire.views.changed(wire.now, {E: table("a", "b", text="drained")}, urgent=True)
@@ -239,7 +268,10 @@
     subscribed(wire, 1, names=("a",))
     wire.views.changed(wire.now, tables("b"))
     (clusters,) = wire.read(1)
-    assert clusters.kind is C and sorted(r.name for r in clusters.resources) == ["a", "b"]  # made before the break
+    assert clusters.kind is C and sorted(r.name for r in clusters.resources) == [
+        "a",
+        "b",
+    ]  # made before the break
     wire.answer(1, clusters)
     wire.ask(1, E, ["a", "b"], "", wire.views.streams[1].kinds[E].last_nonce)
     got = []
@@ -259,7 +291,9 @@
     wire.now += 200 * MS
     wire.views.tick(wire.now)
     got = wire.read(1)
-    assert {response.kind for response in got} == {C, R} and [r.name for r in got[0].resources] == ["c"]
+    assert {response.kind for response in got} == {C, R} and [r.name for r in got[0].resources] == [
+        "c"
+    ]
 
 
 def test_one_that_asks_for_clusters_by_name_gets_its_routes_first():
@@ -291,8 +325,12 @@
     one, other = Wire(), Wire()
     one.views.changed(one.now, tables("a", "b"))
     other.views.changed(other.now, tables("z"))
-    other.views.changed(other.now, {kind: dict(reversed(held.items())) for kind, held in tables("a", "b").items()})
-    assert [one.views.version(kind) for kind in Kind] == [other.views.version(kind) for kind in Kind]
+    other.views.changed(
+        other.now, {kind: dict(reversed(held.items())) for kind, held in tables("a", "b").items()}
+    )
+    assert [one.views.version(kind) for kind in Kind] == [
+        other.views.version(kind) for kind in Kind
+    ]
     subscribed(one, 1)
     one.views.changed(one.now, {E: table("a", "b", text="")}, urgent=True)
     assert one.read(1) == []  # nothing has changed
@@ -325,10 +363,18 @@
         wire.open(number, incremental)
         for kind, names in ((C, ()), (E, "abc"), (L, ()), (R, ["door"])):
             if incremental:
-                wire.change(number, kind, names, had={name: r.version for name, r in held[kind].items()})
+                wire.change(
+                    number, kind, names, had={name: r.version for name, r in held[kind].items()}
+                )
             else:
                 scope = held[kind].values()
-                wire.ask(number, kind, names, version_of(scope) if held[kind] else "", nonce=rng.choice(["", "3"]))
+                wire.ask(
+                    number,
+                    kind,
+                    names,
+                    version_of(scope) if held[kind] else "",
+                    nonce=rng.choice(["", "3"]),
+                )
 
     def act(calm):
         for response in wire.read(number):
@@ -338,14 +384,22 @@
             refuse = not calm and rng.random() < 0.2
             if not refuse:
                 apply(response)
-            wire.answer(number, response, {E: "abc", R: ["door"]}.get(response.kind, ()), "no" if refuse else None)
+            wire.answer(
+                number,
+                response,
+                {E: "abc", R: ["door"]}.get(response.kind, ()),
+                "no" if refuse else None,
+            )
+
     connect()
     for _ in range(40):
         wire.now += rng.choice((10, 400, 1500)) * MS
         what = rng.random()
         if what < 0.4:
             names = rng.sample("abc", rng.randint(0, 3))
-            wire.views.changed(wire.now, tables(*names, text=str(rng.randint(0, 3))), urgent=rng.random() < 0.5)
+            wire.views.changed(
+                wire.now, tables(*names, text=str(rng.randint(0, 3))), urgent=rng.random() < 0.5
+            )
         elif what < 0.5:
             connect()
         wire.views.tick(wire.now)
@@ -358,5 +412,6 @@
     assert wire.views.behind(number) == [], wire.views.statuses(number)
     for kind in (C, E):
         assert {name for name in held[kind]} >= {"a", "c"} and all(
-            held[kind][name] == wire.views._view[kind][name] for name in "ac")
+            held[kind][name] == wire.views._view[kind][name] for name in "ac"
+        )
     assert set(held[C]) == {"a", "c"}
--- a/tools/fleet_count.py
+++ b/tools/fleet_count.py
@@ -28,7 +28,9 @@
 FIGURE = re.compile(r"([a-z][a-z -]*)=(\d+)")
 
 
-def count(logs: Iterable[Iterable[str]]) -> tuple[dict[int, Counter[str]], dict[int, Counter[str]], int]:
+def count(
+    logs: Iterable[Iterable[str]],
+) -> tuple[dict[int, Counter[str]], dict[int, Counter[str]], int]:
     """By second: the sums of all logs, how many lines told of each server and how; and the lines that can't be read."""
     sums: dict[int, Counter[str]] = defaultdict(Counter)
     servers: dict[int, Counter[str]] = defaultdict(Counter)
