--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -30,7 +30,7 @@
 from corklift.control.status import rows
 from corklift.control.views import Kind, Response, Views
 from corklift.control.views import Settings as ViewSettings
-from corklift.control.weights import Told
+from corklift.control.weights import PublishedWeights
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import Scheduler, wall_clock
 from corklift.rpc.client import Channel
@@ -426,7 +426,7 @@
         f"s{at:04}": Place(f"s{at:04}", (f"127.0.{at // 250}.{at % 250 + 1}", 9000), "here")
         for at in range(number)
     }
-    told = Told({name: 10_000 // number for name in places}, 0)
+    told = PublishedWeights({name: 10_000 // number for name in places}, 0)
     host.views.changed(
         0,
         {
@@ -442,7 +442,9 @@
             host.views.requested(0, 1, kind, names, "", "", None)
         host.views.room(0, 1)
     host.sizes.clear()
-    left = Told({name: weight for name, weight in told.weights.items() if name != "s0007"}, 0)
+    left = PublishedWeights(
+        {name: weight for name, weight in told.weights.items() if name != "s0007"}, 0
+    )
     host.views.changed(
         0, {Kind.ENDPOINTS: {"plain": resources.endpoints("plain", left, places)}}, urgent=True
     )
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -258,7 +258,7 @@
             given = read(config)
         except BadConfig as problem:
             raise click.ClickException(str(problem)) from None
-        click.echo(f"{config}: {len(given.workloads)} workloads, {len(given.doors)} listeners")
+        click.echo(f"{config}: {len(given.workloads)} workloads, {len(given.listeners)} listeners")
         return
     from corklift.control.program import main as serve
 
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -12,7 +12,7 @@
 from msgspec import Meta
 
 from corklift.control import views, weights
-from corklift.control.resources import Door, Route
+from corklift.control.resources import ListenerSpec, Route
 from corklift.interface import ColdRule, Workload
 from corklift.net.limits import Limits
 from corklift.rpc.core import MS, SECOND, RpcLimits
@@ -150,7 +150,7 @@
         for at, workload in enumerate(table.workloads):
             if workload.soft_limit_ms > workload.time_limit_ms:
                 raise BadConfig(f"config: workloads[{at}].soft_limit_ms is over its time_limit_ms")
-        self.doors = []
+        self.listeners = []
         for at, given in enumerate(table.listeners):
             for number, route in enumerate(given.routes):
                 if route.workload not in names:
@@ -163,15 +163,15 @@
                     f"config: listeners[{at}].protocol is tcp: it needs an address and one route"
                 )
             address = _address(given.address, f"listeners[{at}].address") if given.address else None
-            self.doors.append(
-                Door(
+            self.listeners.append(
+                ListenerSpec(
                     given.name,
                     tuple(Route(r.prefix, r.workload) for r in given.routes),
                     address,
                     given.protocol == "tcp",
                 )
             )
-        if len({door.name for door in self.doors}) < len(self.doors):
+        if len({listener.name for listener in self.listeners}) < len(self.listeners):
             raise BadConfig("config: listeners has a name twice")
         fresh = table.freshness
         self.stale_after, self.ttl = fresh.endpoint_stale_after_ms * MS, fresh.ttl_ms * MS
--- a/corklift/control/kept.py
+++ b/corklift/control/persistence.py
@@ -24,7 +24,7 @@
 WAIT = 100 * MS  # for the disk, before a view follows the list all the same
 
 
-class Kept(Quiet):
+class PersistentState(Quiet):
     """Drives the recovery's facts, alone: there is nobody to ask."""
 
     def __init__(
@@ -33,9 +33,14 @@
         path: str,
         patience: int,
         listed: Callable[[Scope, Listing], None],
-        say: Callable[..., None],
+        write_event: Callable[..., None],
     ) -> None:
-        self._scheduler, self._patience, self._listed, self._say = scheduler, patience, listed, say
+        self._scheduler, self._patience, self._listed, self._write_event = (
+            scheduler,
+            patience,
+            listed,
+            write_event,
+        )
         self._core = Recovery(
             self,
             Random(),
@@ -180,4 +185,4 @@
         self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
 
     def log(self, what: str, **fields: Any) -> None:
-        self._say("store", kind=what, **fields)
+        self._write_event("store", kind=what, **fields)
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -19,11 +19,11 @@
 
 from corklift.control import resources
 from corklift.control.config import BadConfig, Control, read
-from corklift.control.kept import Kept
+from corklift.control.persistence import PersistentState
 from corklift.control.resources import Place
 from corklift.control.service import Service
 from corklift.control.views import Kind, Resource, Views
-from corklift.control.weights import Told, Weights
+from corklift.control.weights import PublishedWeights, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
 from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
@@ -40,17 +40,17 @@
 KEPT_FOR = 30 * SECOND  # a connection for probes idles so long
 
 
-class Lines:
+class EventLog:
     """JSON lines on standard error, by structlog; they wait in a short queue, never for whoever reads them."""
 
-    MOST = 1000  # that wait
-    A_SECOND = 100
+    MAX_QUEUED_LINES = 1000  # that wait
+    MAX_LINES_PER_SECOND = 100
 
     def __init__(self, scheduler: Scheduler, counters: Counters) -> None:
         self._scheduler, self._counters = scheduler, counters
         self._queue: deque[str] = deque()
         self._task: Any = None
-        self._second, self._left = 0, self.A_SECOND
+        self._second, self._left = 0, self.MAX_LINES_PER_SECOND
         self._log = structlog.wrap_logger(
             self,
             processors=[
@@ -63,9 +63,9 @@
         """What structlog hands a line to."""
         second = self._scheduler.now() // SECOND
         if second != self._second:
-            self._second, self._left = second, self.A_SECOND
+            self._second, self._left = second, self.MAX_LINES_PER_SECOND
         self._left -= 1
-        if len(self._queue) >= self.MOST or self._left < 0:
+        if len(self._queue) >= self.MAX_QUEUED_LINES or self._left < 0:
             self._counters["log lines dropped"] += 1
             return
         self._queue.append(line)
@@ -74,22 +74,22 @@
 
     info = msg
 
-    def say(self, event: str, **fields: Any) -> None:
+    def write(self, event: str, **fields: Any) -> None:
         self._log.info(event, **fields)
 
-    def keep_printing(self) -> None:
+    def keep_writing(self) -> None:
         self._task = self._scheduler.current
         while True:
             if not self._queue:
                 self._scheduler.wait({})
             elif self._scheduler.wait({sys.stderr.fileno(): WRITE}):
-                self._print_one()
+                self._write_one()
 
-    def print_all(self) -> None:
+    def flush(self) -> None:
         while self._queue:
-            self._print_one()
+            self._write_one()
 
-    def _print_one(self) -> None:
+    def _write_one(self) -> None:
         try:
             print(self._queue.popleft(), file=sys.stderr, flush=True)
         except OSError:
@@ -103,7 +103,7 @@
         self.config, self._path = config, path
         self.counters = Counters()
         self.scheduler = scheduler = Scheduler(now or wall_clock(), self._failed)
-        self.lines = Lines(scheduler, self.counters)
+        self.event_log = EventLog(scheduler, self.counters)
         self.facade = Facade(
             scheduler,
             config.table.seed,
@@ -113,7 +113,7 @@
             [],
             [],
             0,
-            lambda text: self.lines.say("decisions", text=text),
+            lambda text: self.event_log.write("decisions", text=text),
             self.counters,
         )
         self.weights = Weights(config.weights)
@@ -126,7 +126,7 @@
             self.counters,
             lambda host: Views(host, config.views),
             self.facade_placed,
-            self.lines.say,
+            self.event_log.write,
             ttl=config.ttl,
             report_every=config.table.load_reports.every_ms * MS,
         )
@@ -135,10 +135,12 @@
         self.port = self.server.listen(config.listen)
         self.probes = Probes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
         printer = Printer(config.net, scheduler.now, self.counters)
-        printer.say = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
+        printer.say = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
-        self.kept = (
-            Kept(scheduler, store.path, store.patience_ms * MS, self.listed, self.lines.say)
+        self.persistent_state = (
+            PersistentState(
+                scheduler, store.path, store.patience_ms * MS, self.listed, self.event_log.write
+            )
             if store
             else None
         )
@@ -147,8 +149,8 @@
             config.net,
             self.counters,
             printer,
-            self.kept or self,
-            config.discovery,  # type: ignore[arg-type]
+            self.persistent_state or self,  # type: ignore[arg-type]
+            config.discovery,
             Random(config.table.seed ^ 1),
         )
         self._stopping = False
@@ -191,7 +193,7 @@
                 held.pop(name, None)
         if self._known_at is None:
             self._known_at = now
-            self.lines.say("list known", servers=len(self._places))
+            self.event_log.write("list known", servers=len(self._places))
         changed = self.weights.left(left | gone | anew)
         changed += [
             name
@@ -226,7 +228,7 @@
             if self.weights.due(now, workload.name):
                 chances = self.facade.chances(workload.name, self.config.span)
                 if self.config.table.weights.log:
-                    self.lines.say(
+                    self.event_log.write(
                         "weighed",
                         workload=workload.name,
                         chances={n: round(c, 6) for n, c in chances.items()},
@@ -240,7 +242,7 @@
                     changed.append(workload.name)
         if not self.views.known:
             self.views.changed(now, self._all_tables())
-            self.lines.say("serving", servers=len(ready), proxies=len(self.views.streams))
+            self.event_log.write("serving", servers=len(ready), proxies=len(self.views.streams))
         elif changed:
             self.counters["views changed by weights"] += 1
             self.views.changed(now, {Kind.ENDPOINTS: self._endpoints(changed)})
@@ -249,7 +251,7 @@
         table = dict(self.views.table(Kind.ENDPOINTS))
         draining = self._marked()
         for workload in workloads:
-            told = self.weights.told.get(workload, Told({}, 0))
+            told = self.weights.told.get(workload, PublishedWeights({}, 0))
             table[workload] = resources.endpoints(
                 workload, told, self._places, draining, self.config.stale_after
             )
@@ -267,9 +269,13 @@
         clusters = {name: resources.cluster(name, connect_time) for name in names}
         tables = {
             Kind.CLUSTERS: clusters,
-            Kind.LISTENERS: {door.name: resources.listener(door) for door in self.config.doors},
+            Kind.LISTENERS: {
+                listener.name: resources.listener(listener) for listener in self.config.listeners
+            },
             Kind.ROUTES: {
-                door.name: resources.routes(door) for door in self.config.doors if not door.plain
+                listener.name: resources.routes(listener)
+                for listener in self.config.listeners
+                if not listener.is_tcp
             },
         }
         known = self._endpoints(names)
@@ -283,11 +289,11 @@
             new = read(self._path or "")
         except BadConfig as problem:
             self.counters["configurations refused"] += 1
-            self.lines.say("configuration refused", reason=str(problem))
+            self.event_log.write("configuration refused", reason=str(problem))
             return
         old, self.config = self.config, new
         if new.listen != old.listen:
-            self.lines.say("listen is taken at a start only", listen=old.table.listen)
+            self.event_log.write("listen is taken at a start only", listen=old.table.listen)
         self.facade.settings_changed(new.arguments(), new.report_names, None, [], [])
         self.weights.settings, self.views.settings = new.weights, new.views
         self.weights.forget([workload.name for workload in new.workloads])
@@ -304,21 +310,21 @@
                         now, workload.name, self.facade.chances(workload.name, new.span), ready
                     )
             self.views.changed(now, self._all_tables())
-        self.lines.say("configuration taken")
+        self.event_log.write("configuration taken")
 
     def start(self) -> None:
         spawn = self.scheduler.spawn
-        spawn(self.lines.keep_printing)
+        spawn(self.event_log.keep_writing)
         for job in (
             self.facade.keep_ticking,
             self.probes.keep_probing,
             self.watch.keep_watching,
             self.keep_weighing,
             self.server.keep_accepting,
-            *(self.kept.jobs() if self.kept else ()),
+            *(self.persistent_state.jobs() if self.persistent_state else ()),
         ):
             spawn(self._keep, job)
-        self.lines.say(
+        self.event_log.write(
             "started",
             listen=f"{self.config.listen[0]}:{self.port}",
             discovery=self.config.table.discovery,
@@ -344,10 +350,10 @@
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
         self.tell_counters()
-        self.lines.print_all()
+        self.event_log.flush()
 
     def tell_counters(self) -> None:
-        self.lines.say(
+        self.event_log.write(
             "counters",
             **{name.replace(" ", "_"): value for name, value in sorted(self.counters.items())},
             proxies=len(self.views.streams),
@@ -357,7 +363,7 @@
         """Proxies are told to go elsewhere (GOAWAY, and their streams end), then the program ends."""
         if not self._stopping:
             self._stopping = True
-            self.lines.say("told to stop", proxies=len(self.views.streams))
+            self.event_log.write("told to stop", proxies=len(self.views.streams))
             self.scheduler.spawn(self._see_out)
 
     def _see_out(self) -> None:
@@ -368,14 +374,14 @@
             for call in list(self.service._calls.values()):
                 call._wake()
             self.server.leave(self.config.table.stop.grace_ms * MS)
-            if self.kept:
-                self.kept.end()
+            if self.persistent_state:
+                self.persistent_state.end()
         finally:
             self.scheduler.stop()
 
     def _failed(self, trace: str) -> None:
         self.counters["exceptions"] += 1
-        self.lines.say("exception", trace=trace)
+        self.event_log.write("exception", trace=trace)
 
 
 def main(path: str) -> int:
@@ -385,7 +391,7 @@
         allowed = allow_sockets(wanted)
         program = Program(config, path)
         if allowed < wanted:
-            program.lines.say(
+            program.event_log.write(
                 "fewer descriptors than the limits ask for", allowed=allowed, wanted=wanted
             )
     except BadConfig as problem:
--- a/corklift/control/resources.py
+++ b/corklift/control/resources.py
@@ -26,7 +26,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from corklift.control.views import Kind, Resource, Response
-from corklift.control.weights import WHOLE, Told
+from corklift.control.weights import WHOLE, PublishedWeights
 
 PREFIX = "type.googleapis.com/"
 TYPES = {
@@ -60,13 +60,13 @@
     workload: str
 
 
-class Door(NamedTuple):
+class ListenerSpec(NamedTuple):
     """A listener: without an address it is one that gRPC clients dial by name."""
 
     name: str
     routes: tuple[Route, ...]
     address: tuple[str, int] | None = None
-    plain: bool = (
+    is_tcp: bool = (
         False  # lines or any other bytes over TCP: the first route's workload has all of it
     )
 
@@ -105,7 +105,7 @@
 
 def endpoints(
     workload: str,
-    told: Told,
+    told: PublishedWeights,
     places: Mapping[str, Place],
     draining: Iterable[Place] = (),
     stale_after: int = 0,
@@ -140,36 +140,36 @@
     return locality
 
 
-def listener(door: Door) -> Resource:
+def listener(spec: ListenerSpec) -> Resource:
     manager = hcm_pb2.HttpConnectionManager(
-        stat_prefix=door.name,
-        rds=hcm_pb2.Rds(config_source=_over_ads(), route_config_name=door.name),
+        stat_prefix=spec.name,
+        rds=hcm_pb2.Rds(config_source=_over_ads(), route_config_name=spec.name),
         http_filters=[hcm_pb2.HttpFilter(name=ROUTER, typed_config=_packed(router_pb2.Router()))],
     )
-    message = listener_pb2.Listener(name=door.name)
-    if door.address is None:
+    message = listener_pb2.Listener(name=spec.name)
+    if spec.address is None:
         message.api_listener.api_listener.CopyFrom(_packed(manager))
     else:
         message.address.socket_address.address, message.address.socket_address.port_value = (
-            door.address
+            spec.address
         )
         inner: Message = manager
         name = "envoy.filters.network.http_connection_manager"
-        if door.plain:
-            inner = tcp_proxy_pb2.TcpProxy(stat_prefix=door.name, cluster=door.routes[0].workload)
+        if spec.is_tcp:
+            inner = tcp_proxy_pb2.TcpProxy(stat_prefix=spec.name, cluster=spec.routes[0].workload)
             name = "envoy.filters.network.tcp_proxy"
         message.filter_chains.add().filters.add(name=name, typed_config=_packed(inner))
-    refers = [door.routes[0].workload] if door.plain else []
-    return Resource.of(door.name, _bytes(message), refers)
+    refers = [spec.routes[0].workload] if spec.is_tcp else []
+    return Resource.of(spec.name, _bytes(message), refers)
 
 
-def routes(door: Door) -> Resource:
-    message = route_pb2.RouteConfiguration(name=door.name)
-    host = message.virtual_hosts.add(name=door.name, domains=["*"])
-    for route in door.routes:
+def routes(spec: ListenerSpec) -> Resource:
+    message = route_pb2.RouteConfiguration(name=spec.name)
+    host = message.virtual_hosts.add(name=spec.name, domains=["*"])
+    for route in spec.routes:
         entry = host.routes.add()
         entry.match.prefix, entry.route.cluster = route.prefix, route.workload
-    return Resource.of(door.name, _bytes(message), [route.workload for route in door.routes])
+    return Resource.of(spec.name, _bytes(message), [route.workload for route in spec.routes])
 
 
 def response(told: Response, incremental: bool, ttl: int = 0) -> bytes:
--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -14,7 +14,7 @@
 LEAST = 1
 
 
-class Told(NamedTuple):
+class PublishedWeights(NamedTuple):
     """What the proxies are to do with a workload's logins."""
 
     weights: dict[str, int]  # by server; they sum to WHOLE, or nearly
@@ -30,7 +30,7 @@
 class Weights:
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, PublishedWeights] = {}
         self._told_at: dict[str, int] = {}
 
     def left(self, servers: Collection[str]) -> list[str]:
@@ -43,7 +43,7 @@
                 left = {
                     name: weight for name, weight in told.weights.items() if name not in servers
                 }
-                self.told[workload] = Told(left, told.refused)
+                self.told[workload] = PublishedWeights(left, told.refused)
                 changed.append(workload)
         return changed
 
@@ -67,14 +67,14 @@
         else:
             refused = WHOLE if ready else 0
             weights = {name: max(LEAST, WHOLE // len(ready)) for name in sorted(ready)}
-        new, old = Told(weights, refused), self.told.get(workload)
+        new, old = PublishedWeights(weights, refused), self.told.get(workload)
         if old is not None and not self._matters(old, new):
             return False
         self.told[workload] = new
         self._told_at[workload] = now
         return True
 
-    def _matters(self, old: Told, new: Told) -> bool:
+    def _matters(self, old: PublishedWeights, new: PublishedWeights) -> bool:
         if old.weights.keys() != new.weights.keys():
             return True
         was, now = sum(old.weights.values()) or 1, sum(new.weights.values()) or 1
