--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -28,8 +28,12 @@
 from corklift.control.resources import Place
 from corklift.control.service import CSDS
 from corklift.control.status import rows
-from corklift.control.views import Kind, Response, Views
-from corklift.control.views import Settings as ViewSettings
+from corklift.control.subscriptions import (
+    ResourceKind,
+    Response,
+    SubscriptionManager,
+    SubscriptionSettings,
+)
 from corklift.control.weights import PublishedWeights
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import Scheduler, wall_clock
@@ -413,7 +417,7 @@
 class _Sent:
     def __init__(self, incremental: bool) -> None:
         self.incremental, self.sizes = incremental, list[int]()
-        self.views = Views(self, ViewSettings())
+        self.views = SubscriptionManager(self, SubscriptionSettings())
 
     def send(self, stream: int, response: Response) -> None:
         self.sizes.append(len(resources.response(response, self.incremental)))
@@ -427,26 +431,28 @@
         for at in range(number)
     }
     told = PublishedWeights({name: 10_000 // number for name in places}, 0)
-    host.views.changed(
+    host.views.update_snapshot(
         0,
         {
-            Kind.CLUSTERS: {"plain": resources.cluster("plain", SECOND)},
-            Kind.ENDPOINTS: {"plain": resources.endpoints("plain", told, places)},
+            ResourceKind.CLUSTERS: {"plain": resources.cluster("plain", SECOND)},
+            ResourceKind.ENDPOINTS: {"plain": resources.endpoints("plain", told, places)},
         },
     )
-    host.views.opened(0, 1, incremental)
-    for kind, names in ((Kind.CLUSTERS, ()), (Kind.ENDPOINTS, ("plain",))):
+    host.views.open_stream(0, 1, incremental)
+    for kind, names in ((ResourceKind.CLUSTERS, ()), (ResourceKind.ENDPOINTS, ("plain",))):
         if incremental:
-            host.views.requested_changes(0, 1, kind, names, (), {}, "", None)
+            host.views.handle_delta_request(0, 1, kind, names, (), {}, "", None)
         else:
-            host.views.requested(0, 1, kind, names, "", "", None)
-        host.views.room(0, 1)
+            host.views.handle_request(0, 1, kind, names, "", "", None)
+        host.views.stream_writable(0, 1)
     host.sizes.clear()
     left = PublishedWeights(
         {name: weight for name, weight in told.weights.items() if name != "s0007"}, 0
     )
-    host.views.changed(
-        0, {Kind.ENDPOINTS: {"plain": resources.endpoints("plain", left, places)}}, urgent=True
+    host.views.update_snapshot(
+        0,
+        {ResourceKind.ENDPOINTS: {"plain": resources.endpoints("plain", left, places)}},
+        urgent=True,
     )
     return sum(host.sizes)
 
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Meta
 
-from corklift.control import views, weights
+from corklift.control import subscriptions, weights
 from corklift.control.resources import ListenerSpec, Route
 from corklift.interface import ColdRule, Workload
 from corklift.net.limits import Limits
@@ -181,12 +181,12 @@
                 "config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: proxies would run dry"
             )
         limits = table.limits
-        self.views = views.Settings(
-            ack_wait=fresh.ack_wait_ms * MS,
-            hold_time=fresh.hold_ms * MS,
-            refresh=shortest // 3,
-            heartbeats=bool(self.ttl) and not self.stale_after,
-            names=limits.names,
+        self.subscriptions = subscriptions.SubscriptionSettings(
+            ack_timeout=fresh.ack_wait_ms * MS,
+            dependency_timeout=fresh.hold_ms * MS,
+            refresh_interval=shortest // 3,
+            use_heartbeats=bool(self.ttl) and not self.stale_after,
+            max_names=limits.names,
         )
         self.weights = weights.Settings(table.weights.every_ms * MS, table.weights.dead_band)
         self.span = table.weights.every_ms * MS
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -22,7 +22,7 @@
 from corklift.control.persistence import PersistentState
 from corklift.control.resources import Place
 from corklift.control.service import Service
-from corklift.control.views import Kind, Resource, Views
+from corklift.control.subscriptions import Resource, ResourceKind, SubscriptionManager
 from corklift.control.weights import PublishedWeights, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
@@ -124,13 +124,13 @@
         self.service = Service(
             scheduler,
             self.counters,
-            lambda host: Views(host, config.views),
+            lambda host: SubscriptionManager(host, config.subscriptions),
             self.facade_placed,
             self.event_log.write,
             ttl=config.ttl,
             report_every=config.table.load_reports.every_ms * MS,
         )
-        self.views = self.service.views
+        self.subscriptions = self.service.subscriptions
         self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
         self.probes = Probes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
@@ -202,23 +202,25 @@
         ]
         if self._marked() != marked:
             changed = list(self.weights.told)
-        if changed and self.views.known:
+        if changed and self.subscriptions.has_snapshot:
             self.counters["views changed by drains"] += 1
-            self.views.changed(now, {Kind.ENDPOINTS: self._endpoints(changed)}, urgent=True)
+            self.subscriptions.update_snapshot(
+                now, {ResourceKind.ENDPOINTS: self._endpoints(changed)}, urgent=True
+            )
 
     # The loop
 
     def keep_weighing(self) -> None:
         while True:
             self._weigh(self.scheduler.now())
-            self.views.tick(self.scheduler.now())
+            self.subscriptions.tick(self.scheduler.now())
             self.scheduler.sleep(TURN)
 
     def _weigh(self, now: int) -> None:
         # Guards against an empty view, after which proxies would have nowhere to place, before the list is known.
         if self._known_at is None:
             return
-        if not self.views.known and not (
+        if not self.subscriptions.has_snapshot and not (
             self.facade.all_heard() or now - self._known_at >= READY_TIME
         ):
             return
@@ -240,15 +242,19 @@
                     ready,
                 ):
                     changed.append(workload.name)
-        if not self.views.known:
-            self.views.changed(now, self._all_tables())
-            self.event_log.write("serving", servers=len(ready), proxies=len(self.views.streams))
+        if not self.subscriptions.has_snapshot:
+            self.subscriptions.update_snapshot(now, self._all_tables())
+            self.event_log.write(
+                "serving", servers=len(ready), proxies=len(self.subscriptions.streams)
+            )
         elif changed:
             self.counters["views changed by weights"] += 1
-            self.views.changed(now, {Kind.ENDPOINTS: self._endpoints(changed)})
+            self.subscriptions.update_snapshot(
+                now, {ResourceKind.ENDPOINTS: self._endpoints(changed)}
+            )
 
     def _endpoints(self, workloads: list[str]) -> dict[str, Resource]:
-        table = dict(self.views.table(Kind.ENDPOINTS))
+        table = dict(self.subscriptions.current_resources(ResourceKind.ENDPOINTS))
         draining = self._marked()
         for workload in workloads:
             told = self.weights.told.get(workload, PublishedWeights({}, 0))
@@ -263,23 +269,23 @@
             return []
         return sorted(place for place in self._places.values() if place.draining)
 
-    def _all_tables(self) -> dict[Kind, dict[str, Resource]]:
+    def _all_tables(self) -> dict[ResourceKind, dict[str, Resource]]:
         names = [workload.name for workload in self.config.workloads]
         connect_time = self.config.net.connect_time
         clusters = {name: resources.cluster(name, connect_time) for name in names}
         tables = {
-            Kind.CLUSTERS: clusters,
-            Kind.LISTENERS: {
+            ResourceKind.CLUSTERS: clusters,
+            ResourceKind.LISTENERS: {
                 listener.name: resources.listener(listener) for listener in self.config.listeners
             },
-            Kind.ROUTES: {
+            ResourceKind.ROUTES: {
                 listener.name: resources.routes(listener)
                 for listener in self.config.listeners
                 if not listener.is_tcp
             },
         }
         known = self._endpoints(names)
-        return tables | {Kind.ENDPOINTS: {name: known[name] for name in names}}
+        return tables | {ResourceKind.ENDPOINTS: {name: known[name] for name in names}}
 
     # Its life
 
@@ -295,13 +301,13 @@
         if new.listen != old.listen:
             self.event_log.write("listen is taken at a start only", listen=old.table.listen)
         self.facade.settings_changed(new.arguments(), new.report_names, None, [], [])
-        self.weights.settings, self.views.settings = new.weights, new.views
+        self.weights.settings, self.subscriptions.settings = new.weights, new.subscriptions
         self.weights.forget([workload.name for workload in new.workloads])
         self.service.ttl, self.service.report_every = new.ttl, new.table.load_reports.every_ms * MS
         self.probes.reconfigure(new.net, KEPT_FOR)
         self.watch.follow(new.discovery, new.net)
         self.counters["configurations taken"] += 1
-        if self.views.known:
+        if self.subscriptions.has_snapshot:
             now = self.scheduler.now()
             ready = [name for name, state in self._states.items() if state is Status.READY]
             for workload in new.workloads:
@@ -309,7 +315,7 @@
                     self.weights.weighed(
                         now, workload.name, self.facade.chances(workload.name, new.span), ready
                     )
-            self.views.changed(now, self._all_tables())
+            self.subscriptions.update_snapshot(now, self._all_tables())
         self.event_log.write("configuration taken")
 
     def start(self) -> None:
@@ -356,14 +362,14 @@
         self.event_log.write(
             "counters",
             **{name.replace(" ", "_"): value for name, value in sorted(self.counters.items())},
-            proxies=len(self.views.streams),
+            proxies=len(self.subscriptions.streams),
         )
 
     def leave(self) -> None:
         """Proxies are told to go elsewhere (GOAWAY, and their streams end), then the program ends."""
         if not self._stopping:
             self._stopping = True
-            self.event_log.write("told to stop", proxies=len(self.views.streams))
+            self.event_log.write("told to stop", proxies=len(self.subscriptions.streams))
             self.scheduler.spawn(self._see_out)
 
     def _see_out(self) -> None:
--- a/corklift/control/resources.py
+++ b/corklift/control/resources.py
@@ -25,15 +25,15 @@
 from google.protobuf.any_pb2 import Any
 from google.protobuf.message import DecodeError, Message
 
-from corklift.control.views import Kind, Resource, Response
+from corklift.control.subscriptions import Resource, ResourceKind, Response
 from corklift.control.weights import WHOLE, PublishedWeights
 
 PREFIX = "type.googleapis.com/"
 TYPES = {
-    Kind.CLUSTERS: PREFIX + "envoy.config.cluster.v3.Cluster",
-    Kind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
-    Kind.LISTENERS: PREFIX + "envoy.config.listener.v3.Listener",
-    Kind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
+    ResourceKind.CLUSTERS: PREFIX + "envoy.config.cluster.v3.Cluster",
+    ResourceKind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
+    ResourceKind.LISTENERS: PREFIX + "envoy.config.listener.v3.Listener",
+    ResourceKind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
 }
 KINDS = {url: kind for kind, url in TYPES.items()}
 WRAPPED = PREFIX + "envoy.service.discovery.v3.Resource"
@@ -100,7 +100,7 @@
     message.common_lb_config.locality_weighted_lb_config.SetInParent()
     # A proxy must not go back to servers that the view leaves out because it finds the others unwell.
     message.common_lb_config.healthy_panic_threshold.value = 0.0
-    return Resource.of(workload, _bytes(message))
+    return Resource.from_body(workload, _bytes(message))
 
 
 def endpoints(
@@ -127,7 +127,7 @@
         assert WHOLE == 10_000
     if stale_after:
         message.policy.endpoint_stale_after.FromNanoseconds(stale_after)
-    return Resource.of(workload, _bytes(message))
+    return Resource.from_body(workload, _bytes(message))
 
 
 def _locality(
@@ -160,7 +160,7 @@
             name = "envoy.filters.network.tcp_proxy"
         message.filter_chains.add().filters.add(name=name, typed_config=_packed(inner))
     refers = [spec.routes[0].workload] if spec.is_tcp else []
-    return Resource.of(spec.name, _bytes(message), refers)
+    return Resource.from_body(spec.name, _bytes(message), refers)
 
 
 def routes(spec: ListenerSpec) -> Resource:
@@ -169,12 +169,12 @@
     for route in spec.routes:
         entry = host.routes.add()
         entry.match.prefix, entry.route.cluster = route.prefix, route.workload
-    return Resource.of(spec.name, _bytes(message), [route.workload for route in spec.routes])
+    return Resource.from_body(spec.name, _bytes(message), [route.workload for route in spec.routes])
 
 
 def response(told: Response, incremental: bool, ttl: int = 0) -> bytes:
     """A response as it goes to a proxy. With a TTL (ns), endpoints run out in it unless they are sent again."""
-    ttl = ttl if told.kind is Kind.ENDPOINTS else 0
+    ttl = ttl if told.kind is ResourceKind.ENDPOINTS else 0
     url = TYPES[told.kind]
     if incremental:
         message = discovery_pb2.DeltaDiscoveryResponse(
@@ -217,7 +217,7 @@
     """What both variants of request have in common, and what only one has."""
 
     node: str
-    kind: Kind
+    kind: ResourceKind
     nonce: str
     problem: str | None
     names: tuple[str, ...] = ()
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -15,7 +15,13 @@
 
 from corklift.control import resources
 from corklift.control.resources import REFUSED, TYPES, BadRequest
-from corklift.control.views import Kind, Response, Status, TooMany, Views
+from corklift.control.subscriptions import (
+    ResourceKind,
+    ResourceStatus,
+    Response,
+    SubscriptionManager,
+    TooManyNamesError,
+)
 from corklift.net.limits import Counters
 from corklift.net.scheduler import Scheduler
 from corklift.rpc.core import Code, RpcError
@@ -41,7 +47,7 @@
         self,
         scheduler: Scheduler,
         counters: Counters,
-        views_of: Callable[[Service], Views],
+        make_subscriptions: Callable[[Service], SubscriptionManager],
         placed: Callable[[str, str, int, int], None],
         log: Callable[..., None],
         *,
@@ -50,7 +56,7 @@
     ) -> None:
         self._scheduler, self._counters, self._log, self._placed = scheduler, counters, log, placed
         self.ttl, self.report_every = ttl, report_every
-        self.views = views_of(self)
+        self.subscriptions = make_subscriptions(self)
         self._calls: dict[int, LiveCall] = {}
         self._next = 1
         self.reporting = 0  # streams of load reports
@@ -72,7 +78,9 @@
         if call is None or call.ended:
             return
         self._counters[f"responses of {response.kind.name.lower()}"] += 1
-        content = resources.response(response, self.views.streams[stream].incremental, self.ttl)
+        content = resources.response(
+            response, self.subscriptions.streams[stream].incremental, self.ttl
+        )
         self._counters["response bytes"] += len(content)
         try:
             call.post(content)
@@ -82,10 +90,10 @@
     # ADS
 
     def _follow(self, call: LiveCall, incremental: bool) -> None:
-        number, views = self._next, self.views
+        number, subscriptions = self._next, self.subscriptions
         self._next += 1
         self._calls[number] = call
-        views.opened(self._scheduler.now(), number, incremental)
+        subscriptions.open_stream(self._scheduler.now(), number, incremental)
         self._counters["proxy streams"] += 1
         try:
             while not self.leaving:
@@ -94,17 +102,17 @@
                     self._requested(number, message, incremental)
                 elif call.done:
                     return
-                elif not call.pending and not views.streams[number].room:
-                    views.room(self._scheduler.now(), number)
+                elif not call.pending and not subscriptions.streams[number].writable:
+                    subscriptions.stream_writable(self._scheduler.now(), number)
                 else:
                     call.wait()
             raise RpcError(Code.UNAVAILABLE, "this control service goes away")
-        except (BadRequest, TooMany) as problem:
+        except (BadRequest, TooManyNamesError) as problem:
             self._counters["bad requests of proxies"] += 1
             self._log(
                 "request refused",
                 peer=call.peer,
-                node=views.streams[number].node,
+                node=subscriptions.streams[number].node,
                 reason=str(problem),
             )
             code = (
@@ -114,14 +122,14 @@
             )
             raise RpcError(code, str(problem)) from None
         finally:
-            views.closed(number)
+            subscriptions.close_stream(number)
             del self._calls[number]
 
     def _requested(self, number: int, message: bytes, incremental: bool) -> None:
         request, now = resources.request(message, incremental), self._scheduler.now()
-        stream = self.views.streams[number]
+        stream = self.subscriptions.streams[number]
         if request.node and not stream.node:
-            self.views.named(number, request.node)
+            self.subscriptions.set_node(number, request.node)
         if request.problem is not None:
             self._counters["refusals of proxies"] += 1
             self._log(
@@ -131,7 +139,7 @@
                 reason=request.problem,
             )
         if incremental:
-            self.views.requested_changes(
+            self.subscriptions.handle_delta_request(
                 now,
                 number,
                 request.kind,
@@ -142,7 +150,7 @@
                 request.problem,
             )
         else:
-            self.views.requested(
+            self.subscriptions.handle_request(
                 now,
                 number,
                 request.kind,
@@ -228,11 +236,13 @@
             )
         answer = csds_pb2.ClientStatusResponse()
         for at, stream in enumerate(
-            sorted(self.views.streams.values(), key=lambda stream: (stream.node, stream.number))
+            sorted(
+                self.subscriptions.streams.values(), key=lambda stream: (stream.node, stream.number)
+            )
         ):
             if at % STATUS_TURN == STATUS_TURN - 1:
                 self._scheduler.wait({}, self._scheduler.now())  # a drain may be waiting
-            if stream.number not in self.views.streams:
+            if stream.number not in self.subscriptions.streams:
                 continue
             if wanted and not any(_matches(matcher, stream.node) for matcher in wanted):
                 continue
@@ -243,7 +253,7 @@
                 f"{'incremental' if stream.incremental else 'state of the world'}, stream "
                 f"{stream.number} from {call.peer if call else '?'}"
             )
-            for status in self.views.statuses(stream.number):
+            for status in self.subscriptions.resource_statuses(stream.number):
                 self._fill(
                     config.generic_xds_configs.add(),
                     status,
@@ -255,7 +265,7 @@
     def _fill(
         self,
         config: csds_pb2.ClientConfig.GenericXdsConfig,
-        status: Status,
+        status: ResourceStatus,
         bare: bool,
         number: int,
     ) -> None:
@@ -264,8 +274,8 @@
             status.name,
             status.accepted,
         )
-        subscription = self.views.streams[number].kinds[status.kind]
-        refused = status.refused is not None and status.accepted != status.in_force
+        subscription = self.subscriptions.streams[number].subscriptions[status.kind]
+        refused = status.last_nack is not None and status.accepted != status.current
         if not status.exists and not status.accepted:
             config.client_status = STATES["missing"]
         elif refused:
@@ -276,14 +286,14 @@
             ]
         if refused:
             config.config_status = csds_pb2.ERROR
-        elif status.accepted == status.in_force:
+        elif status.accepted == status.current:
             config.config_status = csds_pb2.SYNCED
         else:
-            config.config_status = csds_pb2.STALE if subscription.answered else csds_pb2.NOT_SENT
-        if status.refused is not None:
-            config.error_state.details = status.refused.reason
-            config.error_state.version_info = status.refused.version
-            config.error_state.last_update_attempt.FromNanoseconds(status.refused.at)
+            config.config_status = csds_pb2.STALE if subscription.initialized else csds_pb2.NOT_SENT
+        if status.last_nack is not None:
+            config.error_state.details = status.last_nack.reason
+            config.error_state.version_info = status.last_nack.version
+            config.error_state.last_update_attempt.FromNanoseconds(status.last_nack.at)
         if subscription.sent_at:
             config.last_updated.FromNanoseconds(subscription.sent_at)
         accepted = subscription.accepted.get(status.name)
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -569,24 +569,31 @@
     CLUSTERS = ("a", "b")
 
     def __init__(self, shape: Followed) -> None:
-        from corklift.control.views import Kind, Resource, Settings, Views
+        from corklift.control.subscriptions import (
+            Resource,
+            ResourceKind,
+            SubscriptionManager,
+            SubscriptionSettings,
+        )
 
-        self._kinds, self._resource = Kind, Resource
+        self._kinds, self._resource = ResourceKind, Resource
         self.shape, self.now, self.steps = shape, SECOND, list[str]()
         self.left = {"change": shape.changes, "refusal": shape.refusals, "loss": shape.losses}
-        self.views = Views(self, Settings(ack_wait=SECOND, hold_time=SECOND))
+        self.views = SubscriptionManager(
+            self, SubscriptionSettings(ack_timeout=SECOND, dependency_timeout=SECOND)
+        )
         self.wrong: str | None = None
         self.unread: list[Any] = []
         self.unanswered: list[Any] = []
         self.held: dict[Any, dict[str, str]] = {
-            kind: {} for kind in Kind
+            kind: {} for kind in ResourceKind
         }  # the proxy's, by kind and name
         self.refused: set[tuple[Any, str]] = set()  # kinds and versions
         self.number, self.content = 0, 0
         self._connect()
 
     def send(self, stream: int, response: Any) -> None:
-        if not self.views.known:
+        if not self.views.has_snapshot:
             self.wrong = "views: sent before the list is known"
         if self.unread:
             self.wrong = "views: sent to a stream that has no room"
@@ -597,13 +604,13 @@
 
     def _connect(self) -> None:
         if self.number:
-            self.views.closed(self.number)
+            self.views.close_stream(self.number)
         self.number += 1
         self.unread, self.unanswered = [], []
-        self.views.opened(self.now, self.number, self.shape.incremental)
+        self.views.open_stream(self.now, self.number, self.shape.incremental)
         for kind in self._kinds:
             if self.shape.incremental:
-                self.views.requested_changes(
+                self.views.handle_delta_request(
                     self.now,
                     self.number,
                     kind,
@@ -614,7 +621,9 @@
                     None,
                 )
             else:
-                self.views.requested(self.now, self.number, kind, self._names(kind), "", "", None)
+                self.views.handle_request(
+                    self.now, self.number, kind, self._names(kind), "", "", None
+                )
 
     def enabled(self) -> list[str]:
         labels = ["time"]
@@ -639,7 +648,7 @@
         elif label == "read":
             response = self.unread.pop(0)
             self.unanswered.append(response)
-            self.views.room(self.now, self.number)
+            self.views.stream_writable(self.now, self.number)
         elif label in ("accept", "refuse"):
             self._answer(self.unanswered.pop(0), label == "refuse")
         elif label == "break off":
@@ -650,24 +659,25 @@
             self.content += 1
             names = ("a",) if label == "only a is left" else self.CLUSTERS
             table = {
-                name: self._resource.of(name, f"{name} {self.content}".encode()) for name in names
+                name: self._resource.from_body(name, f"{name} {self.content}".encode())
+                for name in names
             }
             if label in ("a server drains", "weights move"):
-                kept = set(self.views.table(kinds.CLUSTERS)) or set(names)
-                self.views.changed(
+                kept = set(self.views.current_resources(kinds.CLUSTERS)) or set(names)
+                self.views.update_snapshot(
                     self.now,
                     {kinds.ENDPOINTS: {n: r for n, r in table.items() if n in kept}}
-                    if self.views.known
+                    if self.views.has_snapshot
                     else self._all(names, table),
                     urgent=label == "a server drains",
                 )
                 if label == "a server drains":
                     self._drained()
             else:
-                self.views.changed(self.now, self._all(names, table))
+                self.views.update_snapshot(self.now, self._all(names, table))
 
     def _all(self, names: tuple[str, ...], endpoints: dict[str, Any]) -> dict[Any, dict[str, Any]]:
-        kinds, of = self._kinds, self._resource.of
+        kinds, of = self._kinds, self._resource.from_body
         return {
             kinds.CLUSTERS: {name: of(name, name.encode()) for name in names},
             kinds.ENDPOINTS: endpoints,
@@ -677,8 +687,8 @@
 
     def _drained(self) -> None:
         """A drain is on its way, or waits for room alone."""
-        subscription = self.views.streams[self.number].kinds[self._kinds.ENDPOINTS]
-        table = self.views.table(self._kinds.ENDPOINTS)
+        subscription = self.views.streams[self.number].subscriptions[self._kinds.ENDPOINTS]
+        table = self.views.current_resources(self._kinds.ENDPOINTS)
         sent = all(subscription.sent.get(name) == resource for name, resource in table.items())
         if not sent and not self.unread:
             self.wrong = "views: a drain waits though there is room"
@@ -689,18 +699,18 @@
             self.left["refusal"] -= 1
             self.refused.add((response.kind, response.version))
         else:
-            if response.kind.whole and not self.shape.incremental:
+            if response.kind.sent_in_full and not self.shape.incremental:
                 held.clear()
             for name in response.removed:
                 held.pop(name, None)
             held.update({resource.name: resource.version for resource in response.resources})
         problem = "no" if refuse else None
         if self.shape.incremental:
-            self.views.requested_changes(
+            self.views.handle_delta_request(
                 self.now, self.number, response.kind, (), (), {}, response.nonce, problem
             )
         else:
-            self.views.requested(
+            self.views.handle_request(
                 self.now,
                 self.number,
                 response.kind,
@@ -715,16 +725,16 @@
             return self.wrong
         stream = self.views.streams[self.number]
         if (
-            self.views.known
+            self.views.has_snapshot
             and not self.unread
             and not self.unanswered
-            and not stream.owed
+            and not stream.has_pending
             and not self.refused
         ):
             for kind in self._kinds:
-                for name, resource in self.views.table(kind).items():
+                for name, resource in self.views.current_resources(kind).items():
                     if (
-                        stream.kinds[kind].wants(name)
+                        stream.subscriptions[kind].wants(name)
                         and self.held[kind].get(name) != resource.version
                     ):
                         return f"views: nothing is owed, but the proxy has no {kind.name.lower()} {name} as in force"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,7 @@
 from corklift.control.config import BadConfig, parse
 from corklift.control.service import ADS, LRS
 from corklift.control.status import fetch, rows
-from corklift.control.views import Kind
+from corklift.control.subscriptions import ResourceKind
 from corklift.control.weights import WHOLE, Settings, Weights
 from corklift.net.limits import MS, SECOND
 from corklift.rpc.core import RpcLimits
@@ -115,7 +115,8 @@
             fleet.holds(proxy, *ALL)
         wait_for(
             lambda: all(
-                not service.program.views.behind(n) for n in list(service.program.views.streams)
+                not service.program.subscriptions.outdated_kinds(n)
+                for n in list(service.program.subscriptions.streams)
             )
         )
 
@@ -200,7 +201,7 @@
             client.send_data(1, b"\0" + len(content).to_bytes(4, "big") + content)
             sock.sendall(client.data_to_send())
             shut.append((sock, client))
-        wait_for(lambda: len(service.program.views.streams) == 3)
+        wait_for(lambda: len(service.program.subscriptions.streams) == 3)
         for _ in range(4):  # a byte now and then is no reading
             for sock, client in shut[1:]:
                 client.increment_flow_control_window(1, stream_id=1)
@@ -209,7 +210,7 @@
             wait_for(lambda: "s1" not in fleet.weights(good), 0.5)
             fleet.mark("s1", "active")
             fleet.holds(good, *ALL)
-        wait_for(lambda: len(service.program.views.streams) == 1)
+        wait_for(lambda: len(service.program.subscriptions.streams) == 1)
         assert service.program.counters["calls stalled"] == 2 and good.connected
         for sock, _ in shut:
             sock.close()
@@ -250,7 +251,7 @@
         proxy = fleet.proxy(service)
         settle(1.0)
         assert (
-            proxy.connected is False and not service.program.views.known
+            proxy.connected is False and not service.program.subscriptions.has_snapshot
         )  # no empty view before the list is known
         fleet.discovery.silent = False
         fleet.holds(proxy, *ALL)
@@ -289,9 +290,12 @@
             settle(0.05)
         fleet.discovery.silent = False
         wait_for(lambda: all("s1" not in fleet.weights(p) for p in proxies), 10)
-        wait_for(lambda: len(anew.program.views.streams) == 200)
+        wait_for(lambda: len(anew.program.subscriptions.streams) == 200)
         wait_for(
-            lambda: all(not anew.program.views.behind(n) for n in list(anew.program.views.streams))
+            lambda: all(
+                not anew.program.subscriptions.outdated_kinds(n)
+                for n in list(anew.program.subscriptions.streams)
+            )
         )
         assert all(view for view in views) and all(len(fleet.weights(p)) == 2 for p in proxies)
         assert fleet.counters["connects"] <= 200 * 6  # spread, not hammered
@@ -321,8 +325,8 @@
             fleet.holds(proxies[1], "s2", "s3")
             wait_for(
                 lambda: (
-                    [one.program.views.version(k) for k in Kind]
-                    == [two.program.views.version(k) for k in Kind]
+                    [one.program.subscriptions.current_version(k) for k in ResourceKind]
+                    == [two.program.subscriptions.current_version(k) for k in ResourceKind]
                 )
             )
             # a proxy that goes from one to the other is owed nothing
@@ -334,7 +338,7 @@
                 held.resources,
                 held.names,
             )
-            wait_for(lambda: len(two.program.views.streams) == 2)
+            wait_for(lambda: len(two.program.subscriptions.streams) == 2)
             settle(0.3)
             assert two.program.counters["response bytes"] <= sent + 3000
 
@@ -484,7 +488,7 @@
         fleet.list_all()
         # Told once and then held: hundreds of calls a second would move the weights while they are measured.
         service = fleet.service("", "[weights]\nevery_ms = 60000")
-        wait_for(lambda: service.program.views.known)
+        wait_for(lambda: service.program.subscriptions.has_snapshot)
         assert len(set(service.program.weights.told["plain"].weights.values())) == 3
         client = subprocess.Popen(
             [
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -187,19 +187,21 @@
 ):
     make = lambda: explore.Following(explore.Followed(incremental))  # noqa: E731
     assert not explore.explore(make, 6, 600).what and not explore.wander(make, 200, 60, 1).what
-    from corklift.control.views import Views
+    from corklift.control.subscriptions import SubscriptionManager
 
-    changed = Views.changed
+    changed = SubscriptionManager.update_snapshot
     monkeypatch.setattr(
-        Views, "changed", lambda self, now, tables, urgent=False: changed(self, now, tables)
+        SubscriptionManager,
+        "update_snapshot",
+        lambda self, now, tables, urgent=False: changed(self, now, tables),
     )
     found = explore.explore(make, 9, 20_000)
     assert (
         found.what == "views: a drain waits though there is room"
         and found.counterexample[-1] == "a server drains"
     )
-    monkeypatch.setattr(Views, "changed", changed)
-    monkeypatch.setattr(Views, "room", lambda self, now, number: None)
+    monkeypatch.setattr(SubscriptionManager, "update_snapshot", changed)
+    monkeypatch.setattr(SubscriptionManager, "stream_writable", lambda self, now, number: None)
     assert explore.wander(make, 300, 60, 1).what.startswith("views: ")
 
 
