--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -25,9 +25,9 @@
 
 from benchmarks.report import arguments, tell
 from corklift.control import resources
-from corklift.control.resources import Place
+from corklift.control.resources import ServerEndpoint
 from corklift.control.service import CSDS
-from corklift.control.status import rows
+from corklift.control.status import status_rows
 from corklift.control.subscriptions import (
     ResourceKind,
     Response,
@@ -208,7 +208,7 @@
         answer = csds_pb2.ClientStatusResponse()
         answer.ParseFromString(content)
         self.streams = len(answer.config)
-        return list(rows(answer))
+        return list(status_rows(answer))
 
     def _counters(self) -> dict[str, int]:
         number = len(self._events("counters"))
@@ -420,22 +420,24 @@
         self.views = SubscriptionManager(self, SubscriptionSettings())
 
     def send(self, stream: int, response: Response) -> None:
-        self.sizes.append(len(resources.response(response, self.incremental)))
+        self.sizes.append(len(resources.encode_response(response, self.incremental)))
 
 
 def drain_bytes(number: int, incremental: bool) -> int:
     """What one proxy is sent when one of so many servers drains."""
     host = _Sent(incremental)
     places = {
-        f"s{at:04}": Place(f"s{at:04}", (f"127.0.{at // 250}.{at % 250 + 1}", 9000), "here")
+        f"s{at:04}": ServerEndpoint(
+            f"s{at:04}", (f"127.0.{at // 250}.{at % 250 + 1}", 9000), "here"
+        )
         for at in range(number)
     }
     told = PublishedWeights({name: 10_000 // number for name in places}, 0)
     host.views.update_snapshot(
         0,
         {
-            ResourceKind.CLUSTERS: {"plain": resources.cluster("plain", SECOND)},
-            ResourceKind.ENDPOINTS: {"plain": resources.endpoints("plain", told, places)},
+            ResourceKind.CLUSTERS: {"plain": resources.build_cluster("plain", SECOND)},
+            ResourceKind.ENDPOINTS: {"plain": resources.build_endpoints("plain", told, places)},
         },
     )
     host.views.open_stream(0, 1, incremental)
@@ -451,7 +453,7 @@
     )
     host.views.update_snapshot(
         0,
-        {ResourceKind.ENDPOINTS: {"plain": resources.endpoints("plain", left, places)}},
+        {ResourceKind.ENDPOINTS: {"plain": resources.build_endpoints("plain", left, places)}},
         urgent=True,
     )
     return sum(host.sizes)
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -252,13 +252,15 @@
     if config is None:
         raise click.UsageError("--config is missing")
     if check:
-        from corklift.control.config import BadConfig, read
+        from corklift.control.config import ControlConfigError, load_config
 
         try:
-            given = read(config)
-        except BadConfig as problem:
-            raise click.ClickException(str(problem)) from None
-        click.echo(f"{config}: {len(given.workloads)} workloads, {len(given.listeners)} listeners")
+            loaded = load_config(config)
+        except ControlConfigError as error:
+            raise click.ClickException(str(error)) from None
+        click.echo(
+            f"{config}: {len(loaded.workloads)} workloads, {len(loaded.listeners)} listeners"
+        )
         return
     from corklift.control.program import main as serve
 
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -1,6 +1,6 @@
-"""The control service's configuration: TOML, typed, every key checked before any is used.
+"""The control service's configuration: a TOML file, read into typed tables.
 
-Owns the form. Must never apply a part of a file that has a fault elsewhere.
+The whole file is checked before any of it is applied.
 """
 
 from __future__ import annotations
@@ -20,28 +20,34 @@
 
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
-Span = Annotated[int, Meta(ge=1, le=3_600_000)]
-SpanOrNone = Annotated[int, Meta(ge=0, le=3_600_000)]
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
+Milliseconds = Annotated[int, Meta(ge=1, le=3_600_000)]
+MillisecondsOrZero = Annotated[int, Meta(ge=0, le=3_600_000)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
 
 
-class BadConfig(Exception):
-    """Names the key that is missing or impossible."""
+class ControlConfigError(Exception):
+    """The configuration is invalid; the message names the key."""
 
 
 class WorkloadTable(Table):
+    """A kind of login, with its importance and time limits."""
+
     name: Name
     importance: Annotated[float, Meta(gt=0, le=1e9)] = 1.0
-    soft_limit_ms: Span = 800
-    time_limit_ms: Span = 3200
+    soft_limit_ms: Milliseconds = 800
+    time_limit_ms: Milliseconds = 3200
 
 
 class RouteTable(Table):
+    """Which requests of a listener belong to a workload."""
+
     workload: Name
     prefix: Annotated[str, Meta(pattern="^/")] = "/"
 
 
 class ListenerTable(Table):
+    """A listener of the proxies."""
+
     name: Name
     routes: Annotated[list[RouteTable], Meta(min_length=1)]
     address: Address | None = None
@@ -49,64 +55,82 @@
 
 
 class WeightsTable(Table):
+    """How often, and from which change on, weights are published."""
+
     every_ms: Annotated[int, Meta(ge=50, le=60_000)] = 1000
-    dead_band: Part = 0.02
+    dead_band: Fraction = 0.02
     log: bool = False
 
 
 class FreshnessTable(Table):
-    endpoint_stale_after_ms: SpanOrNone = 0
-    ttl_ms: SpanOrNone = 0
-    ack_wait_ms: Span = 2000
-    hold_ms: Span = 3000
+    """How long proxies may use what they were sent, and how long the service waits for them."""
+
+    endpoint_stale_after_ms: MillisecondsOrZero = 0
+    ttl_ms: MillisecondsOrZero = 0
+    ack_wait_ms: Milliseconds = 2000
+    hold_ms: Milliseconds = 3000
 
 
 class ColdTable(Table):
+    """How many logins a newly started server receives at first."""
+
     start_share: Annotated[float, Meta(gt=0, le=1)] = 0.3
-    ramp_ms: SpanOrNone = 0
+    ramp_ms: MillisecondsOrZero = 0
     multiple: Annotated[float, Meta(gt=0, le=100)] = 2.0
-    span_ms: Span = 1000
+    span_ms: Milliseconds = 1000
 
 
 class ReportTable(Table):
+    """Names of the fields in the servers' load reports."""
+
     count: Name = "inflight"
     pressure: Name | None = None
     busy: Name | None = None
 
 
 class LoadReportsTable(Table):
+    """How often proxies report the logins that they placed."""
+
     every_ms: Annotated[int, Meta(ge=50, le=60_000)] = 500
 
 
 class LimitsTable(Table):
+    """Limits of connections, requests and time."""
+
     proxies: Annotated[int, Meta(ge=1, le=100_000)] = 2000
     message_bytes: Annotated[int, Meta(ge=1024, le=64 << 20)] = 4 << 20
     names: Annotated[int, Meta(ge=1, le=1_000_000)] = 5000
     control_frames: Annotated[int, Meta(ge=10, le=1_000_000)] = 200
-    stall_ms: Span = 5000
-    ping_after_ms: SpanOrNone = 5000
-    ping_wait_ms: Span = 3000
+    stall_ms: Milliseconds = 5000
+    ping_after_ms: MillisecondsOrZero = 5000
+    ping_wait_ms: Milliseconds = 3000
 
 
 class StopTable(Table):
-    grace_ms: SpanOrNone = 2000
+    """How the service ends."""
+
+    grace_ms: MillisecondsOrZero = 2000
 
 
-class KeptTable(Table):
-    path: Annotated[str, Meta(min_length=1, max_length=1000)]  # a folder of this service alone
-    patience_ms: Span = (
-        3000  # for the disk's first answer; then it starts with what discovery tells
-    )
+class StoreTable(Table):
+    """The store in which the service persists its state."""
+
+    path: Annotated[str, Meta(min_length=1, max_length=1000)]  # a folder that no other process uses
+    # How long a start waits for the disk; then the service starts with the list from discovery
+    # alone.
+    patience_ms: Milliseconds = 3000
 
 
 class ControlTable(Table):
+    """The whole file."""
+
     listen: Address
     discovery: Address
     workloads: Annotated[list[WorkloadTable], Meta(min_length=1)]
     listeners: list[ListenerTable] = []
     services: Annotated[int, Meta(ge=1, le=1000)] = 1
     seed: int = 1
-    connect_time_ms: Span = 250
+    connect_time_ms: Milliseconds = 250
     draining: Literal["remove", "mark"] = "remove"
     weights: WeightsTable = WeightsTable()
     freshness: FreshnessTable = FreshnessTable()
@@ -115,7 +139,7 @@
     load_reports: LoadReportsTable = LoadReportsTable()
     limits: LimitsTable = LimitsTable()
     stop: StopTable = StopTable()
-    store: KeptTable | None = None
+    store: StoreTable | None = None
 
 
 def _address(text: str, key: str) -> tuple[str, int]:
@@ -125,14 +149,14 @@
         if int(port) > 65535:
             raise ValueError
     except (OSError, ValueError):
-        raise BadConfig(
-            f"config: {key} holds {text!r}, an IPv4 address and a port are needed"
+        raise ControlConfigError(
+            f"config: {key} is {text!r}, expected an IPv4 address and a port"
         ) from None
     return host, int(port)
 
 
-class Control:
-    """A configuration that has been checked, in the terms of the parts that use it."""
+class ControlConfig:
+    """A checked configuration, converted to the settings of each component."""
 
     def __init__(self, table: ControlTable) -> None:
         self.table = table
@@ -146,51 +170,66 @@
         ]
         names = [workload.name for workload in self.workloads]
         if len(set(names)) < len(names):
-            raise BadConfig("config: workloads has a name twice")
-        for at, workload in enumerate(table.workloads):
+            raise ControlConfigError("config: workloads has a duplicate name")
+        for index, workload in enumerate(table.workloads):
             if workload.soft_limit_ms > workload.time_limit_ms:
-                raise BadConfig(f"config: workloads[{at}].soft_limit_ms is over its time_limit_ms")
+                raise ControlConfigError(
+                    f"config: workloads[{index}].soft_limit_ms exceeds time_limit_ms"
+                )
         self.listeners = []
-        for at, given in enumerate(table.listeners):
-            for number, route in enumerate(given.routes):
+        for index, listener_table in enumerate(table.listeners):
+            for number, route in enumerate(listener_table.routes):
                 if route.workload not in names:
-                    raise BadConfig(
-                        f"config: listeners[{at}].routes[{number}].workload names {route.workload!r}, "
-                        "which workloads does not have"
+                    raise ControlConfigError(
+                        f"config: listeners[{index}].routes[{number}].workload is "
+                        f"{route.workload!r}, which is not one of workloads"
                     )
-            if given.protocol == "tcp" and (given.address is None or len(given.routes) > 1):
-                raise BadConfig(
-                    f"config: listeners[{at}].protocol is tcp: it needs an address and one route"
+            if listener_table.protocol == "tcp" and (
+                listener_table.address is None or len(listener_table.routes) > 1
+            ):
+                raise ControlConfigError(
+                    f"config: listeners[{index}].protocol is tcp, "
+                    "which requires an address and exactly one route"
                 )
-            address = _address(given.address, f"listeners[{at}].address") if given.address else None
+            address = (
+                _address(listener_table.address, f"listeners[{index}].address")
+                if listener_table.address
+                else None
+            )
             self.listeners.append(
                 ListenerSpec(
-                    given.name,
-                    tuple(Route(r.prefix, r.workload) for r in given.routes),
+                    listener_table.name,
+                    tuple(Route(r.prefix, r.workload) for r in listener_table.routes),
                     address,
-                    given.protocol == "tcp",
+                    listener_table.protocol == "tcp",
                 )
             )
         if len({listener.name for listener in self.listeners}) < len(self.listeners):
-            raise BadConfig("config: listeners has a name twice")
-        fresh = table.freshness
-        self.stale_after, self.ttl = fresh.endpoint_stale_after_ms * MS, fresh.ttl_ms * MS
-        shortest = min((span for span in (self.stale_after, self.ttl) if span), default=0)
+            raise ControlConfigError("config: listeners has a duplicate name")
+        freshness = table.freshness
+        self.endpoint_stale_after, self.ttl = (
+            freshness.endpoint_stale_after_ms * MS,
+            freshness.ttl_ms * MS,
+        )
+        shortest = min((time for time in (self.endpoint_stale_after, self.ttl) if time), default=0)
         if 0 < shortest < 300 * MS:
-            raise BadConfig(
-                "config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: proxies would run dry"
+            raise ControlConfigError(
+                "config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: "
+                "endpoints would expire before they are refreshed"
             )
         limits = table.limits
-        self.subscriptions = subscriptions.SubscriptionSettings(
-            ack_timeout=fresh.ack_wait_ms * MS,
-            dependency_timeout=fresh.hold_ms * MS,
+        self.subscription_settings = subscriptions.SubscriptionSettings(
+            ack_timeout=freshness.ack_wait_ms * MS,
+            dependency_timeout=freshness.hold_ms * MS,
             refresh_interval=shortest // 3,
-            use_heartbeats=bool(self.ttl) and not self.stale_after,
+            use_heartbeats=bool(self.ttl) and not self.endpoint_stale_after,
             max_names=limits.names,
         )
-        self.weights = weights.Settings(table.weights.every_ms * MS, table.weights.dead_band)
-        self.span = table.weights.every_ms * MS
-        self.rpc = RpcLimits(
+        self.weight_settings = weights.WeightSettings(
+            table.weights.every_ms * MS, table.weights.dead_band
+        )
+        self.weight_interval = table.weights.every_ms * MS
+        self.rpc_limits = RpcLimits(
             connections=limits.proxies,
             message=limits.message_bytes,
             control_frames=limits.control_frames,
@@ -198,7 +237,7 @@
             ping_after=limits.ping_after_ms * MS,
             ping_wait=limits.ping_wait_ms * MS,
         )
-        self.net = Limits(
+        self.net_limits = Limits(
             clients=0,
             waiting=0,
             probes=max(64, limits.proxies),
@@ -206,13 +245,13 @@
             stop_time=table.stop.grace_ms * MS,
         )
         self.report_names = {
-            name: ours
-            for ours in ("count", "pressure", "busy")
-            if (name := getattr(table.report, ours)) is not None
+            name: field
+            for field in ("count", "pressure", "busy")
+            if (name := getattr(table.report, field)) is not None
         }
 
-    def arguments(self) -> dict[str, Any]:
-        """The settings of the decisions: this service is one of `services` balancers that place alike."""
+    def balancer_arguments(self) -> dict[str, Any]:
+        """Returns the arguments of `Balancer`; each control service counts as one balancer."""
         cold = self.table.cold
         return dict(
             zone=0,
@@ -234,23 +273,30 @@
         )
 
 
-def read(path: str) -> Control:
-    """Raises:
-    BadConfig: names the key at fault, or the file.
+def load_config(path: str) -> ControlConfig:
+    """Reads and checks the file.
+
+    Raises:
+        ControlConfigError: the file can't be read, or a key is invalid.
     """
     try:
         with open(path, "rb") as file:
             content = file.read()
-    except OSError as problem:
-        raise BadConfig(f"config: {path}: {problem.strerror}") from None
-    return parse(content)
+    except OSError as error:
+        raise ControlConfigError(f"config: {path}: {error.strerror}") from None
+    return parse_config(content)
 
 
-def parse(content: bytes) -> Control:
+def parse_config(content: bytes) -> ControlConfig:
+    """Checks the content of a file.
+
+    Raises:
+        ControlConfigError: a key is invalid, or the content is not TOML.
+    """
     try:
-        return Control(msgspec.toml.decode(content, type=ControlTable))
-    except msgspec.ValidationError as problem:
-        key, text = fault(problem)
-        raise BadConfig(f"config: {key}: {text}") from None
-    except (msgspec.DecodeError, ValueError, RecursionError) as problem:
-        raise BadConfig(f"config: not TOML: {problem}") from None
+        return ControlConfig(msgspec.toml.decode(content, type=ControlTable))
+    except msgspec.ValidationError as error:
+        key, text = fault(error)
+        raise ControlConfigError(f"config: {key}: {text}") from None
+    except (msgspec.DecodeError, ValueError, RecursionError) as error:
+        raise ControlConfigError(f"config: not TOML: {error}") from None
--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -1,8 +1,9 @@
-"""What the control service keeps over a restart: its last list and which servers drain, known before any proxy is answered.
+"""Persists the server list and the drains of the control service over a restart.
 
-Owns the order: a list's word is on the disk before a view follows it, as far as the disk answers soon. Versions of views are made from their
-content, so they need no keeping. Must never hold a drain back for a disk that stalls, or offer a server that was told as leaving because a
-list of before comes again.
+After a restart, the last list is known before any proxy is answered. A list update is written to
+disk before a snapshot follows it, unless the disk is slow: a stalled disk must never hold back a
+drain. A server that drained must never be offered again because discovery returns an older list.
+Resource versions are hashes of the content and need no storage.
 """
 
 from __future__ import annotations
@@ -21,23 +22,23 @@
 from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
 
-WAIT = 100 * MS  # for the disk, before a view follows the list all the same
+WRITE_TIMEOUT = 100 * MS  # then a snapshot follows the list although it is not on disk
 
 
 class PersistentState(Quiet):
-    """Drives the recovery's facts, alone: there is nobody to ask."""
+    """Drives the recovery of a single process, which has no peers to ask."""
 
     def __init__(
         self,
         scheduler: Scheduler,
         path: str,
-        patience: int,
+        open_timeout: int,
         listed: Callable[[Scope, Listing], None],
         write_event: Callable[..., None],
     ) -> None:
-        self._scheduler, self._patience, self._listed, self._write_event = (
+        self._scheduler, self._open_timeout, self._forward_list, self._write_event = (
             scheduler,
-            patience,
+            open_timeout,
             listed,
             write_event,
         )
@@ -53,20 +54,20 @@
             alone=True,
         )
         self._keeper = Keeper(scheduler, Folders(path), self._opened)
-        self._known: Listing | None = None  # as it was told last, whole
-        self._waits: list[Task] = []
-        self._until = 0
+        self._full_list: Listing | None = None  # as last received from discovery, deltas applied
+        self._waiting_tasks: list[Task] = []
+        self._open_deadline = 0
         self._open = False
-        self._under_way = 0
+        self._pending_writes = 0
 
     def jobs(self) -> list[Callable[[], None]]:
-        self._until = self._scheduler.now() + self._patience
+        self._open_deadline = self._scheduler.now() + self._open_timeout
         self._keeper.start()
-        return [self._keeper.keep_hearing, self._be_patient]
+        return [self._keeper.keep_hearing, self._limit_opening]
 
-    def _be_patient(self) -> None:
-        self._scheduler.sleep(self._patience)
-        self._go_on()
+    def _limit_opening(self) -> None:
+        self._scheduler.sleep(self._open_timeout)
+        self._finish_opening()
 
     def _opened(
         self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
@@ -76,56 +77,62 @@
         for _, value in items:
             try:
                 facts.append(decoded(value))
-            except Unreadable as problem:
-                lost = lost or str(problem)
+            except Unreadable as error:
+                lost = lost or str(error)
         if notes is None:
             self._core.unread(now, why)
         else:
             self._core.read(
                 now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
             )
-        kept = self._core.facts.get(LIST)
-        if self._known is None and kept is not None:
+        stored_list = self._core.facts.get(LIST)
+        if self._full_list is None and stored_list is not None:
             entries = tuple(
                 Entry(
-                    line.name,
-                    (line.host, line.port),
-                    line.zone,
-                    line.kind,
-                    line.cell,
-                    Status(line.status),
-                    line.weight,
+                    server.name,
+                    (server.host, server.port),
+                    server.zone,
+                    server.kind,
+                    server.cell,
+                    Status(server.status),
+                    server.weight,
                     0,
                 )
-                for line in servers(kept)
+                for server in servers(stored_list)
             )
             self._scheduler.spawn(
-                self._listed,
+                self._forward_list,
                 Scope.FULL,
-                self._believed(now, Listing(kept.number[0], True, entries, 0), False),
+                self._apply_known_drains(
+                    now, Listing(stored_list.number[0], True, entries, 0), False
+                ),
             )
-        self._go_on()
+        self._finish_opening()
 
-    def _go_on(self) -> None:
+    def _finish_opening(self) -> None:
         self._open = True
-        for task in self._waits:
+        for task in self._waiting_tasks:
             self._scheduler.wake(task)
-        self._waits = []
+        self._waiting_tasks = []
 
     def listed(self, scope: Scope, content: Listing) -> None:
-        """Discovery tells; blocks its watch until what was kept is known, and then until this is kept, neither for long."""
+        """Takes an update of the list from discovery, persists it and passes it on.
+
+        Blocks the watch until the stored state is known, and then until the update is on disk, both
+        for a limited time.
+        """
         while not self._open:
-            self._waits.append(self._scheduler.current)
-            self._scheduler.wait({}, self._until)
+            self._waiting_tasks.append(self._scheduler.current)
+            self._scheduler.wait({}, self._open_deadline)
         now = self._scheduler.now()
-        believed = self._believed(now, content, True)
+        checked = self._apply_known_drains(now, content, True)
         known = (
             {}
-            if content.whole or self._known is None
-            else {entry.name: entry for entry in self._known.entries}
+            if content.whole or self._full_list is None
+            else {entry.name: entry for entry in self._full_list.entries}
         )
         known |= {entry.name: entry for entry in content.entries}
-        self._known = Listing(
+        self._full_list = Listing(
             content.version,
             True,
             tuple(e for e in known.values() if e.status is not Status.GONE),
@@ -135,19 +142,20 @@
             now,
             [
                 Server(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
-                for e in self._known.entries
+                for e in self._full_list.entries
             ],
             content.version,
         )
-        until = now + WAIT
-        while self._under_way and self._scheduler.now() < until:
+        deadline = now + WRITE_TIMEOUT
+        while self._pending_writes and self._scheduler.now() < deadline:
             self._scheduler.sleep(MS)
-        self._listed(scope, believed)
+        self._forward_list(scope, checked)
 
-    def _believed(self, now: int, content: Listing, news: bool) -> Listing:
+    def _apply_known_drains(self, now: int, content: Listing, from_discovery: bool) -> Listing:
+        """Marks as draining each server whose drain is known although this list says ready."""
         entries = []
         for entry in content.entries:
-            leaves = (
+            drains = (
                 self._core.drained(
                     now,
                     entry.name,
@@ -155,28 +163,28 @@
                     content.version,
                     entry.status is not Status.READY,
                 )
-                if news
+                if from_discovery
                 else self._core.facts.leaves(entry.name, entry.started_at, content.version)
             )
             entries.append(
                 entry._replace(status=Status.DRAINING)
-                if leaves and entry.status is Status.READY
+                if drains and entry.status is Status.READY
                 else entry
             )
         return content._replace(entries=tuple(entries))
 
-    def end(self) -> None:
+    def close(self) -> None:
         self._core.stopping(self._scheduler.now())
-        self._keeper.settle(self._patience)
+        self._keeper.settle(self._open_timeout)
         self._keeper.stop()
 
-    # Host: there is nobody to ask, and operators speak to discovery
+    # Host of the recovery: there are no peers, and operators act on discovery alone
 
     def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
-        self._under_way += 1
+        self._pending_writes += 1
 
         def kept(sequence: int, why: str) -> None:
-            self._under_way -= 1
+            self._pending_writes -= 1
             self._core.kept(self._scheduler.now(), number, sequence, why)
 
         self._keeper.keep(dict(map(encoded, facts)), kept)
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -1,7 +1,8 @@
-"""The control service as a program: its parts put together, kept going, read anew and ended.
+"""The control service as a program: its components, its update loop, reload and shutdown.
 
-Owns the loop that turns the list and the module's chances into views. Must never weigh a server itself, and never let
-a drain wait for that loop: the list's word is acted on in the greenlet that brings it.
+The loop turns the server list and the draw probabilities of the decision module into snapshots for
+the proxies. The removal of a draining server does not wait for that loop: it is sent in the
+greenlet that received the list.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 import structlog
 
 from corklift.control import resources
-from corklift.control.config import BadConfig, Control, read
+from corklift.control.config import ControlConfig, ControlConfigError, load_config
 from corklift.control.persistence import PersistentState
-from corklift.control.resources import Place
-from corklift.control.service import Service
+from corklift.control.resources import ServerEndpoint
+from corklift.control.service import XdsService
 from corklift.control.subscriptions import Resource, ResourceKind, SubscriptionManager
-from corklift.control.weights import PublishedWeights, Weights
+from corklift.control.weights import PublishedWeights, WeightPublisher
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
 from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
@@ -32,25 +33,28 @@
 from corklift.net.upkeep import Probes, Watch
 from corklift.rpc.server import Server
 
-TURN = 50 * MS  # between two looks at what is due
-READY_TIME = (
-    1500 * MS
-)  # after the first list, for a first count of each server; then the view stands without
-STANDARD_FILES = 32  # descriptors beside those for proxies and probes
-KEPT_FOR = 30 * SECOND  # a connection for probes idles so long
+UPDATE_INTERVAL = 50 * MS  # between two runs of the update loop
+# The first snapshot waits for a load report from each server, but at most this long after the first
+# list.
+FIRST_REPORTS_TIMEOUT = 1500 * MS
+RESERVED_DESCRIPTORS = 32  # beyond those for proxies and probes
+PROBE_CONNECTION_IDLE_TIME = 30 * SECOND  # an idle connection for probes is closed after this
 
 
 class EventLog:
-    """JSON lines on standard error, by structlog; they wait in a short queue, never for whoever reads them."""
+    """Writes events as JSON lines to standard error, through structlog.
 
-    MAX_QUEUED_LINES = 1000  # that wait
+    Lines wait in a bounded queue, so that a slow reader of standard error blocks no other greenlet.
+    """
+
+    MAX_QUEUED_LINES = 1000
     MAX_LINES_PER_SECOND = 100
 
     def __init__(self, scheduler: Scheduler, counters: Counters) -> None:
         self._scheduler, self._counters = scheduler, counters
         self._queue: deque[str] = deque()
         self._task: Any = None
-        self._second, self._left = 0, self.MAX_LINES_PER_SECOND
+        self._second, self._lines_left = 0, self.MAX_LINES_PER_SECOND
         self._log = structlog.wrap_logger(
             self,
             processors=[
@@ -60,12 +64,12 @@
         )
 
     def msg(self, line: str) -> None:
-        """What structlog hands a line to."""
+        """Queues a rendered line; called by structlog."""
         second = self._scheduler.now() // SECOND
         if second != self._second:
-            self._second, self._left = second, self.MAX_LINES_PER_SECOND
-        self._left -= 1
-        if len(self._queue) >= self.MAX_QUEUED_LINES or self._left < 0:
+            self._second, self._lines_left = second, self.MAX_LINES_PER_SECOND
+        self._lines_left -= 1
+        if len(self._queue) >= self.MAX_QUEUED_LINES or self._lines_left < 0:
             self._counters["log lines dropped"] += 1
             return
         self._queue.append(line)
@@ -97,17 +101,19 @@
 
 
 class Program:
+    """All components of one control service."""
+
     def __init__(
-        self, config: Control, path: str | None = None, now: Callable[[], int] | None = None
+        self, config: ControlConfig, path: str | None = None, now: Callable[[], int] | None = None
     ) -> None:
         self.config, self._path = config, path
         self.counters = Counters()
-        self.scheduler = scheduler = Scheduler(now or wall_clock(), self._failed)
+        self.scheduler = scheduler = Scheduler(now or wall_clock(), self._log_exception)
         self.event_log = EventLog(scheduler, self.counters)
         self.facade = Facade(
             scheduler,
             config.table.seed,
-            config.arguments(),
+            config.balancer_arguments(),
             config.report_names,
             None,
             [],
@@ -116,25 +122,27 @@
             lambda text: self.event_log.write("decisions", text=text),
             self.counters,
         )
-        self.weights = Weights(config.weights)
-        self._places: dict[str, Place] = {}  # all that the list has, by name
-        self._states: dict[str, Status] = {}
-        self._started: dict[str, int] = {}
-        self._known_at: int | None = None  # when the first list came
-        self.service = Service(
+        self.weights = WeightPublisher(config.weight_settings)
+        self._servers: dict[str, ServerEndpoint] = {}  # all listed servers, by name
+        self._statuses: dict[str, Status] = {}
+        self._started_at: dict[str, int] = {}
+        self._list_known_at: int | None = None  # when the first list was received
+        self.service = XdsService(
             scheduler,
             self.counters,
-            lambda host: SubscriptionManager(host, config.subscriptions),
-            self.facade_placed,
+            lambda host: SubscriptionManager(host, config.subscription_settings),
+            self.record_placements,
             self.event_log.write,
             ttl=config.ttl,
-            report_every=config.table.load_reports.every_ms * MS,
+            report_interval=config.table.load_reports.every_ms * MS,
         )
         self.subscriptions = self.service.subscriptions
-        self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
+        self.server = Server(scheduler, config.rpc_limits, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
-        self.probes = Probes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
-        printer = Printer(config.net, scheduler.now, self.counters)
+        self.probes = Probes(
+            scheduler, config.net_limits, self.counters, self.facade, PROBE_CONNECTION_IDLE_TIME
+        )
+        printer = Printer(config.net_limits, scheduler.now, self.counters)
         printer.say = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
         self.persistent_state = (
@@ -146,7 +154,7 @@
         )
         self.watch = Watch(
             scheduler,
-            config.net,
+            config.net_limits,
             self.counters,
             printer,
             self.persistent_state or self,  # type: ignore[arg-type]
@@ -155,167 +163,178 @@
         )
         self._stopping = False
 
-    def facade_placed(self, workload: str, server: str, number: int, failed: int) -> None:
-        if server in self._places:
-            self.facade.placed_by_others(server, number, failed)
+    def record_placements(self, workload: str, server: str, count: int, failed: int) -> None:
+        if server in self._servers:
+            self.facade.placed_by_others(server, count, failed)
 
-    # What the watch calls
+    # Host of the discovery watch
 
     def listed(self, scope: Scope, content: Listing) -> None:
-        """The list's word: who drains or is gone has left every view when this returns."""
+        """Applies a list update; unavailable servers have left all snapshots when it returns."""
         now = self.scheduler.now()
         self.facade.listed(scope, content)
-        named = {entry.name for entry in content.entries}
-        left = {entry.name for entry in content.entries if entry.status is not Status.READY}
+        listed_names = {entry.name for entry in content.entries}
+        unavailable = {entry.name for entry in content.entries if entry.status is not Status.READY}
         gone = {entry.name for entry in content.entries if entry.status is Status.GONE}
-        marked = self._marked()
-        # One that started anew is out until it is weighed as cold; one at another address is told at once.
-        anew = {
+        draining_before = self._marked_draining()
+        # A restarted server is removed until it has a weight as a cold server; a new address is
+        # sent at once.
+        restarted = {
             entry.name
             for entry in content.entries
-            if entry.started_at > self._started.get(entry.name, entry.started_at)
+            if entry.started_at > self._started_at.get(entry.name, entry.started_at)
         }
-        moved = {
+        relocated = {
             entry.name
             for entry in content.entries
-            if entry.name in self._places and self._places[entry.name].address != entry.address
+            if entry.name in self._servers and self._servers[entry.name].address != entry.address
         }
         if content.whole:
-            gone |= self._states.keys() - named
+            gone |= self._statuses.keys() - listed_names
         for entry in content.entries:
-            self._states[entry.name] = entry.status
-            self._started[entry.name] = entry.started_at
-            self._places[entry.name] = Place(
+            self._statuses[entry.name] = entry.status
+            self._started_at[entry.name] = entry.started_at
+            self._servers[entry.name] = ServerEndpoint(
                 entry.name, entry.address, entry.zone, entry.status is Status.DRAINING
             )
         for name in gone:
-            for held in (self._states, self._places, self._started):
-                held.pop(name, None)
-        if self._known_at is None:
-            self._known_at = now
-            self.event_log.write("list known", servers=len(self._places))
-        changed = self.weights.left(left | gone | anew)
+            for table in (self._statuses, self._servers, self._started_at):
+                table.pop(name, None)
+        if self._list_known_at is None:
+            self._list_known_at = now
+            self.event_log.write("list known", servers=len(self._servers))
+        changed = self.weights.remove_servers(unavailable | gone | restarted)
         changed += [
             name
-            for name, told in self.weights.told.items()
-            if name not in changed and moved & told.weights.keys()
+            for name, published in self.weights.published.items()
+            if name not in changed and relocated & published.weights.keys()
         ]
-        if self._marked() != marked:
-            changed = list(self.weights.told)
+        if self._marked_draining() != draining_before:
+            changed = list(self.weights.published)
         if changed and self.subscriptions.has_snapshot:
             self.counters["views changed by drains"] += 1
             self.subscriptions.update_snapshot(
-                now, {ResourceKind.ENDPOINTS: self._endpoints(changed)}, urgent=True
+                now, {ResourceKind.ENDPOINTS: self._build_endpoints(changed)}, urgent=True
             )
 
-    # The loop
+    # Update loop
 
-    def keep_weighing(self) -> None:
+    def keep_updating_weights(self) -> None:
         while True:
-            self._weigh(self.scheduler.now())
+            self._update_weights(self.scheduler.now())
             self.subscriptions.tick(self.scheduler.now())
-            self.scheduler.sleep(TURN)
+            self.scheduler.sleep(UPDATE_INTERVAL)
 
-    def _weigh(self, now: int) -> None:
-        # Guards against an empty view, after which proxies would have nowhere to place, before the list is known.
-        if self._known_at is None:
+    def _update_weights(self, now: int) -> None:
+        # Before the list is known, a snapshot would be empty and proxies would reject all logins.
+        if self._list_known_at is None:
             return
         if not self.subscriptions.has_snapshot and not (
-            self.facade.all_heard() or now - self._known_at >= READY_TIME
+            self.facade.all_heard() or now - self._list_known_at >= FIRST_REPORTS_TIMEOUT
         ):
             return
-        ready = [name for name, state in self._states.items() if state is Status.READY]
+        ready = [name for name, status in self._statuses.items() if status is Status.READY]
         changed = []
         for workload in self.config.workloads:
-            if self.weights.due(now, workload.name):
-                chances = self.facade.chances(workload.name, self.config.span)
+            if self.weights.may_publish(now, workload.name):
+                probabilities = self.facade.chances(workload.name, self.config.weight_interval)
                 if self.config.table.weights.log:
                     self.event_log.write(
                         "weighed",
                         workload=workload.name,
-                        chances={n: round(c, 6) for n, c in chances.items()},
+                        chances={n: round(p, 6) for n, p in probabilities.items()},
                     )
-                if self.weights.weighed(
+                if self.weights.publish(
                     now,
                     workload.name,
-                    {n: c for n, c in chances.items() if n in self._places},
+                    {n: p for n, p in probabilities.items() if n in self._servers},
                     ready,
                 ):
                     changed.append(workload.name)
         if not self.subscriptions.has_snapshot:
-            self.subscriptions.update_snapshot(now, self._all_tables())
+            self.subscriptions.update_snapshot(now, self._build_snapshot())
             self.event_log.write(
                 "serving", servers=len(ready), proxies=len(self.subscriptions.streams)
             )
         elif changed:
             self.counters["views changed by weights"] += 1
             self.subscriptions.update_snapshot(
-                now, {ResourceKind.ENDPOINTS: self._endpoints(changed)}
+                now, {ResourceKind.ENDPOINTS: self._build_endpoints(changed)}
             )
 
-    def _endpoints(self, workloads: list[str]) -> dict[str, Resource]:
+    def _build_endpoints(self, workloads: list[str]) -> dict[str, Resource]:
         table = dict(self.subscriptions.current_resources(ResourceKind.ENDPOINTS))
-        draining = self._marked()
+        draining = self._marked_draining()
         for workload in workloads:
-            told = self.weights.told.get(workload, PublishedWeights({}, 0))
-            table[workload] = resources.endpoints(
-                workload, told, self._places, draining, self.config.stale_after
+            published = self.weights.published.get(workload, PublishedWeights({}, 0))
+            table[workload] = resources.build_endpoints(
+                workload, published, self._servers, draining, self.config.endpoint_stale_after
             )
         return table
 
-    def _marked(self) -> list[Place]:
-        """The draining servers that proxies are shown as such, by name; none where they are to leave the views."""
+    def _marked_draining(self) -> list[ServerEndpoint]:
+        """Returns the servers shown to proxies as draining; none if they are removed instead."""
         if self.config.table.draining == "remove":
             return []
-        return sorted(place for place in self._places.values() if place.draining)
+        return sorted(server for server in self._servers.values() if server.draining)
 
-    def _all_tables(self) -> dict[ResourceKind, dict[str, Resource]]:
+    def _build_snapshot(self) -> dict[ResourceKind, dict[str, Resource]]:
         names = [workload.name for workload in self.config.workloads]
-        connect_time = self.config.net.connect_time
-        clusters = {name: resources.cluster(name, connect_time) for name in names}
+        connect_time = self.config.net_limits.connect_time
+        clusters = {name: resources.build_cluster(name, connect_time) for name in names}
         tables = {
             ResourceKind.CLUSTERS: clusters,
             ResourceKind.LISTENERS: {
-                listener.name: resources.listener(listener) for listener in self.config.listeners
+                listener.name: resources.build_listener(listener)
+                for listener in self.config.listeners
             },
             ResourceKind.ROUTES: {
-                listener.name: resources.routes(listener)
+                listener.name: resources.build_routes(listener)
                 for listener in self.config.listeners
                 if not listener.is_tcp
             },
         }
-        known = self._endpoints(names)
-        return tables | {ResourceKind.ENDPOINTS: {name: known[name] for name in names}}
+        endpoints = self._build_endpoints(names)
+        return tables | {ResourceKind.ENDPOINTS: {name: endpoints[name] for name in names}}
 
-    # Its life
+    # Reload, start and shutdown
 
     def reload(self) -> None:
-        """Takes what a new configuration changes; proxies, the list and all counts stay. A bad one changes nothing."""
+        """Applies a changed file; streams, list and counters stay. An invalid file changes nothing."""
         try:
-            new = read(self._path or "")
-        except BadConfig as problem:
+            new = load_config(self._path or "")
+        except ControlConfigError as error:
             self.counters["configurations refused"] += 1
-            self.event_log.write("configuration refused", reason=str(problem))
+            self.event_log.write("configuration refused", reason=str(error))
             return
         old, self.config = self.config, new
         if new.listen != old.listen:
             self.event_log.write("listen is taken at a start only", listen=old.table.listen)
-        self.facade.settings_changed(new.arguments(), new.report_names, None, [], [])
-        self.weights.settings, self.subscriptions.settings = new.weights, new.subscriptions
-        self.weights.forget([workload.name for workload in new.workloads])
-        self.service.ttl, self.service.report_every = new.ttl, new.table.load_reports.every_ms * MS
-        self.probes.reconfigure(new.net, KEPT_FOR)
-        self.watch.follow(new.discovery, new.net)
+        self.facade.settings_changed(new.balancer_arguments(), new.report_names, None, [], [])
+        self.weights.settings, self.subscriptions.settings = (
+            new.weight_settings,
+            new.subscription_settings,
+        )
+        self.weights.retain_workloads([workload.name for workload in new.workloads])
+        self.service.ttl, self.service.report_interval = (
+            new.ttl,
+            new.table.load_reports.every_ms * MS,
+        )
+        self.probes.reconfigure(new.net_limits, PROBE_CONNECTION_IDLE_TIME)
+        self.watch.follow(new.discovery, new.net_limits)
         self.counters["configurations taken"] += 1
         if self.subscriptions.has_snapshot:
             now = self.scheduler.now()
-            ready = [name for name, state in self._states.items() if state is Status.READY]
+            ready = [name for name, status in self._statuses.items() if status is Status.READY]
             for workload in new.workloads:
-                if workload.name not in self.weights.told:
-                    self.weights.weighed(
-                        now, workload.name, self.facade.chances(workload.name, new.span), ready
+                if workload.name not in self.weights.published:
+                    self.weights.publish(
+                        now,
+                        workload.name,
+                        self.facade.chances(workload.name, new.weight_interval),
+                        ready,
                     )
-            self.subscriptions.update_snapshot(now, self._all_tables())
+            self.subscriptions.update_snapshot(now, self._build_snapshot())
         self.event_log.write("configuration taken")
 
     def start(self) -> None:
@@ -325,86 +344,86 @@
             self.facade.keep_ticking,
             self.probes.keep_probing,
             self.watch.keep_watching,
-            self.keep_weighing,
+            self.keep_updating_weights,
             self.server.keep_accepting,
             *(self.persistent_state.jobs() if self.persistent_state else ()),
         ):
-            spawn(self._keep, job)
+            spawn(self._run_supervised, job)
         self.event_log.write(
             "started",
             listen=f"{self.config.listen[0]}:{self.port}",
             discovery=self.config.table.discovery,
         )
 
-    def _keep(self, job: Callable[[], None]) -> None:
-        """Runs one of the jobs that all proxies live on, and runs it again if an exception ends it."""
+    def _run_supervised(self, job: Callable[[], None]) -> None:
+        """Runs a job of the whole service, and restarts it after an exception."""
         while True:
             try:
                 return job()
             except Exception:
-                self._failed(traceback.format_exc(limit=-4))
+                self._log_exception(traceback.format_exc(limit=-4))
                 self.scheduler.sleep(20 * MS)
 
     def run(self) -> None:
         self.scheduler.on_signal(signal.SIGHUP, lambda: self.scheduler.spawn(self.reload))
-        self.scheduler.on_signal(signal.SIGTERM, self.leave)
-        self.scheduler.on_signal(signal.SIGINT, self.leave)
-        self.scheduler.on_signal(signal.SIGUSR1, self.tell_counters)
+        self.scheduler.on_signal(signal.SIGTERM, self.stop)
+        self.scheduler.on_signal(signal.SIGINT, self.stop)
+        self.scheduler.on_signal(signal.SIGUSR1, self.log_counters)
         self.start()
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
-        self.tell_counters()
+        self.log_counters()
         self.event_log.flush()
 
-    def tell_counters(self) -> None:
+    def log_counters(self) -> None:
         self.event_log.write(
             "counters",
             **{name.replace(" ", "_"): value for name, value in sorted(self.counters.items())},
             proxies=len(self.subscriptions.streams),
         )
 
-    def leave(self) -> None:
-        """Proxies are told to go elsewhere (GOAWAY, and their streams end), then the program ends."""
+    def stop(self) -> None:
+        """Sends proxies to another service (GOAWAY, end of streams), then ends the program."""
         if not self._stopping:
             self._stopping = True
             self.event_log.write("told to stop", proxies=len(self.subscriptions.streams))
-            self.scheduler.spawn(self._see_out)
+            self.scheduler.spawn(self._shut_down)
 
-    def _see_out(self) -> None:
+    def _shut_down(self) -> None:
         try:
-            self.service.leaving = True
+            self.service.stopping = True
             for link in self.server.links:
                 link.go_away()
             for call in list(self.service._calls.values()):
                 call._wake()
             self.server.leave(self.config.table.stop.grace_ms * MS)
             if self.persistent_state:
-                self.persistent_state.end()
+                self.persistent_state.close()
         finally:
             self.scheduler.stop()
 
-    def _failed(self, trace: str) -> None:
+    def _log_exception(self, trace: str) -> None:
         self.counters["exceptions"] += 1
         self.event_log.write("exception", trace=trace)
 
 
 def main(path: str) -> int:
     try:
-        config = read(path)
-        wanted = config.rpc.connections + config.net.probes + STANDARD_FILES
-        allowed = allow_sockets(wanted)
+        config = load_config(path)
+        needed = config.rpc_limits.connections + config.net_limits.probes + RESERVED_DESCRIPTORS
+        available = allow_sockets(needed)
         program = Program(config, path)
-        if allowed < wanted:
+        if available < needed:
             program.event_log.write(
-                "fewer descriptors than the limits ask for", allowed=allowed, wanted=wanted
+                "fewer descriptors than the limits ask for", allowed=available, wanted=needed
             )
-    except BadConfig as problem:
-        print(f"corklift: {problem}", file=sys.stderr)
+    except ControlConfigError as error:
+        print(f"corklift: {error}", file=sys.stderr)
         return 2
-    except OSError as problem:
-        print(f"corklift: listen: {problem}", file=sys.stderr)
+    except OSError as error:
+        print(f"corklift: listen: {error}", file=sys.stderr)
         return 2
     program.run()
     return 0
--- a/corklift/control/resources.py
+++ b/corklift/control/resources.py
@@ -1,13 +1,13 @@
-"""xDS on the wire: what a view holds as Envoy's messages, and requests and responses as bytes.
+"""Encodes resources and responses as xDS messages, and decodes requests.
 
-Pure: values in, bytes out, and back; equal values give equal bytes. Owns no state. Must never decide who is owed what.
-Source: the published protocol buffers of xDS v3 (`xds-protos`).
+The functions are pure: equal values give equal bytes, so versions that are hashes of the content
+agree between processes. Source: the published protocol buffers of xDS v3 (`xds-protos`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import Any as Whatever
+from typing import Any as AnyValue
 from typing import NamedTuple
 
 from envoy.config.cluster.v3 import cluster_pb2
@@ -26,28 +26,28 @@
 from google.protobuf.message import DecodeError, Message
 
 from corklift.control.subscriptions import Resource, ResourceKind, Response
-from corklift.control.weights import WHOLE, PublishedWeights
-
-PREFIX = "type.googleapis.com/"
-TYPES = {
-    ResourceKind.CLUSTERS: PREFIX + "envoy.config.cluster.v3.Cluster",
-    ResourceKind.ENDPOINTS: PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
-    ResourceKind.LISTENERS: PREFIX + "envoy.config.listener.v3.Listener",
-    ResourceKind.ROUTES: PREFIX + "envoy.config.route.v3.RouteConfiguration",
+from corklift.control.weights import TOTAL_WEIGHT, PublishedWeights
+
+TYPE_URL_PREFIX = "type.googleapis.com/"
+TYPE_URLS = {
+    ResourceKind.CLUSTERS: TYPE_URL_PREFIX + "envoy.config.cluster.v3.Cluster",
+    ResourceKind.ENDPOINTS: TYPE_URL_PREFIX + "envoy.config.endpoint.v3.ClusterLoadAssignment",
+    ResourceKind.LISTENERS: TYPE_URL_PREFIX + "envoy.config.listener.v3.Listener",
+    ResourceKind.ROUTES: TYPE_URL_PREFIX + "envoy.config.route.v3.RouteConfiguration",
 }
-KINDS = {url: kind for kind, url in TYPES.items()}
-WRAPPED = PREFIX + "envoy.service.discovery.v3.Resource"
-REFUSED = "refused"  # the category under which proxies count what they turn away for us
-ROUTER = "envoy.filters.http.router"
-IDENTIFIER = "corklift"
+KINDS_BY_TYPE_URL = {url: kind for kind, url in TYPE_URLS.items()}
+WRAPPED_RESOURCE_TYPE_URL = TYPE_URL_PREFIX + "envoy.service.discovery.v3.Resource"
+DROP_CATEGORY = "refused"  # under which proxies report the requests that they drop
+ROUTER_FILTER = "envoy.filters.http.router"
+CONTROL_PLANE_IDENTIFIER = "corklift"
 
 
-class BadRequest(Exception):
-    """A message that can't be read, or that asks for a type that is not served."""
+class InvalidRequestError(Exception):
+    """A message that can't be parsed, or a request for a resource type that is not served."""
 
 
-class Place(NamedTuple):
-    """A server as proxies need it."""
+class ServerEndpoint(NamedTuple):
+    """A server's address and zone."""
 
     name: str
     address: tuple[str, int]
@@ -56,215 +56,238 @@
 
 
 class Route(NamedTuple):
+    """Sends requests whose path has the prefix to a workload."""
+
     prefix: str
     workload: str
 
 
 class ListenerSpec(NamedTuple):
-    """A listener: without an address it is one that gRPC clients dial by name."""
+    """A listener of the proxies; without an address, gRPC clients refer to it by name."""
 
     name: str
     routes: tuple[Route, ...]
     address: tuple[str, int] | None = None
-    is_tcp: bool = (
-        False  # lines or any other bytes over TCP: the first route's workload has all of it
-    )
+    # Passes bytes through instead of HTTP requests; all connections belong to the workload of the
+    # first route.
+    is_tcp: bool = False
 
 
-def _bytes(message: Message) -> bytes:
+def _serialize(message: Message) -> bytes:
     return bytes(message.SerializeToString(deterministic=True))
 
 
-def _packed(message: Message) -> Any:
+def _pack(message: Message) -> Any:
     packed = Any()
     packed.Pack(message, deterministic=True)
     return packed
 
 
-def _over_ads() -> config_source_pb2.ConfigSource:
+def _ads_config_source() -> config_source_pb2.ConfigSource:
     return config_source_pb2.ConfigSource(
         ads=config_source_pb2.AggregatedConfigSource(), resource_api_version=config_source_pb2.V3
     )
 
 
-def cluster(workload: str, connect_time: int) -> Resource:
-    """A workload's cluster: its endpoints come over ADS, their weights count, loads are reported to this service."""
+def build_cluster(workload: str, connect_timeout: int) -> Resource:
+    """Returns a cluster with endpoints from ADS, drawn by weight, and load reports over LRS."""
     message = cluster_pb2.Cluster(
         name=workload,
         type=cluster_pb2.Cluster.EDS,
-        eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_over_ads()),
+        eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_ads_config_source()),
         lb_policy=cluster_pb2.Cluster.ROUND_ROBIN,
         lrs_server=config_source_pb2.ConfigSource(self=config_source_pb2.SelfConfigSource()),
     )
-    message.connect_timeout.FromNanoseconds(connect_time)
+    message.connect_timeout.FromNanoseconds(connect_timeout)
     message.common_lb_config.locality_weighted_lb_config.SetInParent()
-    # A proxy must not go back to servers that the view leaves out because it finds the others unwell.
+    # Disables panic mode, in which a proxy would use servers without weight because it finds the
+    # others unhealthy.
     message.common_lb_config.healthy_panic_threshold.value = 0.0
-    return Resource.from_body(workload, _bytes(message))
+    return Resource.from_body(workload, _serialize(message))
 
 
-def endpoints(
+def build_endpoints(
     workload: str,
-    told: PublishedWeights,
-    places: Mapping[str, Place],
-    draining: Iterable[Place] = (),
+    published: PublishedWeights,
+    servers: Mapping[str, ServerEndpoint],
+    draining: Iterable[ServerEndpoint] = (),
     stale_after: int = 0,
 ) -> Resource:
-    """A workload's servers. Each is a locality of its own, named by the server: a draw among localities is by weight
-    in every proxy, gRPC clients among them, and their load reports tell localities apart."""
+    """Returns the load assignment of a workload's servers.
+
+    Each server is a locality of its own, named after the server: every proxy, gRPC clients
+    included, draws localities by weight, and load reports are per locality.
+    """
     message = endpoint_pb2.ClusterLoadAssignment(cluster_name=workload)
-    for name in sorted(told.weights):
-        place = places.get(name)
-        if place is not None:
-            _locality(message, place).load_balancing_weight.value = told.weights[name]
-    for place in sorted(draining):
-        # Without a weight it is offered nothing; what stands there is left to stand.
-        _locality(message, place).lb_endpoints[0].health_status = health_check_pb2.DRAINING
-    if told.refused:
-        drop = message.policy.drop_overloads.add(category=REFUSED)
-        drop.drop_percentage.numerator = told.refused
+    for name in sorted(published.weights):
+        server = servers.get(name)
+        if server is not None:
+            _add_locality(message, server).load_balancing_weight.value = published.weights[name]
+    for server in sorted(draining):
+        # Without a weight it receives no new connections; open ones stay.
+        _add_locality(message, server).lb_endpoints[0].health_status = health_check_pb2.DRAINING
+    if published.dropped:
+        drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
+        drop.drop_percentage.numerator = published.dropped
         drop.drop_percentage.denominator = percent_pb2.FractionalPercent.TEN_THOUSAND
-        assert WHOLE == 10_000
+        assert TOTAL_WEIGHT == 10_000
     if stale_after:
         message.policy.endpoint_stale_after.FromNanoseconds(stale_after)
-    return Resource.from_body(workload, _bytes(message))
+    return Resource.from_body(workload, _serialize(message))
 
 
-def _locality(
-    message: endpoint_pb2.ClusterLoadAssignment, place: Place
+def _add_locality(
+    message: endpoint_pb2.ClusterLoadAssignment, server: ServerEndpoint
 ) -> endpoint_components_pb2.LocalityLbEndpoints:
     locality = message.endpoints.add()
-    locality.locality.zone, locality.locality.sub_zone = place.zone, place.name
+    locality.locality.zone, locality.locality.sub_zone = server.zone, server.name
     address = locality.lb_endpoints.add().endpoint.address.socket_address
-    address.address, address.port_value = place.address
+    address.address, address.port_value = server.address
     return locality
 
 
-def listener(spec: ListenerSpec) -> Resource:
+def build_listener(spec: ListenerSpec) -> Resource:
     manager = hcm_pb2.HttpConnectionManager(
         stat_prefix=spec.name,
-        rds=hcm_pb2.Rds(config_source=_over_ads(), route_config_name=spec.name),
-        http_filters=[hcm_pb2.HttpFilter(name=ROUTER, typed_config=_packed(router_pb2.Router()))],
+        rds=hcm_pb2.Rds(config_source=_ads_config_source(), route_config_name=spec.name),
+        http_filters=[
+            hcm_pb2.HttpFilter(name=ROUTER_FILTER, typed_config=_pack(router_pb2.Router()))
+        ],
     )
     message = listener_pb2.Listener(name=spec.name)
     if spec.address is None:
-        message.api_listener.api_listener.CopyFrom(_packed(manager))
+        message.api_listener.api_listener.CopyFrom(_pack(manager))
     else:
         message.address.socket_address.address, message.address.socket_address.port_value = (
             spec.address
         )
-        inner: Message = manager
-        name = "envoy.filters.network.http_connection_manager"
+        proxy_filter: Message = manager
+        filter_name = "envoy.filters.network.http_connection_manager"
         if spec.is_tcp:
-            inner = tcp_proxy_pb2.TcpProxy(stat_prefix=spec.name, cluster=spec.routes[0].workload)
-            name = "envoy.filters.network.tcp_proxy"
-        message.filter_chains.add().filters.add(name=name, typed_config=_packed(inner))
-    refers = [spec.routes[0].workload] if spec.is_tcp else []
-    return Resource.from_body(spec.name, _bytes(message), refers)
+            proxy_filter = tcp_proxy_pb2.TcpProxy(
+                stat_prefix=spec.name, cluster=spec.routes[0].workload
+            )
+            filter_name = "envoy.filters.network.tcp_proxy"
+        message.filter_chains.add().filters.add(name=filter_name, typed_config=_pack(proxy_filter))
+    referenced_clusters = [spec.routes[0].workload] if spec.is_tcp else []
+    return Resource.from_body(spec.name, _serialize(message), referenced_clusters)
 
 
-def routes(spec: ListenerSpec) -> Resource:
+def build_routes(spec: ListenerSpec) -> Resource:
     message = route_pb2.RouteConfiguration(name=spec.name)
     host = message.virtual_hosts.add(name=spec.name, domains=["*"])
     for route in spec.routes:
         entry = host.routes.add()
         entry.match.prefix, entry.route.cluster = route.prefix, route.workload
-    return Resource.from_body(spec.name, _bytes(message), [route.workload for route in spec.routes])
+    return Resource.from_body(
+        spec.name, _serialize(message), [route.workload for route in spec.routes]
+    )
 
 
-def response(told: Response, incremental: bool, ttl: int = 0) -> bytes:
-    """A response as it goes to a proxy. With a TTL (ns), endpoints run out in it unless they are sent again."""
-    ttl = ttl if told.kind is ResourceKind.ENDPOINTS else 0
-    url = TYPES[told.kind]
+def encode_response(response: Response, incremental: bool, ttl: int = 0) -> bytes:
+    """Encodes a response. With a TTL (ns), endpoints expire unless they are sent again in time."""
+    ttl = ttl if response.kind is ResourceKind.ENDPOINTS else 0
+    type_url = TYPE_URLS[response.kind]
     if incremental:
         message = discovery_pb2.DeltaDiscoveryResponse(
-            system_version_info=told.version,
-            type_url=url,
-            nonce=told.nonce,
-            removed_resources=told.removed,
-            control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER),
+            system_version_info=response.version,
+            type_url=type_url,
+            nonce=response.nonce,
+            removed_resources=response.removed,
+            control_plane=base_pb2.ControlPlane(identifier=CONTROL_PLANE_IDENTIFIER),
         )
-        for resource in told.resources:
-            _fill(message.resources.add(), resource, url, ttl, told.heartbeat)
+        for resource in response.resources:
+            _fill_resource(message.resources.add(), resource, type_url, ttl, response.heartbeat)
         return bytes(message.SerializeToString())
     answer = discovery_pb2.DiscoveryResponse(
-        version_info=told.version,
-        type_url=url,
-        nonce=told.nonce,
-        control_plane=base_pb2.ControlPlane(identifier=IDENTIFIER),
+        version_info=response.version,
+        type_url=type_url,
+        nonce=response.nonce,
+        control_plane=base_pb2.ControlPlane(identifier=CONTROL_PLANE_IDENTIFIER),
     )
-    for resource in told.resources:
+    for resource in response.resources:
         if ttl:
             wrapped = discovery_pb2.Resource()
-            _fill(wrapped, resource, url, ttl, told.heartbeat)
-            answer.resources.add(type_url=WRAPPED, value=wrapped.SerializeToString())
+            _fill_resource(wrapped, resource, type_url, ttl, response.heartbeat)
+            answer.resources.add(
+                type_url=WRAPPED_RESOURCE_TYPE_URL, value=wrapped.SerializeToString()
+            )
         else:
-            answer.resources.add(type_url=url, value=resource.body)
+            answer.resources.add(type_url=type_url, value=resource.body)
     return bytes(answer.SerializeToString())
 
 
-def _fill(
-    message: discovery_pb2.Resource, resource: Resource, url: str, ttl: int, heartbeat: bool
+def _fill_resource(
+    message: discovery_pb2.Resource, resource: Resource, type_url: str, ttl: int, heartbeat: bool
 ) -> None:
     message.name, message.version = resource.name, resource.version
     if not heartbeat:
-        message.resource.type_url, message.resource.value = url, resource.body
+        message.resource.type_url, message.resource.value = type_url, resource.body
     if ttl:
         message.ttl.FromNanoseconds(ttl)
 
 
-class Request(NamedTuple):
-    """What both variants of request have in common, and what only one has."""
+class DiscoveryRequest(NamedTuple):
+    """A request of either xDS variant."""
 
     node: str
     kind: ResourceKind
     nonce: str
-    problem: str | None
+    error: str | None  # set in a NACK
+    # State of the world:
     names: tuple[str, ...] = ()
     version: str = ""
+    # Incremental:
     subscribe: tuple[str, ...] = ()
     unsubscribe: tuple[str, ...] = ()
-    had: Mapping[str, str] = {}
+    initial_versions: Mapping[str, str] = {}
+
 
+def decode_request(content: bytes, incremental: bool) -> DiscoveryRequest:
+    """Decodes a request.
 
-def request(content: bytes, incremental: bool) -> Request:
-    """Raises:
-    BadRequest: it can't be read, or its type is not served.
+    Raises:
+        InvalidRequestError: the request can't be parsed, or its resource type is not served.
     """
-    message: Whatever = (
+    message: AnyValue = (
         discovery_pb2.DeltaDiscoveryRequest() if incremental else discovery_pb2.DiscoveryRequest()
     )
-    parsed(message, content)
-    kind = KINDS.get(message.type_url)
+    parse_message(message, content)
+    kind = KINDS_BY_TYPE_URL.get(message.type_url)
     if kind is None:
-        raise BadRequest(f"no resources of type {message.type_url:.200}")
-    problem = (
+        raise InvalidRequestError(f"resource type not served: {message.type_url:.200}")
+    error = (
         f"{message.error_detail.code}: {message.error_detail.message:.1000}"
         if message.HasField("error_detail")
         else None
     )
     if incremental:
-        return Request(
+        return DiscoveryRequest(
             message.node.id[:256],
             kind,
             message.response_nonce,
-            problem,
+            error,
             subscribe=tuple(message.resource_names_subscribe),
             unsubscribe=tuple(message.resource_names_unsubscribe),
-            had=dict(message.initial_resource_versions),
+            initial_versions=dict(message.initial_resource_versions),
         )
-    return Request(
+    return DiscoveryRequest(
         message.node.id[:256],
         kind,
         message.response_nonce,
-        problem,
+        error,
         tuple(message.resource_names),
         message.version_info,
     )
 
 
-def parsed(message: Message, content: bytes) -> None:
+def parse_message(message: Message, content: bytes) -> None:
+    """Parses the content into the given message.
+
+    Raises:
+        InvalidRequestError: the content is not a message of this type.
+    """
     try:
         message.ParseFromString(content)
-    except DecodeError as problem:
-        raise BadRequest(f"not a {type(message).__name__}: {problem}") from None
+    except DecodeError as error:
+        raise InvalidRequestError(f"can't parse {type(message).__name__}: {error}") from None
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -1,7 +1,7 @@
-"""The control service's three calls: ADS in both variants, LRS and CSDS, each a loop over one stream.
+"""The gRPC services of the control service: ADS in both xDS variants, LRS and CSDS.
 
-Owns the streams and what is asked of them by the views. Must never decide who is owed what (the views do), weigh a
-server (the decision module does), or let one proxy's slowness hold up another.
+Each handler is a loop over one stream. Which resources are sent is decided by the subscriptions,
+and weights by the decision module. A slow proxy must never delay another one.
 """
 
 from __future__ import annotations
@@ -14,9 +14,8 @@
 from envoy.service.status.v3 import csds_pb2
 
 from corklift.control import resources
-from corklift.control.resources import REFUSED, TYPES, BadRequest
+from corklift.control.resources import DROP_CATEGORY, TYPE_URLS, InvalidRequestError
 from corklift.control.subscriptions import (
-    ResourceKind,
     ResourceStatus,
     Response,
     SubscriptionManager,
@@ -31,10 +30,10 @@
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
 CSDS = "/envoy.service.status.v3.ClientStatusDiscoveryService/"
-STATUS_TURN = 25  # proxies looked at in one go
-MOST_COUNTED = 5_000  # servers in one report
-MOST_PLACED = 1_000_000  # logins on one server in one report: more is no count
-STATES = {
+STREAMS_PER_STATUS_BATCH = 25  # after which a status request lets other tasks run
+MAX_REPORTED_SERVERS = 5_000  # in one load report
+MAX_REPORTED_LOGINS = 1_000_000  # on one server in one load report; a larger count is ignored
+CLIENT_STATUSES = {
     "accepted": dump_pb2.ACKED,
     "refused": dump_pb2.NACKED,
     "sent": dump_pb2.REQUESTED,
@@ -42,43 +41,50 @@
 }
 
 
-class Service:
+class XdsService:
+    """Serves the streams of all proxies; the host of the subscriptions."""
+
     def __init__(
         self,
         scheduler: Scheduler,
         counters: Counters,
-        make_subscriptions: Callable[[Service], SubscriptionManager],
-        placed: Callable[[str, str, int, int], None],
+        make_subscriptions: Callable[[XdsService], SubscriptionManager],
+        record_placements: Callable[[str, str, int, int], None],
         log: Callable[..., None],
         *,
         ttl: int,
-        report_every: int,
+        report_interval: int,
     ) -> None:
-        self._scheduler, self._counters, self._log, self._placed = scheduler, counters, log, placed
-        self.ttl, self.report_every = ttl, report_every
+        self._scheduler, self._counters, self._log, self._record_placements = (
+            scheduler,
+            counters,
+            log,
+            record_placements,
+        )
+        self.ttl, self.report_interval = ttl, report_interval
         self.subscriptions = make_subscriptions(self)
         self._calls: dict[int, LiveCall] = {}
-        self._next = 1
-        self.reporting = 0  # streams of load reports
-        self.leaving = False
+        self._next_stream = 1
+        self.report_streams = 0  # open streams of load reports
+        self.stopping = False
 
     def handlers(self) -> dict[str, Handler]:
         return {
-            ADS + "StreamAggregatedResources": lambda call: self._follow(call, False),
-            ADS + "DeltaAggregatedResources": lambda call: self._follow(call, True),
-            LRS: self._take_reports,
+            ADS + "StreamAggregatedResources": lambda call: self._serve_ads(call, False),
+            ADS + "DeltaAggregatedResources": lambda call: self._serve_ads(call, True),
+            LRS: self._serve_load_reports,
             CSDS + "StreamClientStatus": self._stream_status,
             CSDS + "FetchClientStatus": self._fetch_status,
         }
 
-    # What the views call
+    # Host of the subscriptions
 
     def send(self, stream: int, response: Response) -> None:
         call = self._calls.get(stream)
         if call is None or call.ended:
             return
         self._counters[f"responses of {response.kind.name.lower()}"] += 1
-        content = resources.response(
+        content = resources.encode_response(
             response, self.subscriptions.streams[stream].incremental, self.ttl
         )
         self._counters["response bytes"] += len(content)
@@ -89,54 +95,54 @@
 
     # ADS
 
-    def _follow(self, call: LiveCall, incremental: bool) -> None:
-        number, subscriptions = self._next, self.subscriptions
-        self._next += 1
+    def _serve_ads(self, call: LiveCall, incremental: bool) -> None:
+        number, subscriptions = self._next_stream, self.subscriptions
+        self._next_stream += 1
         self._calls[number] = call
         subscriptions.open_stream(self._scheduler.now(), number, incremental)
         self._counters["proxy streams"] += 1
         try:
-            while not self.leaving:
+            while not self.stopping:
                 message = call.ready()
                 if message is not None:
-                    self._requested(number, message, incremental)
+                    self._handle_request(number, message, incremental)
                 elif call.done:
                     return
                 elif not call.pending and not subscriptions.streams[number].writable:
                     subscriptions.stream_writable(self._scheduler.now(), number)
                 else:
                     call.wait()
-            raise RpcError(Code.UNAVAILABLE, "this control service goes away")
-        except (BadRequest, TooManyNamesError) as problem:
+            raise RpcError(Code.UNAVAILABLE, "control service is shutting down")
+        except (InvalidRequestError, TooManyNamesError) as error:
             self._counters["bad requests of proxies"] += 1
             self._log(
                 "request refused",
                 peer=call.peer,
                 node=subscriptions.streams[number].node,
-                reason=str(problem),
+                reason=str(error),
             )
             code = (
                 Code.INVALID_ARGUMENT
-                if isinstance(problem, BadRequest)
+                if isinstance(error, InvalidRequestError)
                 else Code.RESOURCE_EXHAUSTED
             )
-            raise RpcError(code, str(problem)) from None
+            raise RpcError(code, str(error)) from None
         finally:
             subscriptions.close_stream(number)
             del self._calls[number]
 
-    def _requested(self, number: int, message: bytes, incremental: bool) -> None:
-        request, now = resources.request(message, incremental), self._scheduler.now()
+    def _handle_request(self, number: int, message: bytes, incremental: bool) -> None:
+        request, now = resources.decode_request(message, incremental), self._scheduler.now()
         stream = self.subscriptions.streams[number]
         if request.node and not stream.node:
             self.subscriptions.set_node(number, request.node)
-        if request.problem is not None:
+        if request.error is not None:
             self._counters["refusals of proxies"] += 1
             self._log(
                 "a proxy refuses what it was sent",
                 node=stream.node,
                 kind=request.kind.name.lower(),
-                reason=request.problem,
+                reason=request.error,
             )
         if incremental:
             self.subscriptions.handle_delta_request(
@@ -145,9 +151,9 @@
                 request.kind,
                 request.subscribe,
                 request.unsubscribe,
-                request.had,
+                request.initial_versions,
                 request.nonce,
-                request.problem,
+                request.error,
             )
         else:
             self.subscriptions.handle_request(
@@ -157,54 +163,56 @@
                 request.names,
                 request.version,
                 request.nonce,
-                request.problem,
+                request.error,
             )
 
     # LRS
 
-    def _take_reports(self, call: LiveCall) -> None:
+    def _serve_load_reports(self, call: LiveCall) -> None:
         self._counters["load report streams"] += 1
-        self.reporting += 1
-        told = False
+        self.report_streams += 1
+        answered = False
         try:
-            while not self.leaving:
+            while not self.stopping:
                 message = call.receive()
                 if message is None:
                     return
                 request = lrs_pb2.LoadStatsRequest()
-                resources.parsed(request, message)
-                if not told:
-                    told = True
+                resources.parse_message(request, message)
+                if not answered:
+                    answered = True
                     answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True)
-                    answer.load_reporting_interval.FromNanoseconds(self.report_every)
+                    answer.load_reporting_interval.FromNanoseconds(self.report_interval)
                     call.post(answer.SerializeToString())
                 if (
                     sum(len(stats.upstream_locality_stats) for stats in request.cluster_stats)
-                    > MOST_COUNTED
+                    > MAX_REPORTED_SERVERS
                 ):
-                    raise BadRequest(f"a report of more than {MOST_COUNTED} servers")
+                    raise InvalidRequestError(
+                        f"load report exceeds the limit of {MAX_REPORTED_SERVERS} servers"
+                    )
                 for stats in request.cluster_stats:
-                    self._take_report(stats)
-            raise RpcError(Code.UNAVAILABLE, "this control service goes away")
-        except BadRequest as problem:
+                    self._record_report(stats)
+            raise RpcError(Code.UNAVAILABLE, "control service is shutting down")
+        except InvalidRequestError as error:
             self._counters["bad requests of proxies"] += 1
-            raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
+            raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
         finally:
-            self.reporting -= 1
+            self.report_streams -= 1
 
-    def _take_report(self, stats: load_report_pb2.ClusterStats) -> None:
-        """What a proxy has placed on each server since its last report. A locality is a server, by its name."""
+    def _record_report(self, stats: load_report_pb2.ClusterStats) -> None:
+        """Records the logins placed since the last report; a locality's sub-zone is the server."""
         self._counters["load reports"] += 1
         for drops in stats.dropped_requests:
-            if drops.category == REFUSED:
+            if drops.category == DROP_CATEGORY:
                 self._counters["logins turned away by proxies"] += min(
-                    drops.dropped_count, MOST_PLACED
+                    drops.dropped_count, MAX_REPORTED_LOGINS
                 )
         for locality in stats.upstream_locality_stats:
             issued, failed = locality.total_issued_requests, locality.total_error_requests
-            if locality.locality.sub_zone and issued <= MOST_PLACED:
+            if locality.locality.sub_zone and issued <= MAX_REPORTED_LOGINS:
                 self._counters["logins placed by proxies"] += issued
-                self._placed(
+                self._record_placements(
                     stats.cluster_name, locality.locality.sub_zone, issued, min(failed, issued)
                 )
 
@@ -213,7 +221,7 @@
     def _fetch_status(self, call: LiveCall) -> None:
         message = call.receive()
         if message is None:
-            raise RpcError(Code.INVALID_ARGUMENT, "no request came")
+            raise RpcError(Code.INVALID_ARGUMENT, "request is missing")
         call.post(self._status(message))
 
     def _stream_status(self, call: LiveCall) -> None:
@@ -223,28 +231,30 @@
     def _status(self, content: bytes) -> bytes:
         request = csds_pb2.ClientStatusRequest()
         try:
-            resources.parsed(request, content)
-        except BadRequest as problem:
-            raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
-        wanted = [matcher.node_id for matcher in request.node_matchers]
+            resources.parse_message(request, content)
+        except InvalidRequestError as error:
+            raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
+        matchers = [matcher.node_id for matcher in request.node_matchers]
         if any(
             not matcher.exact and not matcher.prefix and not matcher.suffix and not matcher.contains
-            for matcher in wanted
+            for matcher in matchers
         ):
             raise RpcError(
-                Code.UNIMPLEMENTED, "nodes are matched by exact, prefix, suffix or contains"
+                Code.UNIMPLEMENTED, "node matchers must be exact, prefix, suffix or contains"
             )
         answer = csds_pb2.ClientStatusResponse()
-        for at, stream in enumerate(
+        for index, stream in enumerate(
             sorted(
-                self.subscriptions.streams.values(), key=lambda stream: (stream.node, stream.number)
+                self.subscriptions.streams.values(),
+                key=lambda stream: (stream.node, stream.number),
             )
         ):
-            if at % STATUS_TURN == STATUS_TURN - 1:
-                self._scheduler.wait({}, self._scheduler.now())  # a drain may be waiting
+            if index % STREAMS_PER_STATUS_BATCH == STREAMS_PER_STATUS_BATCH - 1:
+                # Lets other tasks run: the drain of a server may be waiting.
+                self._scheduler.wait({}, self._scheduler.now())
             if stream.number not in self.subscriptions.streams:
                 continue
-            if wanted and not any(_matches(matcher, stream.node) for matcher in wanted):
+            if matchers and not any(_node_matches(matcher, stream.node) for matcher in matchers):
                 continue
             config = answer.config.add()
             config.node.id = stream.node
@@ -254,7 +264,7 @@
                 f"{stream.number} from {call.peer if call else '?'}"
             )
             for status in self.subscriptions.resource_statuses(stream.number):
-                self._fill(
+                self._fill_status(
                     config.generic_xds_configs.add(),
                     status,
                     request.exclude_resource_contents,
@@ -262,29 +272,29 @@
                 )
         return bytes(answer.SerializeToString())
 
-    def _fill(
+    def _fill_status(
         self,
         config: csds_pb2.ClientConfig.GenericXdsConfig,
         status: ResourceStatus,
-        bare: bool,
+        exclude_contents: bool,
         number: int,
     ) -> None:
         config.type_url, config.name, config.version_info = (
-            TYPES[status.kind],
+            TYPE_URLS[status.kind],
             status.name,
             status.accepted,
         )
         subscription = self.subscriptions.streams[number].subscriptions[status.kind]
-        refused = status.last_nack is not None and status.accepted != status.current
+        rejected = status.last_nack is not None and status.accepted != status.current
         if not status.exists and not status.accepted:
-            config.client_status = STATES["missing"]
-        elif refused:
-            config.client_status = STATES["refused"]
+            config.client_status = CLIENT_STATUSES["missing"]
+        elif rejected:
+            config.client_status = CLIENT_STATUSES["refused"]
         else:
-            config.client_status = STATES[
+            config.client_status = CLIENT_STATUSES[
                 "accepted" if status.accepted and status.accepted == status.sent else "sent"
             ]
-        if refused:
+        if rejected:
             config.config_status = csds_pb2.ERROR
         elif status.accepted == status.current:
             config.config_status = csds_pb2.SYNCED
@@ -297,11 +307,14 @@
         if subscription.sent_at:
             config.last_updated.FromNanoseconds(subscription.sent_at)
         accepted = subscription.accepted.get(status.name)
-        if accepted is not None and not bare:
-            config.xds_config.type_url, config.xds_config.value = TYPES[status.kind], accepted.body
+        if accepted is not None and not exclude_contents:
+            config.xds_config.type_url, config.xds_config.value = (
+                TYPE_URLS[status.kind],
+                accepted.body,
+            )
 
 
-def _matches(matcher: object, node: str) -> bool:
+def _node_matches(matcher: object, node: str) -> bool:
     exact, prefix, suffix, contains = (
         getattr(matcher, name) for name in ("exact", "prefix", "suffix", "contains")
     )
--- a/corklift/control/status.py
+++ b/corklift/control/status.py
@@ -1,7 +1,4 @@
-"""`corklift control status`: asks a control service over CSDS which proxy has which view, and prints it.
-
-Owns one call. Must never change anything at the service.
-"""
+"""The command `corklift control status`: prints the resource versions of each proxy, over CSDS."""
 
 from __future__ import annotations
 
@@ -13,7 +10,7 @@
 from envoy.admin.v3 import config_dump_shared_pb2 as dump_pb2
 from envoy.service.status.v3 import csds_pb2
 
-from corklift.control.resources import KINDS
+from corklift.control.resources import KINDS_BY_TYPE_URL
 from corklift.control.service import CSDS
 from corklift.net.limits import Counters
 from corklift.net.scheduler import Scheduler, wall_clock
@@ -21,11 +18,14 @@
 from corklift.rpc.core import SECOND, RpcError, RpcLimits
 
 
-def fetch(
-    address: tuple[str, int], node: str = "", wait: int = 5 * SECOND
+def fetch_status(
+    address: tuple[str, int], node: str = "", timeout: int = 5 * SECOND
 ) -> csds_pb2.ClientStatusResponse:
-    """Raises:
-    RpcError: the service can't be asked.
+    """Asks the control service at the address for the status of all proxies whose node id contains
+    `node`.
+
+    Raises:
+        RpcError: the call failed.
     """
     failures: list[str] = []
     scheduler = Scheduler(wall_clock(), failures.append)
@@ -34,62 +34,65 @@
     request = csds_pb2.ClientStatusRequest(exclude_resource_contents=True)
     if node:
         request.node_matchers.add().node_id.contains = node
-    found: list[csds_pb2.ClientStatusResponse | RpcError] = []
+    results: list[csds_pb2.ClientStatusResponse | RpcError] = []
 
-    def ask() -> None:
+    def fetch() -> None:
         try:
             content = channel.unary(
-                CSDS + "FetchClientStatus", request.SerializeToString(), scheduler.now() + wait
+                CSDS + "FetchClientStatus", request.SerializeToString(), scheduler.now() + timeout
             )
-            answer = csds_pb2.ClientStatusResponse()
-            answer.ParseFromString(content)
-            found.append(answer)
-        except RpcError as problem:
-            found.append(problem)
+            response = csds_pb2.ClientStatusResponse()
+            response.ParseFromString(content)
+            results.append(response)
+        except RpcError as error:
+            results.append(error)
         finally:
             channel.close()
             scheduler.stop()
 
     scheduler.spawn(channel.keep_connected)
-    scheduler.spawn(ask)
+    scheduler.spawn(fetch)
     scheduler.run()
-    if isinstance(found[0], RpcError):
-        raise found[0]
-    return found[0]
+    if isinstance(results[0], RpcError):
+        raise results[0]
+    return results[0]
 
 
-def rows(answer: csds_pb2.ClientStatusResponse) -> Iterator[dict[str, str]]:
-    """One a resource that a proxy's stream asks for."""
-    for config in answer.config:
-        for held in config.generic_xds_configs:
+def status_rows(response: csds_pb2.ClientStatusResponse) -> Iterator[dict[str, str]]:
+    """Yields one row for each resource to which a proxy's stream subscribes."""
+    for config in response.config:
+        for resource in config.generic_xds_configs:
             yield {
                 "node": config.node.id,
                 "stream": config.client_scope,
-                "kind": KINDS[held.type_url].name.lower(),
-                "name": held.name,
-                "version": held.version_info,
-                "state": dump_pb2.ClientResourceStatus.Name(held.client_status).lower(),
-                "view": csds_pb2.ConfigStatus.Name(held.config_status).lower(),
-                "refused": held.error_state.details,
+                "kind": KINDS_BY_TYPE_URL[resource.type_url].name.lower(),
+                "name": resource.name,
+                "version": resource.version_info,
+                "state": dump_pb2.ClientResourceStatus.Name(resource.client_status).lower(),
+                "view": csds_pb2.ConfigStatus.Name(resource.config_status).lower(),
+                "refused": resource.error_state.details,
             }
 
 
 def main(address: tuple[str, int], node: str, as_json: bool) -> int:
     try:
-        answer = fetch(address, node)
-    except RpcError as problem:
-        print(f"corklift: {problem}", file=sys.stderr)
+        response = fetch_status(address, node)
+    except RpcError as error:
+        print(f"corklift: {error}", file=sys.stderr)
         return 1
-    found = list(rows(answer))
+    rows = list(status_rows(response))
     if as_json:
-        print(json.dumps(found, indent=1))
+        print(json.dumps(rows, indent=1))
         return 0
-    old = sum(row["view"] != "synced" for row in found)
+    outdated = sum(row["view"] != "synced" for row in rows)
     print(
-        f"{len(answer.config)} streams of proxies, {len(found)} resources held, {old} not on the view in force"
+        f"{len(response.config)} streams of proxies, {len(rows)} resources held, "
+        f"{outdated} not on the view in force"
     )
-    heads = ("node", "kind", "name", "version", "state", "view", "refused")
-    widths = [max([len(head), *(len(row[head]) for row in found)]) for head in heads]
-    for line in (dict(zip(heads, heads)), *found):
-        print("  ".join(line[head].ljust(width) for head, width in zip(heads, widths)).rstrip())
+    columns = ("node", "kind", "name", "version", "state", "view", "refused")
+    widths = [max([len(column), *(len(row[column]) for row in rows)]) for column in columns]
+    for line in (dict(zip(columns, columns)), *rows):
+        print(
+            "  ".join(line[column].ljust(width) for column, width in zip(columns, widths)).rstrip()
+        )
     return 0
--- a/corklift/control/subscriptions.py
+++ b/corklift/control/subscriptions.py
@@ -1,11 +1,13 @@
-"""Which xDS resources each proxy has been sent, has accepted or has rejected, and what it is sent next.
+"""The state of each proxy's xDS streams: resources sent, accepted and rejected, and what is next.
 
-Implements the server side of both xDS variants, state of the world and incremental. A view is the set of resources
-that is currently served (a snapshot, in xDS terms). For each stream and resource, three versions are tracked apart:
-the one in the current snapshot, the one last sent, and the one last accepted (ACK).
+Implements the server side of both xDS variants, state of the world and incremental. A view is the
+set of resources that is currently served (a snapshot, in xDS terms). For each stream and resource,
+three versions are tracked apart: the one in the current snapshot, the one last sent, and the one
+last accepted (ACK).
 
-This module does no I/O and reads no clock: times are passed in, in ns. Responses leave through the given host, before
-the method that caused them returns. It never builds a resource and never chooses a weight.
+This module does no I/O and reads no clock: times are passed in, in ns. Responses leave through the
+given host, before the method that caused them returns. It never builds a resource and never chooses
+a weight.
 
 Source: Envoy's documentation, "xDS REST and gRPC protocol".
 """
@@ -34,7 +36,7 @@
 
     @property
     def sent_in_full(self) -> bool:
-        """Whether a state-of-the-world response holds all resources, so that a missing one counts as removed."""
+        """Whether a state-of-the-world response holds all resources; missing ones are removed."""
         return self in (ResourceKind.CLUSTERS, ResourceKind.LISTENERS)
 
 
@@ -55,7 +57,7 @@
 
 
 def combined_version(resources: Iterable[Resource]) -> str:
-    """Returns one version for a set of resources: equal content gives an equal version, in any order and process."""
+    """Returns one version for a set of resources, equal for equal content in any order."""
     return xxh3_64_hexdigest("\n".join(sorted(f"{r.name} {r.version}" for r in resources)).encode())
 
 
@@ -89,7 +91,8 @@
 
     # How long an unanswered response delays a further one that removes no server.
     ack_timeout: int = 2 * SECOND
-    # How long a route waits until its clusters are accepted, and a removed cluster until no route refers to it.
+    # How long a route waits until its clusters are accepted, and a removed cluster until no route
+    # refers to it.
     dependency_timeout: int = 3 * SECOND
     # Unchanged endpoints are sent again after this time; 0: never.
     refresh_interval: int = 0
@@ -118,7 +121,8 @@
         # The last sent resource by name; None: reported as nonexistent.
         self.sent: dict[str, Resource | None] = {}
         self.accepted: dict[str, Resource] = {}
-        # Versions that the proxy already held when it opened the stream, from this or another server.
+        # Versions that the proxy already held when it opened the stream, from this or another
+        # server.
         self.initial_versions: dict[str, str] = {}
         self.unanswered: OrderedDict[str, tuple[str, tuple[tuple[str, Resource | None], ...]]] = (
             OrderedDict()
@@ -177,7 +181,8 @@
         self._versions: dict[ResourceKind, str] = {
             kind: combined_version(()) for kind in ResourceKind
         }
-        # Removed clusters that routes may still refer to, with their endpoints and the time of removal.
+        # Removed clusters that routes may still refer to, with their endpoints and the time of
+        # removal.
         self._retired: dict[str, tuple[Resource, Resource | None, int]] = {}
         self.has_snapshot = False  # nothing is sent to any proxy before the first snapshot
         self.streams: dict[int, ProxyStream] = {}
@@ -189,7 +194,8 @@
     ) -> None:
         """Replaces the given kinds of the snapshot and sends what changed.
 
-        `urgent`: a server was removed; the change does not wait for earlier responses to be answered.
+        `urgent`: a server was removed; the change does not wait for earlier responses to be
+        answered.
         """
         old = self._snapshot
         self._snapshot = {kind: tables.get(kind, old[kind]) for kind in ResourceKind}
@@ -252,14 +258,16 @@
         first = kind not in stream.subscriptions
         subscription = stream.subscriptions.setdefault(kind, Subscription(kind, stream.incremental))
         if not first and nonce != subscription.last_nonce:
-            # The answer to an earlier response, or a nonce of a closed stream: the names that it asks for are outdated.
+            # The answer to an earlier response, or a nonce of a closed stream: the names that it
+            # asks for are outdated.
             self._handle_answer(now, subscription, nonce, error)
             return
         if not first:
             self._handle_answer(now, subscription, nonce, error)
         if len(names) > self.settings.max_names:
             raise TooManyNamesError(
-                f"subscription to {len(names)} {kind.name.lower()} exceeds the limit of {self.settings.max_names}"
+                f"subscription to {len(names)} {kind.name.lower()} "
+                f"exceeds the limit of {self.settings.max_names}"
             )
         plain_names = set(names) - {WILDCARD}
         same = not first and plain_names == subscription.names
@@ -329,7 +337,8 @@
             else:
                 subscription.names.add(name)
                 if not first:
-                    # The protocol requires that a resource is sent again when it is subscribed to again.
+                    # The protocol requires that a resource is sent again when it is subscribed to
+                    # again.
                     subscription.sent.pop(name, None)
         for name in unsubscribe:
             if name == WILDCARD:
@@ -452,14 +461,15 @@
                 subscription.accepted[name] = resource
 
     def _match_initial_versions(self, stream: ProxyStream, subscription: Subscription) -> None:
-        """Marks what the proxy came with as sent and accepted where it is current; the rest will be sent."""
+        """Marks current resources that the proxy came with as accepted; the rest will be sent."""
         resources = self._subscribed_resources(stream, subscription)
         for name, version in subscription.initial_versions.items():
             resource = resources.get(name)
             if resource is not None and resource.version == version:
                 subscription.sent[name] = subscription.accepted[name] = resource
             elif resource is None and subscription.wants(name):
-                # No longer exists, whatever its version: recorded as sent, so that its removal is sent.
+                # No longer exists, whatever its version: recorded as sent, so that its removal is
+                # sent.
                 subscription.sent[name] = Resource(name, version, b"")
         subscription.initial_versions = {}
 
@@ -473,7 +483,8 @@
         else:
             resources = {name: table[name] for name in subscription.names if name in table}
         if self._retired and kind in (ResourceKind.CLUSTERS, ResourceKind.ENDPOINTS):
-            # Make before break: a cluster stays until no route that this proxy may use refers to it.
+            # Make before break: a cluster stays until no route that this proxy may use refers to
+            # it.
             referenced = self._referenced_clusters(stream)
             for name, (cluster, endpoints, _) in self._retired.items():
                 resource = cluster if kind is ResourceKind.CLUSTERS else endpoints
@@ -514,7 +525,7 @@
     def _send_pending(
         self, now: int, stream: ProxyStream, only: ResourceKind | None = None
     ) -> None:
-        """Sends pending changes in order of kinds while the stream is writable; `only`: of this kind alone."""
+        """Sends pending changes, of all kinds or of one, as long as the stream is writable."""
         if not self.has_snapshot:
             return
         pending, stream.has_pending = stream.has_pending and only is not None, False
@@ -565,7 +576,8 @@
             pending = bool(changed or removed) or not subscription.initialized
         else:
             pending = bool(changed)
-            # State of the world has no message that removes endpoints or routes: they go with their cluster or listener.
+            # State of the world has no message that removes endpoints or routes: they go with their
+            # cluster or listener.
             for name in removed:
                 subscription.sent.pop(name)
                 subscription.accepted.pop(name, None)
@@ -620,9 +632,10 @@
         return False
 
     def _lacks_clusters(self, stream: ProxyStream, routes: list[Resource]) -> bool:
-        """Whether these routes refer to clusters that the proxy has not accepted, though it subscribes to all clusters.
+        """Whether the proxy subscribes to all clusters and lacks some that these routes refer to.
 
-        A proxy that subscribes to clusters by name does so only once it has the routes, so routes never wait for it.
+        A proxy that subscribes to clusters by name does so only once it has the routes, so routes
+        never wait for it.
         """
         clusters = stream.subscriptions.get(ResourceKind.CLUSTERS)
         if clusters is None or not clusters.wildcard:
--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -1,8 +1,8 @@
-"""When a fleet's chances become weights that proxies are sent.
+"""Decides when the draw probabilities of a workload are published to proxies as endpoint weights.
 
-Who drains or is gone leaves at once; everything else waits for its turn: at most so often, and only where it makes a
-difference. Owns what was last told of each workload. Free of I/O and clocks (times come in, ns). Must never weigh a
-server: the chances are the decision module's.
+The removal of a server that drains or is gone is published at once. Any other change is published
+at most once per interval, and only if it is significant. This module does no I/O and reads no
+clock: times are passed in, in ns. The probabilities themselves come from the decision module.
 """
 
 from __future__ import annotations
@@ -10,90 +10,112 @@
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
-WHOLE = 10_000  # the sum of the weights of a full view
-LEAST = 1
+TOTAL_WEIGHT = 10_000  # the sum of the weights of all servers of a workload, up to rounding
+MIN_WEIGHT = 1
 
 
 class PublishedWeights(NamedTuple):
-    """What the proxies are to do with a workload's logins."""
+    """How proxies distribute the logins of a workload."""
 
-    weights: dict[str, int]  # by server; they sum to WHOLE, or nearly
-    refused: int  # of WHOLE, turned away at once
+    weights: dict[str, int]  # by server
+    dropped: int  # logins that proxies reject at once, out of TOTAL_WEIGHT
 
 
-class Settings(NamedTuple):
-    every: int  # ns between two changes of weights, at the least
-    dead_band: float  # of the draw: a change that would move less of it is not told
-    fall: float = 0.5  # of a server's own weight: a fall by so much is told whatever it moves
+class WeightSettings(NamedTuple):
+    """When a change of weights is published."""
 
+    interval: int  # the minimum time between two changes, ns
+    dead_band: float  # a change that moves no larger share of the draw than this is not published
+    decrease_ratio: float = 0.5  # a server's share that falls below this part of itself always is
 
-class Weights:
-    def __init__(self, settings: Settings) -> None:
+
+class WeightPublisher:
+    """The weights that were last published for each workload."""
+
+    def __init__(self, settings: WeightSettings) -> None:
         self.settings = settings
-        self.told: dict[str, PublishedWeights] = {}
-        self._told_at: dict[str, int] = {}
+        self.published: dict[str, PublishedWeights] = {}
+        self._published_at: dict[str, int] = {}
 
-    def left(self, servers: Collection[str]) -> list[str]:
-        """Servers drain or are gone: returns the workloads that had them in their view, already without them.
+    def remove_servers(self, servers: Collection[str]) -> list[str]:
+        """Removes servers that drain or are gone; returns the workloads whose weights changed.
 
-        The others keep their weights: they are relative, so the draw among those that stay is as it was."""
+        The other weights stay: they are relative, so the draw among the remaining servers does not
+        change.
+        """
         changed = []
-        for workload, told in self.told.items():
-            if any(server in told.weights for server in servers):
-                left = {
-                    name: weight for name, weight in told.weights.items() if name not in servers
+        for workload, published in self.published.items():
+            if any(server in published.weights for server in servers):
+                remaining = {
+                    name: weight
+                    for name, weight in published.weights.items()
+                    if name not in servers
                 }
-                self.told[workload] = PublishedWeights(left, told.refused)
+                self.published[workload] = PublishedWeights(remaining, published.dropped)
                 changed.append(workload)
         return changed
 
-    def due(self, now: int, workload: str) -> bool:
-        """Whether a change of this workload's weights may be told now."""
-        return workload not in self._told_at or now - self._told_at[workload] >= self.settings.every
+    def may_publish(self, now: int, workload: str) -> bool:
+        """Whether the interval since the workload's last change has passed."""
+        return (
+            workload not in self._published_at
+            or now - self._published_at[workload] >= self.settings.interval
+        )
 
-    def weighed(
-        self, now: int, workload: str, chances: Mapping[str, float], ready: Collection[str]
+    def publish(
+        self, now: int, workload: str, probabilities: Mapping[str, float], ready: Collection[str]
     ) -> bool:
-        """The module's answer is in; returns whether it is told. Ask `due` first.
-
-        Where it would refuse all, the view keeps its servers, and all is turned away until it would not."""
-        if chances:
-            refused = max(0, min(WHOLE, round((1.0 - sum(chances.values())) * WHOLE)))
-            whole = sum(chances.values())
+        """Takes new draw probabilities; returns whether they are published. Call `may_publish`
+        first.
+
+        Without any probabilities, the ready servers stay with even weights while all logins are
+        dropped.
+        """
+        if probabilities:
+            dropped = max(
+                0, min(TOTAL_WEIGHT, round((1.0 - sum(probabilities.values())) * TOTAL_WEIGHT))
+            )
+            total = sum(probabilities.values())
             weights = {
-                name: max(LEAST, round(chance / whole * WHOLE))
-                for name, chance in sorted(chances.items())
+                name: max(MIN_WEIGHT, round(probability / total * TOTAL_WEIGHT))
+                for name, probability in sorted(probabilities.items())
             }
         else:
-            refused = WHOLE if ready else 0
-            weights = {name: max(LEAST, WHOLE // len(ready)) for name in sorted(ready)}
-        new, old = PublishedWeights(weights, refused), self.told.get(workload)
-        if old is not None and not self._matters(old, new):
+            dropped = TOTAL_WEIGHT if ready else 0
+            weights = {name: max(MIN_WEIGHT, TOTAL_WEIGHT // len(ready)) for name in sorted(ready)}
+        new, old = PublishedWeights(weights, dropped), self.published.get(workload)
+        if old is not None and not self._is_significant(old, new):
             return False
-        self.told[workload] = new
-        self._told_at[workload] = now
+        self.published[workload] = new
+        self._published_at[workload] = now
         return True
 
-    def _matters(self, old: PublishedWeights, new: PublishedWeights) -> bool:
+    def _is_significant(self, old: PublishedWeights, new: PublishedWeights) -> bool:
         if old.weights.keys() != new.weights.keys():
             return True
-        was, now = sum(old.weights.values()) or 1, sum(new.weights.values()) or 1
-        apart = (
-            sum(abs(old.weights[name] / was - new.weights[name] / now) for name in new.weights) / 2
+        old_total, new_total = sum(old.weights.values()) or 1, sum(new.weights.values()) or 1
+        moved_share = (
+            sum(
+                abs(old.weights[name] / old_total - new.weights[name] / new_total)
+                for name in new.weights
+            )
+            / 2
         )
-        # Guards against a server that goes on getting what it can't take, as that is little of the whole draw.
-        fell = any(
-            new.weights[name] / now < self.settings.fall * old.weights[name] / was
+        # A server with a small share must not keep receiving logins that it can't take, although
+        # its decrease moves little of the whole draw.
+        has_large_decrease = any(
+            new.weights[name] / new_total
+            < self.settings.decrease_ratio * old.weights[name] / old_total
             for name in new.weights
         )
         return (
-            apart > self.settings.dead_band
-            or abs(old.refused - new.refused) > self.settings.dead_band * WHOLE
-            or fell
+            moved_share > self.settings.dead_band
+            or abs(old.dropped - new.dropped) > self.settings.dead_band * TOTAL_WEIGHT
+            or has_large_decrease
         )
 
-    def forget(self, kept: Collection[str]) -> None:
-        """Only these workloads are left."""
-        for workload in [name for name in self.told if name not in kept]:
-            self.told.pop(workload)
-            self._told_at.pop(workload, None)
+    def retain_workloads(self, workloads: Collection[str]) -> None:
+        """Forgets all other workloads."""
+        for workload in [name for name in self.published if name not in workloads]:
+            self.published.pop(workload)
+            self._published_at.pop(workload, None)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 
 from loop import Loop, wait_for
 
-from corklift.control.config import Control, parse
+from corklift.control.config import ControlConfig, parse_config
 from corklift.control.program import Program
 from corklift.net.limits import MS
 from corklift.rpc.core import RpcLimits
@@ -38,7 +38,7 @@
 class Service:
     """The program in a thread of its own; as good as a process but for its signals."""
 
-    def __init__(self, config: Control, path: str | None = None) -> None:
+    def __init__(self, config: ControlConfig, path: str | None = None) -> None:
         self.program = Program(config, path)
         self.port = self.program.port
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -112,11 +112,11 @@
 
         self.do(mark)
 
-    def config(self, head: str = "", tail: str = "", port: int | None = None) -> Control:
+    def config(self, head: str = "", tail: str = "", port: int | None = None) -> ControlConfig:
         text = CONFIG % (self.discovery_port, head, tail)
         if port is not None:
             text = text.replace("127.0.0.1:0", f"127.0.0.1:{port}")
-        return parse(text.encode())
+        return parse_config(text.encode())
 
     def service(self, head: str = "", tail: str = "", port: int | None = None) -> Service:
         service = Service(self.config(head, tail, port))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,11 +17,11 @@
 from fleet import CONFIG, Fleet, settle
 from loop import wait_for
 
-from corklift.control.config import BadConfig, parse
+from corklift.control.config import ControlConfigError, parse_config
 from corklift.control.service import ADS, LRS
-from corklift.control.status import fetch, rows
+from corklift.control.status import fetch_status, status_rows
 from corklift.control.subscriptions import ResourceKind
-from corklift.control.weights import WHOLE, Settings, Weights
+from corklift.control.weights import TOTAL_WEIGHT, WeightPublisher, WeightSettings
 from corklift.net.limits import MS, SECOND
 from corklift.rpc.core import RpcLimits
 from corklift.standins.proxy import CDS, EDS, Habits
@@ -40,7 +40,7 @@
             fleet.holds(proxy, *ALL)
         # a busy server gets less, and what proxies placed counts before a probe tells of it
         fleet.do(lambda: setattr(fleet.servers["s1"], "open", 60))
-        wait_for(lambda: all(fleet.weights(p).get("s1", 0) < WHOLE / 20 for p in proxies))
+        wait_for(lambda: all(fleet.weights(p).get("s1", 0) < TOTAL_WEIGHT / 20 for p in proxies))
         for number in range(40):
             fleet.do(lambda: fleet.scheduler.spawn(proxies[number % 4].place, "plain", 60 * SECOND))
         wait_for(lambda: len(fleet.placed) == 40)
@@ -71,8 +71,8 @@
         wait_for(lambda: refusing.held.refused)
 
         def refused():
-            answer = fetch(("127.0.0.1", service.port), node=refusing.node)
-            return [row for row in rows(answer) if row["refused"]]
+            answer = fetch_status(("127.0.0.1", service.port), node=refusing.node)
+            return [row for row in status_rows(answer) if row["refused"]]
 
         (row,) = wait_for(refused)
         assert (
@@ -161,8 +161,10 @@
         twins = [fleet.proxy(service, node="twin") for _ in range(3)]
         for twin in twins:
             fleet.holds(twin, *ALL)
-        answer = fetch(("127.0.0.1", service.port), node="twin")
-        assert len(answer.config) == 3 and all(row["view"] == "synced" for row in rows(answer))
+        answer = fetch_status(("127.0.0.1", service.port), node="twin")
+        assert len(answer.config) == 3 and all(
+            row["view"] == "synced" for row in status_rows(answer)
+        )
         fleet.mark("s3", "leaving")
         for twin in twins:
             fleet.holds(twin, "s1", "s2")
@@ -430,7 +432,7 @@
         )
         wait_for(lambda: set(fleet.weights(proxy)) == {"s1", "s2"}, 0.5)
         fleet.holds(proxy, *ALL)
-        assert fleet.weights(proxy)["s3"] < WHOLE / 5  # cold: no more than it bears
+        assert fleet.weights(proxy)["s3"] < TOTAL_WEIGHT / 5  # cold: no more than it bears
 
 
 def test_a_load_report_without_measure_ends_its_stream_and_unknown_servers_count_for_nothing():
@@ -489,7 +491,7 @@
         # Told once and then held: hundreds of calls a second would move the weights while they are measured.
         service = fleet.service("", "[weights]\nevery_ms = 60000")
         wait_for(lambda: service.program.subscriptions.has_snapshot)
-        assert len(set(service.program.weights.told["plain"].weights.values())) == 3
+        assert len(set(service.program.weights.published["plain"].weights.values())) == 3
         client = subprocess.Popen(
             [
                 sys.executable,
@@ -504,9 +506,12 @@
         try:
             wait_for(lambda: len(fleet.placed) > 400, 20)
             took = Counter(placed.server for placed in fleet.placed)
-            weights = service.program.weights.told["plain"].weights
+            weights = service.program.weights.published["plain"].weights
             share = (
-                sum(abs(took[name] / sum(took.values()) - weights[name] / WHOLE) for name in ALL)
+                sum(
+                    abs(took[name] / sum(took.values()) - weights[name] / TOTAL_WEIGHT)
+                    for name in ALL
+                )
                 / 2
             )
             assert share < 0.1 and took["s3"] < took["s2"] < took["s1"]
@@ -549,32 +554,37 @@
                 "[report]",
                 '[[listeners]]\nname = "door"\nroutes = [{ workload = "plain" }]\n[report]',
             ),
-            "listeners has a name twice",
+            "listeners has a duplicate name",
         ),
     ],
 )
 def test_a_bad_configuration_is_refused_by_its_key(change, key):
-    assert parse(GOOD.encode()).workloads
-    with pytest.raises(BadConfig) as problem:
-        parse(GOOD.replace(*change).encode())
+    assert parse_config(GOOD.encode()).workloads
+    with pytest.raises(ControlConfigError) as problem:
+        parse_config(GOOD.replace(*change).encode())
     assert key in str(problem.value)
 
 
 def test_weights_are_told_in_turn_where_they_matter_and_never_hold_a_drain():
-    weights = Weights(Settings(every=SECOND, dead_band=0.05))
-    assert weights.due(0, "w") and weights.weighed(0, "w", {"a": 0.5, "b": 0.5}, "ab")
-    assert not weights.due(SECOND - 1, "w") and weights.due(SECOND, "w")
-    assert not weights.weighed(SECOND, "w", {"a": 0.53, "b": 0.47}, "ab")  # within the dead band
-    assert weights.weighed(SECOND, "w", {"a": 0.6, "b": 0.4}, "ab")
-    assert weights.weighed(2 * SECOND, "w", {"a": 0.96, "b": 0.04}, "ab")
-    assert weights.weighed(
+    weights = WeightPublisher(WeightSettings(interval=SECOND, dead_band=0.05))
+    assert weights.may_publish(0, "w") and weights.publish(0, "w", {"a": 0.5, "b": 0.5}, "ab")
+    assert not weights.may_publish(SECOND - 1, "w") and weights.may_publish(SECOND, "w")
+    assert not weights.publish(SECOND, "w", {"a": 0.53, "b": 0.47}, "ab")  # within the dead band
+    assert weights.publish(SECOND, "w", {"a": 0.6, "b": 0.4}, "ab")
+    assert weights.publish(2 * SECOND, "w", {"a": 0.96, "b": 0.04}, "ab")
+    assert weights.publish(
         3 * SECOND, "w", {"a": 0.99, "b": 0.01}, "ab"
     )  # little of the draw, much of its own
-    assert weights.left(["b"]) == ["w"] and weights.told["w"].weights.keys() == {"a"}
-    assert weights.left(["b"]) == []
-    assert weights.weighed(4 * SECOND, "w", {"a": 0.7}, "a") and weights.told["w"].refused == 3000
-    assert weights.weighed(5 * SECOND, "w", {}, "ab") and weights.told["w"].refused == WHOLE
-    assert weights.weighed(6 * SECOND, "w", {}, "") and weights.told["w"] == ({}, 0)
+    assert weights.remove_servers(["b"]) == ["w"] and weights.published["w"].weights.keys() == {"a"}
+    assert weights.remove_servers(["b"]) == []
+    assert (
+        weights.publish(4 * SECOND, "w", {"a": 0.7}, "a") and weights.published["w"].dropped == 3000
+    )
+    assert (
+        weights.publish(5 * SECOND, "w", {}, "ab")
+        and weights.published["w"].dropped == TOTAL_WEIGHT
+    )
+    assert weights.publish(6 * SECOND, "w", {}, "") and weights.published["w"] == ({}, 0)
 
 
 def started(path):
