--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -9,7 +9,7 @@
 import traceback
 
 from corklift.benchlink import codec
-from corklift.interface import Listed, Login, NoteKind, Outcome, Scope
+from corklift.interface import ListedServer, Login, NoteKind, Outcome, Scope
 from corklift.policy import Balancer
 from corklift.settings import BadSettings, translate
 
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self.reply = codec.Reply()
-        self._lists: dict[int, tuple[Listed, ...]] = {}
+        self._lists: dict[int, tuple[ListedServer, ...]] = {}
         self._balancers: dict[int, Balancer] = {}
         self._fields: dict[int, tuple[str | None, ...]] = {}
 
--- a/corklift/benchlink/codec.py
+++ b/corklift/benchlink/codec.py
@@ -7,7 +7,7 @@
 from struct import error as StructError
 from typing import BinaryIO, NamedTuple
 
-from corklift.interface import Listed, Report, Status
+from corklift.interface import ListedServer, Report, Status
 
 BATCH_HEAD = Struct(">IIIQ")
 REPLY_HEAD = Struct(">II")
@@ -134,7 +134,7 @@
     return f"batch {batch.number}: record {index} ({NAMES[code]}) at byte {at} is cut off"
 
 
-def entries(content: bytes) -> tuple[Listed, ...]:
+def entries(content: bytes) -> tuple[ListedServer, ...]:
     listed = []
     for index, (server, zone, kind, cell, state, weight, started) in enumerate(
         ENTRY.iter_unpack(content)
@@ -143,7 +143,7 @@
             raise BadFrame(
                 f"LEDGER: entry {index}, byte {index * ENTRY.size} of the entries: status {state}"
             )
-        listed.append(Listed(server, zone, kind, cell, STATUSES[state], weight, started))
+        listed.append(ListedServer(server, zone, kind, cell, STATUSES[state], weight, started))
     return tuple(listed)
 
 
--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -95,7 +95,7 @@
     busy: float | None = None  # share of its cores in use
 
 
-class Listed(NamedTuple):
+class ListedServer(NamedTuple):
     server: int
     zone: int
     kind: int
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -18,7 +18,7 @@
 from corklift.interface import (
     ColdRule,
     Effect,
-    Listed,
+    ListedServer,
     Login,
     Outcome,
     Report,
@@ -198,7 +198,7 @@
                 self.rules.told_ready(seat.number, server)
             else:
                 self.rules.told_leaving(self.now, seat.number, server)
-            lines.append(Listed(server, 0, 0, server % 2, status, 1.0, self.started[server]))
+            lines.append(ListedServer(server, 0, 0, server % 2, status, 1.0, self.started[server]))
         seat.policy.servers_listed(self.now, scope, 1, tuple(lines))
 
     def enabled(self) -> list[str]:
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from corklift.interface import Listed, Login, Outcome, Report, Scope, Status
+from corklift.interface import ListedServer, Login, Outcome, Report, Scope, Status
 from corklift.lab.clock import MS, SECOND, Clock
 from corklift.lab.policies import POLICIES
 from corklift.lab.rules import Rules
@@ -141,7 +141,7 @@
         self.alive = False
         self.ways: dict[int, Way] = {}
         self.policy: Any = None
-        self.known: dict[int, Listed] = {}
+        self.known: dict[int, ListedServer] = {}
         self.probed_at: dict[int, int] = {}
         self.started_at = 0
         self.revision = 0
@@ -159,7 +159,7 @@
 
     # What the fleet brings
 
-    def take_list(self, lines: list[Listed], whole: bool) -> None:
+    def take_list(self, lines: list[ListedServer], whole: bool) -> None:
         if not self.alive:
             return
         now, rules = self.fleet.clock.now, self.fleet.rules
@@ -400,12 +400,12 @@
             return 1e9
         return box.pressure(self.clock.now, self.scenario) + box.pending / box.size
 
-    def lines(self) -> list[Listed]:
+    def lines(self) -> list[ListedServer]:
         return [self._line(box) for box in self.boxes.values()]
 
     @staticmethod
-    def _line(box: Box) -> Listed:
-        return Listed(box.number, box.zone, 0, box.cell, box.status, 1.0, box.started_at)
+    def _line(box: Box) -> ListedServer:
+        return ListedServer(box.number, box.zone, 0, box.cell, box.status, 1.0, box.started_at)
 
     def next_login(self) -> int:
         self._logins += 1
@@ -764,7 +764,7 @@
             wait = int(self.scenario.lists.lag_ms * MS * self.rng.uniform(0.2, 1.8))
             self.clock.after(wait, self._list_comes, seat, seat.turn, line)
 
-    def _list_comes(self, seat: Seat, turn: int, line: Listed) -> None:
+    def _list_comes(self, seat: Seat, turn: int, line: ListedServer) -> None:
         if self._mute_list:
             self.clock.after(250 * MS, self._list_comes, seat, turn, line)
         elif seat.alive and seat.turn == turn:
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from corklift.interface import Effect, Host, Listed, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import Effect, Host, ListedServer, Login, Outcome, Report, Scope, Status, Workload
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
@@ -39,7 +39,7 @@
     ) -> None:
         self._host, self._rng, self._truth = host, rng, truth
         self._workloads, self._most, self._retry_after = workloads, max_hand_offs, max_retry_after
-        self._ready: dict[int, Listed] = {}
+        self._ready: dict[int, ListedServer] = {}
         self._counts: dict[int, float] = {}
         self._open: dict[int, int] = {}  # own connections and hand-offs by server
         self._logins: dict[int, tuple[Login, list[int], list[Outcome | None]]] = {}
@@ -121,7 +121,7 @@
             self._counts[server] = report.count
 
     def servers_listed(
-        self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]
+        self, now: int, scope: Scope, revision: int, lines: Iterable[ListedServer]
     ) -> None:
         for line in lines:
             if line.status is Status.READY:
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, Literal, NamedTuple
 
-from corklift.interface import Listed, Login, Outcome, Scope, Status
+from corklift.interface import ListedServer, Login, Outcome, Scope, Status
 from corklift.lab.clock import MS, SECOND
 from corklift.lab.fleet import RETRY_MOST, Fleet, Seat, Way, Wish
 from corklift.lab.policies import POLICIES
@@ -125,7 +125,7 @@
         self.known, self.probed_at = {}, {}
         self.heard: set[int] = set()
         self.let_in: set[int] = set()
-        self.listing: list[Listed] | None = None
+        self.listing: list[ListedServer] | None = None
         self.again = False
         self.policy = Gate(self, fleet.make(self))
         self.policy.servers_listed(fleet.clock.now, Scope.CACHED, 0, ())
@@ -193,7 +193,7 @@
         else:
             self.take_list(self.fleet.told_lines(), True)
 
-    def take_list(self, lines: list[Listed], whole: bool) -> None:
+    def take_list(self, lines: list[ListedServer], whole: bool) -> None:
         if not self.alive:
             return
         core, now = self.core, self.fleet.clock.now
@@ -336,7 +336,7 @@
             self.listing
             if self.listing is not None
             else [
-                Listed(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
+                ListedServer(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
                 for line in (
                     (Server(*line) if not isinstance(line, Server) else line) for line in kept.value
                 )
@@ -396,7 +396,7 @@
         self.ups: list[int] = []
         self.steps: dict[Step, list[int]] = {}
         self.calls_at: dict[tuple[int, int], int] = {}
-        self._old: list[Listed] | None = None
+        self._old: list[ListedServer] | None = None
         self.cut_at = 0
         self.lone_liar = False
         scenario = Scenario(
@@ -455,7 +455,7 @@
     def told_index(self) -> int:
         return self.index if self._old is None else self.saved[1]
 
-    def told_lines(self) -> list[Listed]:
+    def told_lines(self) -> list[ListedServer]:
         return self._old if self._old is not None else self.lines()
 
     def living(self, seat: Seat) -> list[str]:
@@ -600,7 +600,7 @@
             if seat.alive:
                 seat.take_list(self.lines(), True)
 
-    def _list_comes(self, seat: Seat, turn: int, line: Listed) -> None:
+    def _list_comes(self, seat: Seat, turn: int, line: ListedServer) -> None:
         if self._old is not None:
             return  # it tells of before, till the true one is back
         super()._list_comes(seat, turn, line)
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.interface import Listed, Login, NoteKind, Outcome, Report, Scope, Status, Workload
+from corklift.interface import ListedServer, Login, NoteKind, Outcome, Report, Scope, Status, Workload
 from corklift.net.limits import Counters
 from corklift.net.parsers import Listing, Opening, stable_id
 from corklift.net.scheduler import Scheduler, Task
@@ -434,7 +434,7 @@
             server = self._server_id(entry.name)
             self._names[server], self._addresses[server] = entry.name, entry.address
             lines.append(
-                Listed(
+                ListedServer(
                     server,
                     self._zones.get(entry.zone, UNLISTED),
                     self._kinds.get(entry.kind, UNLISTED),
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -21,7 +21,7 @@
     ColdRule,
     Effect,
     Host,
-    Listed,
+    ListedServer,
     Login,
     NoteKind,
     Outcome,
@@ -31,7 +31,7 @@
     Status,
     Workload,
 )
-from corklift.records import Attempt, Held, Histogram, Server
+from corklift.records import Attempt, LoginState, Histogram, Server
 
 SECOND = 1_000_000_000
 PROBE_PERIOD = SECOND  # the design's "about once a second"
@@ -103,7 +103,7 @@
         self._back: dict[int, int] = {}  # when they put back one that was not listed then
 
     def apply(
-        self, now: int, scope: Scope, lines: Iterable[Listed]
+        self, now: int, scope: Scope, lines: Iterable[ListedServer]
     ) -> tuple[list[Server], list[Server]]:
         """Takes the list in; returns (started, left): servers new or restarted, servers draining or gone."""
         started, left, named = [], [], set()
@@ -464,7 +464,7 @@
         server.cold_spent, _ = self._level(now, server)
         server.cold_at = now
 
-    def allows(self, now: int, server: Server, held: Held, rng: Random) -> bool:
+    def allows(self, now: int, server: Server, held: LoginState, rng: Random) -> bool:
         if not self.is_cold(now, server):
             return True
         self._refill(now, server)
@@ -475,7 +475,7 @@
             and held.turns.setdefault(server.id, rng.random()) < chance
         )
 
-    def chance(self, now: int, server: Server, held: Held) -> float:
+    def chance(self, now: int, server: Server, held: LoginState) -> float:
         """The chance that the budget lets this login take part in the draw of the server."""
         if self.stands_by or not self.is_cold(now, server):
             return float(not self.is_cold(now, server))
@@ -571,7 +571,7 @@
         pressure = self._counts.projected(server)
         return pressure is None or pressure < max(ROOM, self._counts.mean_pressure)
 
-    def pick(self, now: int, held: Held, allowed: Callable[[Server], bool]) -> Server | None:
+    def pick(self, now: int, held: LoginState, allowed: Callable[[Server], bool]) -> Server | None:
         able = [
             s
             for s in self._roster.ready
@@ -582,7 +582,7 @@
             return None
         return self._rng.choice(drawn) if even else self._weighted(drawn)
 
-    def chances(self, now: int, held: Held, span: int) -> dict[int, float]:
+    def chances(self, now: int, held: LoginState, span: int) -> dict[int, float]:
         """`pick`'s answer for every server at once, nothing drawn, nothing changed; empty where it has none.
 
         With a span: for all the logins that others place by it meanwhile. Their sum is under 1 where the
@@ -640,7 +640,7 @@
                 }
             capped.update((server, bounds[server]) for server in over)
 
-    def _entrants(self, now: int, held: Held, able: list[Server]) -> tuple[list[Server], bool]:
+    def _entrants(self, now: int, held: LoginState, able: list[Server]) -> tuple[list[Server], bool]:
         """Who of these takes part in the draw, and whether that is even for want of counts."""
         if not able:
             return [], False
@@ -664,7 +664,7 @@
             return self._holders(held.login.group, roomy, fresh), False
         return roomy or fresh, False
 
-    def _not_full(self, now: int, server: Server, held: Held) -> bool:
+    def _not_full(self, now: int, server: Server, held: LoginState) -> bool:
         # Guards against a standing overload: what is piled up on a full server spoils all its connections.
         return (
             now >= server.full_until
@@ -673,7 +673,7 @@
         )
 
     def _in_order(
-        self, now: int, held: Held, allowed: Callable[[Server], bool], enough: int
+        self, now: int, held: LoginState, allowed: Callable[[Server], bool], enough: int
     ) -> list[Server]:
         """The first servers for a login where only some are probed: in its group's order.
 
@@ -733,7 +733,7 @@
         return 1 + int(share * filled * GROUP_SPREAD * len(self._roster.ready))
 
     def ask_or_pick(
-        self, now: int, held: Held, allowed: Callable[[Server], bool]
+        self, now: int, held: LoginState, allowed: Callable[[Server], bool]
     ) -> tuple[list[Server], Server | None]:
         """Where only some servers are probed: those to ask before this hand-off, or else the one drawn.
 
@@ -835,7 +835,7 @@
             < limit - (0.0 if group in s.groups else GROUP_MARGIN)
         ]
 
-    def count_group(self, held: Held, server: Server | None, sign: int) -> None:
+    def count_group(self, held: LoginState, server: Server | None, sign: int) -> None:
         if sign > 0 and server is not None and held.login.group:
             self.homes[held.login.group] = server.id
         self._count(held.login.group, server, sign)
@@ -885,10 +885,10 @@
     def take_settings(self, max_hand_offs: int) -> None:
         self._max = max_hand_offs
 
-    def _may_have_run(self, held: Held) -> list[Attempt]:
+    def _may_have_run(self, held: LoginState) -> list[Attempt]:
         return [a for a in held.attempts if a.outcome is None or not a.outcome.proves_not_run]
 
-    def may_send(self, now: int, held: Held) -> bool:
+    def may_send(self, now: int, held: LoginState) -> bool:
         if len(held.attempts) >= self._max or now >= held.login.time_limit_at:
             return False
         if not held.attempts:
@@ -906,7 +906,7 @@
             not ran or held.workload.effect is Effect.TAGGED and now < ran[0].sent_at + remembered
         )
 
-    def allowed(self, held: Held) -> Callable[[Server], bool]:
+    def allowed(self, held: LoginState) -> Callable[[Server], bool]:
         ran = self._may_have_run(held) if held.workload.effect is Effect.TAGGED else []
         if not ran or held.workload.reach is Reach.ALL:
             return lambda server: True
@@ -917,12 +917,12 @@
             return lambda server: server.zone == first.zone
         return lambda server: server.cell == first.cell
 
-    def may_bounce(self, held: Held) -> bool:
+    def may_bounce(self, held: LoginState) -> bool:
         if held.workload.effect is Effect.REPEATABLE or not self._may_have_run(held):
             return True
         return held.workload.effect is Effect.TAGGED and held.workload.reach is Reach.ALL
 
-    def cut_at(self, now: int, held: Held) -> int:
+    def cut_at(self, now: int, held: LoginState) -> int:
         """Early enough to try elsewhere within the soft limit; the last hand-off has all that is left."""
         limit = held.login.time_limit_at
         left = self._max - len(held.attempts)
@@ -985,7 +985,7 @@
         server.rest_until = now + MOVE_REST
         self._host.log(f"server {server.id} hot at {pressure:.2f}: moved {moved} of {len(own)}")
 
-    def _remnant(self, server: Server, held: Held) -> int:
+    def _remnant(self, server: Server, held: LoginState) -> int:
         """How many of a connection's group stand here, if most stand elsewhere; else a large number."""
         group = held.login.group
         here, all_of_it = server.groups.get(group, 0), self._group_load.get(group, 0)
@@ -1100,10 +1100,10 @@
     def ask_for(
         self,
         now: int,
-        held: Held,
+        held: LoginState,
         servers: list[Server],
         wait: int,
-        place: Callable[[int, Held], None],
+        place: Callable[[int, LoginState], None],
     ) -> None:
         """Asks servers for their counts before a hand-off; who has not answered soon is passed over."""
         turn = held.turn = held.turn + 1
@@ -1120,7 +1120,7 @@
 
         self._after(wait, late)
 
-    def answered(self, server: Server) -> list[Held]:
+    def answered(self, server: Server) -> list[LoginState]:
         """Takes note of an answer; returns the logins that have waited for it as their last."""
         askers, server.askers = server.askers, []
         done = []
@@ -1139,7 +1139,7 @@
         self._host, self._rng = host, rng
         self._listed = False  # whether a list has come
         self._where: dict[int, int] = {}  # the holder of a client's connection, where packets pass
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, LoginState] = {}
         self._ended: dict[int, float] = {}  # load of own connections that ended while standing by
         self._followed = False  # clients of another process of this balancer come back to this one
         self._cut: list[
@@ -1210,7 +1210,7 @@
         self._list = (self._list or ListFollowing(self._rng, ask_within)) if ask_for_list else None
 
     def login_arrived(self, now: int, login: Login) -> None:
-        held = Held(login, self._like(login.cost), self._workloads[login.workload])
+        held = LoginState(login, self._like(login.cost), self._workloads[login.workload])
         self._held[login.login] = held
         self._means.login_seen(now, login.came_back)
         self._draw.saw_group(login.group)
@@ -1222,7 +1222,7 @@
         self._place(now, held)
 
     def connection_carried(self, now: int, login: Login, server: int) -> None:
-        held = Held(login, self._like(login.cost), self._workloads[login.workload])
+        held = LoginState(login, self._like(login.cost), self._workloads[login.workload])
         self._means.stood(now)
         self._draw.saw_group(login.group)
         attempt = Attempt(server, now)
@@ -1343,7 +1343,7 @@
             self._place(now, held)
 
     def servers_listed(
-        self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]
+        self, now: int, scope: Scope, revision: int, lines: Iterable[ListedServer]
     ) -> None:
         if scope is Scope.FAILED:
             if self._list is not None:
@@ -1452,7 +1452,7 @@
         is left to 1 is to be refused."""
         asked = self._workloads[workload]
         login = Login(0, workload, 0, 0, now + asked.time_limit, None, 0)
-        return self._draw.chances(now, Held(login, 1.0, asked), span)
+        return self._draw.chances(now, LoginState(login, 1.0, asked), span)
 
     def placed_by_others(self, now: int, server: int, number: int, failed: int) -> None:
         """So many logins were placed there by our chances since this was last told; so many of them failed.
@@ -1496,7 +1496,7 @@
         self._cost_seen += 1
         return cost * self._cost_seen / self._cost_sum
 
-    def _place(self, now: int, held: Held) -> None:
+    def _place(self, now: int, held: LoginState) -> None:
         if not self._hand_offs.may_send(now, held):
             self._give_up(held)
             return
@@ -1525,7 +1525,7 @@
         held.round, held.asked, held.some, held.able = 0, 0, [], []
         self._host.hand_off(login, server.id, cut_at)
 
-    def _holder(self, now: int, held: Held) -> Server | None:
+    def _holder(self, now: int, held: LoginState) -> Server | None:
         """The server that holds a connection whose packets now come this way, if known and ready."""
         if not held.login.mid_flow or held.attempts:
             return None
@@ -1541,7 +1541,7 @@
         elif server.trial == login:
             server.trial = 0
 
-    def _opened(self, held: Held, server: int) -> None:
+    def _opened(self, held: LoginState, server: int) -> None:
         held.is_open = True
         known = self._roster.servers.get(server)
         self._draw.count_group(held, known, 1)
@@ -1550,7 +1550,7 @@
             if self._remembers and held.login.subject:
                 self._where[held.login.subject] = server
 
-    def _give_up(self, held: Held) -> None:
+    def _give_up(self, held: LoginState) -> None:
         login = held.login.login
         self._forget(held)
         if self._hand_offs.may_bounce(held):
@@ -1560,7 +1560,7 @@
         else:
             self._host.terminate(login)
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: LoginState) -> None:
         login = held.login.login
         self._held.pop(login, None)
         held.awaits = 0
--- a/corklift/records.py
+++ b/corklift/records.py
@@ -5,7 +5,7 @@
 
 from math import log
 
-from corklift.interface import Listed, Login, Outcome, Workload
+from corklift.interface import ListedServer, Login, Outcome, Workload
 
 
 class Histogram:
@@ -36,7 +36,7 @@
         self.outcome: Outcome | None = None
 
 
-class Held:
+class LoginState:
     """A login this balancer answers for, or the connection it became."""
 
     def __init__(self, login: Login, load: float, workload: Workload) -> None:
@@ -57,7 +57,7 @@
 class Server:
     """What this balancer knows of one server."""
 
-    def __init__(self, line: Listed, now: int) -> None:
+    def __init__(self, line: ListedServer, now: int) -> None:
         self.id = line.server
         self.mixed = line.server * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
         self.zone, self.kind, self.cell, self.weight = line.zone, line.kind, line.cell, line.weight
@@ -74,7 +74,7 @@
         self.since = self.alone = (
             0.0  # their load, and the part of it that no other balancer places alike
         )
-        self.open: dict[int, Held] = {}  # own connections
+        self.open: dict[int, LoginState] = {}  # own connections
         self.groups: dict[int, int] = {}  # how many of them belong to each group
         self.capacity = Histogram()  # connections that would fill it
         self.power = 1.0  # against the fleet's mean
@@ -89,5 +89,5 @@
         self.asked_at = 0  # when a probe that is still unanswered was sent; 0: none
         self.probed_at = 0  # when the last one was sent
         self.askers: list[
-            tuple[Held, int]
+            tuple[LoginState, int]
         ] = []  # logins that wait for its answer, and in which asking
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from random import Random
 
-from corklift.interface import ColdRule, Listed, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import ColdRule, ListedServer, Login, Outcome, Report, Scope, Status, Workload
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 from corklift.policy import Balancer
@@ -100,7 +100,7 @@
             self.now,
             scope,
             1,
-            tuple(Listed(s, zone, 0, cell, status, 1.0, started_at) for s in servers),
+            tuple(ListedServer(s, zone, 0, cell, status, 1.0, started_at) for s in servers),
         )
 
     def run(self, ms: int) -> None:
--- a/tests/test_chances.py
+++ b/tests/test_chances.py
@@ -6,16 +6,16 @@
 import pytest
 from scene import MS, Scene
 
-from corklift.interface import ColdRule, Listed, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import ColdRule, ListedServer, Login, Outcome, Report, Scope, Status, Workload
 from corklift.policy import Balancer
-from corklift.records import Held
+from corklift.records import LoginState
 
 SECOND = 1000 * MS
 ANY = Login(0, 0, 0, 0, 10**18, None, 0)
 
 
-def listed(server, zone=0, weight=1.0, started_at=0, status=Status.READY) -> Listed:
-    return Listed(server, zone, 0, 0, status, weight, started_at)
+def listed(server, zone=0, weight=1.0, started_at=0, status=Status.READY) -> ListedServer:
+    return ListedServer(server, zone, 0, 0, status, weight, started_at)
 
 
 def scene_of(seed: int) -> Scene:
@@ -84,7 +84,7 @@
     for _ in range(draws):
         server = draw.pick(
             scene.now,
-            Held(ANY._replace(workload=seed % 2), 1.0, scene.balancer._workloads[seed % 2]),
+            LoginState(ANY._replace(workload=seed % 2), 1.0, scene.balancer._workloads[seed % 2]),
             lambda server: True,
         )
         drawn[server.id if server else None] += 1
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,7 +7,7 @@
 
 from corklift.interface import (
     Effect,
-    Listed,
+    ListedServer,
     Login,
     NoteKind,
     Outcome,
@@ -471,7 +471,7 @@
     # learn its size from: own placements were not counted there.
     scene = Scene()
     scene.balancer.servers_listed(
-        scene.now, Scope.FULL, 1, [Listed(n, 0, n, 0, Status.READY, 1.0, 0) for n in (1, 2)]
+        scene.now, Scope.FULL, 1, [ListedServer(n, 0, n, 0, Status.READY, 1.0, 0) for n in (1, 2)]
     )
     scene.auto = {1: Report(2, 0.1), 2: Report(24, 0.6)}
     scene.run(2500)
