--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -9,7 +9,7 @@
 import traceback
 
 from corklift.benchlink import codec
-from corklift.interface import ListedServer, Login, NoteKind, Outcome, Scope
+from corklift.interface import ListedServer, Login, MeasurementKind, Outcome, Scope
 from corklift.policy import Balancer
 from corklift.settings import BadSettings, translate
 
@@ -165,8 +165,8 @@
         elif code == codec.NOTICE:
             txn, value, attempt, sort, server = fields
             if sort in NOTE_UNIT:
-                balancer.hand_off_noted(
-                    now, txn, attempt, server, NoteKind(sort), value * NOTE_UNIT[sort]
+                balancer.measurement_received(
+                    now, txn, attempt, server, MeasurementKind(sort), value * NOTE_UNIT[sort]
                 )
         elif code == codec.DROPPED:
             balancer.login_dropped(now, fields[0])
--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -9,7 +9,7 @@
 import socket
 from typing import Any, NamedTuple
 
-from corklift.interface import NoteKind
+from corklift.interface import MeasurementKind
 from corklift.net.limits import BadConfig, Limits, allow_sockets, need
 from corklift.net.parsers import Listing, Malformed, listing
 from corklift.settings import BadSettings, report_names, told_figure, translate
@@ -57,7 +57,7 @@
     limits: Limits
     arguments: dict[str, Any]  # of the decisions
     report_names: dict[str, str]
-    told: tuple[NoteKind, int] | None
+    told: tuple[MeasurementKind, int] | None
     localities: list[str]
     kinds: list[str]
     kept_for: int  # how long a connection for probes idles
--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -54,7 +54,7 @@
     FAILED = 3
 
 
-class NoteKind(IntEnum):
+class MeasurementKind(IntEnum):
     LOAD = 1  # the work a second the connection asks now, ns (same unit as Login.cost)
     DELAY = 2  # how long a message takes at its server now, ns
 
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -147,7 +147,7 @@
             self._host.probe(server)
             self._probe_in(server, SECOND)
 
-    def hand_off_noted(self, *_: Any) -> None:
+    def measurement_received(self, *_: Any) -> None:
         pass
 
     def hand_off_silent(self, *_: Any) -> None:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.interface import ListedServer, Login, NoteKind, Outcome, Report, Scope, Status, Workload
+from corklift.interface import ListedServer, Login, MeasurementKind, Outcome, Report, Scope, Status, Workload
 from corklift.net.limits import Counters
 from corklift.net.parsers import Listing, Opening, stable_id
 from corklift.net.scheduler import Scheduler, Task
@@ -61,7 +61,7 @@
         seed: int,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
         settle_time: int,
@@ -119,7 +119,7 @@
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
     ) -> None:
@@ -132,7 +132,7 @@
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
     ) -> dict[str, Any]:
@@ -265,7 +265,7 @@
             assert ticket.place is not None
             kind, unit = self._told
             self._counters[f"notes of {kind.name.lower()}"] += 1
-            self._balancer.hand_off_noted(
+            self._balancer.measurement_received(
                 self._scheduler.now(),
                 ticket.number,
                 ticket.hand_offs - 1,
@@ -279,8 +279,8 @@
         assert ticket.place is not None
         self._counters["lines unanswered"] += 1
         now, server = self._scheduler.now(), ticket.place.server
-        self._balancer.hand_off_noted(
-            now, ticket.number, ticket.hand_offs - 1, server, NoteKind.DELAY, float(span)
+        self._balancer.measurement_received(
+            now, ticket.number, ticket.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
         )
         self._balancer.hand_off_silent(now, server)
 
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -23,7 +23,7 @@
     Host,
     ListedServer,
     Login,
-    NoteKind,
+    MeasurementKind,
     Outcome,
     Reach,
     Report,
@@ -1238,11 +1238,11 @@
         if held is not None and not held.is_open:
             self._opened(held, server)
 
-    def hand_off_noted(
-        self, now: int, login: int, attempt: int, server: int, kind: NoteKind, value: float
+    def measurement_received(
+        self, now: int, login: int, attempt: int, server: int, kind: MeasurementKind, value: float
     ) -> None:
         held = self._held.get(login)
-        if kind is NoteKind.DELAY and server in self._roster.servers:
+        if kind is MeasurementKind.DELAY and server in self._roster.servers:
             known = self._roster.servers[server]
             if not self._draw.late(now, known, LEFT_LATE):
                 known.late_since = now
@@ -1261,7 +1261,7 @@
                 self._moves.evacuate(known, "late for this balancer alone")
             if self._counts.some_only and not self._counts.heard(now, known):
                 self._probing.ask(now, known)
-        elif held is not None and kind is NoteKind.LOAD:
+        elif held is not None and kind is MeasurementKind.LOAD:
             held.load = self._like(value)
 
     def hand_off_silent(self, now: int, server: int) -> None:
--- a/corklift/settings.py
+++ b/corklift/settings.py
@@ -5,7 +5,7 @@
 from math import inf
 from typing import Any
 
-from corklift.interface import ColdRule, Effect, NoteKind, Reach, Workload
+from corklift.interface import ColdRule, Effect, MeasurementKind, Reach, Workload
 
 EFFECTS = {"pure": Effect.REPEATABLE, "token": Effect.TAGGED, "side_effect": Effect.ONCE_ONLY}
 REPORT_FIELDS = {"inflight": "count", "util": "busy"}
@@ -123,16 +123,16 @@
     )
 
 
-def told_figure(top: Any) -> tuple[NoteKind, int] | None:
+def told_figure(top: Any) -> tuple[MeasurementKind, int] | None:
     """What a server tells on a connection when it changes, and the ns in its unit; None if nothing.
 
     `LOAD` has one figure. Where loads are not told but delays are, it is how long a message takes there.
     """
     family = _need(top, "family-info", "", {})
     if _need(family, "tells-load", "family-info.", False):
-        return NoteKind.LOAD, 1_000  # microseconds of work a second
+        return MeasurementKind.LOAD, 1_000  # microseconds of work a second
     if _need(family, "tells-delay", "family-info.", False):
-        return NoteKind.DELAY, 1_000_000  # milliseconds
+        return MeasurementKind.DELAY, 1_000_000  # milliseconds
     return None
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -9,7 +9,7 @@
     Effect,
     ListedServer,
     Login,
-    NoteKind,
+    MeasurementKind,
     Outcome,
     Reach,
     Report,
@@ -266,7 +266,7 @@
     # Guards against filling a server whose reports look fine while its messages already lag.
     scene = ready(0, 9, workloads=[Workload("w", 1.0, 800 * MS, 3200 * MS, message_limit=100 * MS)])
     scene.login(1)
-    scene.balancer.hand_off_noted(scene.now, 1, 0, 1, NoteKind.DELAY, 150 * MS)
+    scene.balancer.measurement_received(scene.now, 1, 0, 1, MeasurementKind.DELAY, 150 * MS)
     assert {scene.login(n) for n in range(2, 20)} == {2}
     scene.run(2000)
     assert 1 in {scene.login(n) for n in range(20, 50)}
@@ -511,8 +511,8 @@
         scene.run(3000)
         for second in range(4):
             for server in late if troubled else ():
-                scene.balancer.hand_off_noted(
-                    scene.now, server, 0, server, NoteKind.DELAY, 400 * MS
+                scene.balancer.measurement_received(
+                    scene.now, server, 0, server, MeasurementKind.DELAY, 400 * MS
                 )
             if second == 0:
                 assert not [
@@ -535,7 +535,7 @@
         )
     scene.run(3000)
     for _ in range(25):
-        scene.balancer.hand_off_noted(scene.now, 1, 0, 2, NoteKind.DELAY, 300 * MS)
+        scene.balancer.measurement_received(scene.now, 1, 0, 2, MeasurementKind.DELAY, 300 * MS)
         scene.balancer.hand_off_silent(scene.now, 2)
         scene.run(200)
     assert not [line for line in scene.lines if " move " in line]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -11,7 +11,7 @@
 import pytest
 from scene import MS, Scene, Wire
 
-from corklift.interface import Login, NoteKind, Outcome, Report, Scope
+from corklift.interface import Login, MeasurementKind, Outcome, Report, Scope
 from corklift.net.limits import BadConfig, Counters, Limits, Printer
 from corklift.net.parsers import (
     HttpAnswer,
@@ -796,8 +796,8 @@
     while scene.balancer._counts.heard(scene.now, server):
         scene.run(10)
     asked = len(scene.asked)
-    scene.balancer.hand_off_noted(
-        scene.now, 9, 0, 2, NoteKind.DELAY, 400 * MS
+    scene.balancer.measurement_received(
+        scene.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS
     )  # a note alone does not
     assert len(scene.asked) == asked
     scene.balancer.hand_off_silent(scene.now, 2)
