--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -65,7 +65,7 @@
     def fetch_list(self) -> None:
         self._reply.resolve(self._number)
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         self._reply.say(self._number, EVERYONE if peer is None else peer, content)
 
     def log(self, text: str) -> None:
@@ -177,7 +177,7 @@
         elif code == codec.CARRIED:
             balancer.connection_carried(now, _login(fields), fields[8])
         elif code == codec.MAIL:
-            balancer.peer_told(now, fields[0], content)
+            balancer.peer_message_received(now, fields[0], content)
 
 
 def main() -> int:
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -255,7 +255,7 @@
     def fetch_list(self) -> None:
         pass
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         pass
 
     def log(self, text: str) -> None:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -566,7 +566,7 @@
     def fetch_list(self) -> None:
         """See `watch_list`."""
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         """Balancers have no way to speak to each other here."""
 
     def log(self, text: str) -> None:
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -1470,7 +1470,7 @@
         else:
             self._health.worked(known, 0)
 
-    def peer_told(self, now: int, peer: int, content: bytes) -> None:
+    def peer_message_received(self, now: int, peer: int, content: bytes) -> None:
         """Nothing is said between balancers yet, so nothing is heard."""
 
     def timer_due(self, now: int, mark: int) -> None:
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -81,7 +81,7 @@
     def fetch_list(self):
         self._say("fetch list")
 
-    def tell(self, peer, content):
+    def send_to_peer(self, peer, content):
         self._say(f"tell {peer}")
 
     def log(self, text):
