--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -11,7 +11,17 @@
 from random import Random
 from typing import Any
 
-from corklift.interface import Effect, Host, ListedServer, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    Effect,
+    Host,
+    ListedServer,
+    Login,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -148,7 +148,7 @@
         elif fleet.kind == "knows":
             self.take_list(fleet.lines(), True)
             for server in fleet.out:
-                self.policy.server_out(fleet.clock.now, server)
+                self.policy.take_out_of_service(fleet.clock.now, server)
         fleet.clock.after(10 * MS, self._mine(self._ask_list))
 
     def _mine(self, act: Any) -> Any:
@@ -169,7 +169,7 @@
         core.members(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
         ready = {
             line.server for line in self.known.values() if line.status is Status.READY
-        } - self.policy._roster.out.keys()
+        } - self.policy._roster.out_of_service.keys()
         core.looked(now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard)
         if core.step >= Step.OPEN:
             core.sized(
@@ -325,9 +325,9 @@
 
     def believe(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
-            self.policy.server_out(self.fleet.clock.now, int(name[1:]))
+            self.policy.take_out_of_service(self.fleet.clock.now, int(name[1:]))
         for name in sorted(put_back):
-            self.policy.server_back(self.fleet.clock.now, int(name[1:]))
+            self.policy.restore_to_service(self.fleet.clock.now, int(name[1:]))
 
     def relist(self) -> None:
         assert self.core is not None
@@ -336,7 +336,9 @@
             self.listing
             if self.listing is not None
             else [
-                ListedServer(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
+                ListedServer(
+                    line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0
+                )
                 for line in (
                     (Server(*line) if not isinstance(line, Server) else line) for line in kept.value
                 )
@@ -353,7 +355,10 @@
 
     def look(self, span: int) -> None:
         for line in list(self.known.values()):
-            if line.status is Status.READY and line.server not in self.policy._roster.out:
+            if (
+                line.status is Status.READY
+                and line.server not in self.policy._roster.out_of_service
+            ):
                 self.fleet.clock.after(
                     int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
                 )
@@ -492,7 +497,9 @@
         self.asked_words.setdefault(server, set()).add(out)
         if self.kind != "serve":
             for seat in self.seats:
-                (seat.policy.server_out if out else seat.policy.server_back)(self.clock.now, server)
+                (seat.policy.take_out_of_service if out else seat.policy.restore_to_service)(
+                    self.clock.now, server
+                )
             self._had_yes(server, out)
             return
         seat = next(seat for seat in self.seats if seat.alive)
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -36,8 +36,8 @@
 
     def serves(self) -> bool: ...
     def figures(self) -> str: ...
-    def take_out(self, name: str) -> bool: ...  # whether there is such a server
-    def put_back(self, name: str) -> bool: ...
+    def take_out_of_service(self, name: str) -> bool: ...  # whether there is such a server
+    def restore_to_service(self, name: str) -> bool: ...
 
 
 class Desk:
@@ -48,10 +48,13 @@
         self._calls: dict[str, tuple[str, Callable[[HttpCall], Answer]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", lambda call: Answer(200, balance.figures())),
-            "/admin/cordon": ("POST", lambda call: self._member(call, balance.take_out, "out")),
+            "/admin/cordon": (
+                "POST",
+                lambda call: self._member(call, balance.take_out_of_service, "out"),
+            ),
             "/admin/uncordon": (
                 "POST",
-                lambda call: self._member(call, balance.put_back, "free to serve"),
+                lambda call: self._member(call, balance.restore_to_service, "free to serve"),
             ),
         }
 
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -14,7 +14,16 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.interface import ListedServer, Login, MeasurementKind, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    ListedServer,
+    Login,
+    MeasurementKind,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.net.limits import Counters
 from corklift.net.parsers import Listing, Opening, stable_id
 from corklift.net.scheduler import Scheduler, Task
@@ -93,7 +102,7 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._ready: set[int] = set()  # by the list
         self._listed: set[int] = set()  # draining ones too
-        self._out: dict[
+        self._out_of_service: dict[
             int, str
         ] = {}  # names of those that operators have taken out, listed or not
         self._heard: set[int] = set()
@@ -327,31 +336,31 @@
 
     # What operators' calls do
 
-    def take_out(self, name: str) -> bool:
+    def take_out_of_service(self, name: str) -> bool:
         """The server drains from now on, until it is put back; whether there is such a server."""
         server = self._server_id(name)
-        if server not in self._listed and server not in self._out:
+        if server not in self._listed and server not in self._out_of_service:
             return False
-        self.word_of(name, True)
+        self.apply_operator_override(name, True)
         return True
 
-    def put_back(self, name: str) -> bool:
+    def restore_to_service(self, name: str) -> bool:
         """The server may serve again where it is listed; whether there is such a server."""
         server = self._server_id(name)
-        if self._out.pop(server, None) is not None:
-            self._balancer.server_back(self._scheduler.now(), server)
+        if self._out_of_service.pop(server, None) is not None:
+            self._balancer.restore_to_service(self._scheduler.now(), server)
             return True
         return server in self._listed
 
-    def word_of(self, name: str, out: bool) -> None:
+    def apply_operator_override(self, name: str, out: bool) -> None:
         """Another process of this balancer has been told: the same holds here, listed or not."""
         if not out:
-            self.put_back(name)
-        elif self._server_id(name) not in self._out:
+            self.restore_to_service(name)
+        elif self._server_id(name) not in self._out_of_service:
             server = self._server_id(name)
-            self._out[server] = name
+            self._out_of_service[server] = name
             self._log(f"server {name:.80} is out by operators' word")
-            self._balancer.server_out(self._scheduler.now(), server)
+            self._balancer.take_out_of_service(self._scheduler.now(), server)
 
     def sizes(self) -> dict[str, float]:
         """By server's name, how many connections fill it, where that is known."""
@@ -389,20 +398,20 @@
     def knows(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
         server = self._server_id(name)
-        return server in self._listed or server in self._out
+        return server in self._listed or server in self._out_of_service
 
     def server_name(self, server: int) -> str:
         return self._names.get(server, "")
 
     def ready_servers(self) -> list[int]:
-        return sorted(self._ready - self._out.keys())
+        return sorted(self._ready - self._out_of_service.keys())
 
     def known_and_avoided(self) -> tuple[int, int]:
         return self._balancer.known_and_avoided(self._scheduler.now())
 
     def takes_new(self, server: int) -> bool:
         """Whether it has not begun to drain, by the list's word or operators'."""
-        return server in self._ready and server not in self._out
+        return server in self._ready and server not in self._out_of_service
 
     # What goes over to another process of this balancer
 
@@ -457,7 +466,7 @@
             ticket.place.server for ticket in self._tickets.values() if ticket.place is not None
         }
         for server in (
-            gone - used - self._out.keys()
+            gone - used - self._out_of_service.keys()
         ):  # Guards against growth with every server that ever was.
             for held in (self._names, self._addresses):
                 held.pop(server, None)
@@ -498,7 +507,7 @@
 
     def all_heard(self) -> bool:
         """Whether a probe of every ready server has come to an end."""
-        return bool(self._ready) and self._ready - self._out.keys() <= self._heard
+        return bool(self._ready) and self._ready - self._out_of_service.keys() <= self._heard
 
     def tick(self) -> int | None:
         """Runs what is due; returns when the next is."""
--- a/corklift/net/overlap.py
+++ b/corklift/net/overlap.py
@@ -41,7 +41,7 @@
         ] = {}  # by process and server, what earlier ones have told of it
         self._followed: set[int] = set()  # processes whose learning has been taken over
         self._others_live = True  # until a look has shown it
-        self.words_elsewhere = (
+        self.overrides_kept_elsewhere = (
             False  # operators' words are kept by another part, which knows better
         )
 
@@ -74,14 +74,14 @@
                 self._counters["looks at other processes that failed"] += 1
             self._scheduler.sleep(self._limits.look_pause)
 
-    def take_out(self, name: str) -> bool:
-        if not self._facade.take_out(name):
+    def take_out_of_service(self, name: str) -> bool:
+        if not self._facade.take_out_of_service(name):
             return False
         self._say(name, True)
         return True
 
-    def put_back(self, name: str) -> bool:
-        if not self._facade.put_back(name):
+    def restore_to_service(self, name: str) -> bool:
+        if not self._facade.restore_to_service(name):
             return False
         if name in self._place.out():
             self._say(name, False)
@@ -133,9 +133,9 @@
 
     def _take_words(self, lives: list[Life]) -> None:
         for name, out in (
-            sorted(self._place.hear(lives).items()) if not self.words_elsewhere else ()
+            sorted(self._place.hear(lives).items()) if not self.overrides_kept_elsewhere else ()
         ):
-            self._facade.word_of(name, out)
+            self._facade.apply_operator_override(name, out)
 
     def _look(self) -> None:
         assert self._kin is not None
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -99,7 +99,7 @@
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
         self.version = 0  # of who is ready
-        self.out: dict[int, int] = {}  # when operators took a server out, listed or not
+        self.out_of_service: dict[int, int] = {}  # when operators took a server out, listed or not
         self._back: dict[int, int] = {}  # when they put back one that was not listed then
 
     def apply(
@@ -148,19 +148,19 @@
     def _settle(self) -> None:
         self.version += 1
         for server in self.servers.values():
-            server.ready = server.status is Status.READY and server.id not in self.out
+            server.ready = server.status is Status.READY and server.id not in self.out_of_service
         self.ready = [server for server in self.servers.values() if server.ready]
 
-    def take_out(self, now: int, server: int) -> Server | None:
+    def take_out_of_service(self, now: int, server: int) -> Server | None:
         """It drains from now on, whatever the list tells, drops or lists anew; returns it if it was ready."""
-        self.out.setdefault(server, now)
+        self.out_of_service.setdefault(server, now)
         left = [known for known in self.ready if known.id == server]
         self._settle()
         return left[0] if left else None
 
-    def put_back(self, now: int, server: int) -> Server | None:
+    def restore_to_service(self, now: int, server: int) -> Server | None:
         """Returns it if ready now. Its start is the list's or else now; what it showed before is void."""
-        out_at, known = self.out.pop(server, None), self.servers.get(server)
+        out_at, known = self.out_of_service.pop(server, None), self.servers.get(server)
         if out_at is None:
             return None
         if known is None:
@@ -640,7 +640,9 @@
                 }
             capped.update((server, bounds[server]) for server in over)
 
-    def _entrants(self, now: int, held: LoginState, able: list[Server]) -> tuple[list[Server], bool]:
+    def _entrants(
+        self, now: int, held: LoginState, able: list[Server]
+    ) -> tuple[list[Server], bool]:
         """Who of these takes part in the draw, and whether that is even for want of counts."""
         if not able:
             return [], False
@@ -1358,14 +1360,14 @@
         self._probing.started(not self._listed, started)
         self._listed = True
 
-    def server_out(self, now: int, server: int) -> None:
-        """Operators take it out, listed or not: it drains until `server_back`, whatever the list says."""
-        if (left := self._roster.take_out(now, server)) is not None:
+    def take_out_of_service(self, now: int, server: int) -> None:
+        """Operators take it out, listed or not: it drains until `restore_to_service`, whatever the list says."""
+        if (left := self._roster.take_out_of_service(now, server)) is not None:
             self._leave(now, left, "is taken out by hand", PROBE_PERIOD)
         self._host.close_idle(server)  # its work is to end, probes with it
 
-    def server_back(self, now: int, server: int) -> None:
-        if (known := self._roster.put_back(now, server)) is not None:
+    def restore_to_service(self, now: int, server: int) -> None:
+        if (known := self._roster.restore_to_service(now, server)) is not None:
             self._host.log(f"server {server} is put back by hand: taken as just started")
             self._probing.started(False, [known])
 
@@ -1379,7 +1381,7 @@
             for server in listed
             if server.status is Status.READY
             and not (server.ready and self._health.in_draw(now, server))
-            or server.id in self._roster.out
+            or server.id in self._roster.out_of_service
         )
 
     def learned(self, now: int) -> dict[str, Any]:
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -118,9 +118,9 @@
         facade.missed = lambda server: self.core.server_missed(
             self._scheduler.now(), facade.server_name(server)
         )
-        process.words = self._word
+        process.apply_operator_override = self._word
         process.may_serve = lambda: self.core.step >= Step.OPEN
-        process.overlap.words_elsewhere = True
+        process.overlap.overrides_kept_elsewhere = True
         process.more_figures.append(self._figures)
 
     # Part
@@ -249,9 +249,9 @@
 
     def believe(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
-            self._process.facade.word_of(name, True)
+            self._process.facade.apply_operator_override(name, True)
         for name in sorted(put_back):
-            self._process.facade.word_of(name, False)
+            self._process.facade.apply_operator_override(name, False)
 
     def relist(self) -> None:
         """The list anew, as it is to be believed now; before discovery has told one, the one that was kept."""
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -126,9 +126,11 @@
         self.admin = Admin(scheduler, limits, self.counters, Desk(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
         self._stopping = False
-        self.words: Callable[[str, bool], bool] = (
+        self.apply_operator_override: Callable[[str, bool], bool] = (
             lambda name, out: (  # a part that keeps operators' words sets it
-                self.overlap.take_out(name) if out else self.overlap.put_back(name)
+                self.overlap.take_out_of_service(name)
+                if out
+                else self.overlap.restore_to_service(name)
             )
         )
         self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
@@ -230,11 +232,11 @@
             ]
         )
 
-    def take_out(self, name: str) -> bool:
-        return self.words(name, True)
+    def take_out_of_service(self, name: str) -> bool:
+        return self.apply_operator_override(name, True)
 
-    def put_back(self, name: str) -> bool:
-        return self.words(name, False)
+    def restore_to_service(self, name: str) -> bool:
+        return self.apply_operator_override(name, False)
 
     def run(self, early: Sequence[int] = ()) -> None:
         """Serves until told to stop; `early` holds the signals to reload that came while it was put together."""
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -9,7 +9,16 @@
 from pathlib import Path
 from random import Random
 
-from corklift.interface import ColdRule, ListedServer, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    ColdRule,
+    ListedServer,
+    Login,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 from corklift.policy import Balancer
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -259,7 +259,7 @@
     wire.run(2000)
     real = wire.process.facade.takes_new
     wire.process.facade.takes_new = lambda server: (
-        wire.process.facade.take_out("s1") and real(server)
+        wire.process.facade.take_out_of_service("s1") and real(server)
     )
     wire.client("c1", OPEN)
     wire.run(300)
@@ -278,7 +278,7 @@
         scene.stands(number)
         scene.run(500)
     scene.lines.clear()
-    scene.balancer.server_out(scene.now, 1)
+    scene.balancer.take_out_of_service(scene.now, 1)
     scene.run(1000)
     moves = [int(line.split()[0]) for line in scene.lines if " move " in line]
     assert [at - moves[0] for at in moves] == [0, 200, 400, 600, 800]
@@ -297,7 +297,7 @@
         scene.listed(1, 2)
         scene.auto = {1: Report(5, 0.2), 2: Report(5, 0.2)}
         scene.run(3000)
-        scene.balancer.server_out(scene.now, 1)
+        scene.balancer.take_out_of_service(scene.now, 1)
         assert scene.login(1) == 2
         scene.ends(1, Outcome.FULFILLED, closed=True)
         if restart:
@@ -306,7 +306,7 @@
             if not listed_late:
                 scene.listed(1, scope=Scope.DELTA, started_at=started)
         scene.run(2000 - (restart or 0))
-        scene.balancer.server_back(scene.now, 1)
+        scene.balancer.restore_to_service(scene.now, 1)
         if listed_late:
             scene.listed(1, scope=Scope.DELTA, started_at=started)
         balancer = scene.balancer
--- a/tests/test_chances.py
+++ b/tests/test_chances.py
@@ -6,7 +6,16 @@
 import pytest
 from scene import MS, Scene
 
-from corklift.interface import ColdRule, ListedServer, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    ColdRule,
+    ListedServer,
+    Login,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.policy import Balancer
 from corklift.records import LoginState
 
