--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -176,7 +176,7 @@
                 now,
                 {
                     f"s{number}": size
-                    for number, size, *_ in self.policy.learned(now)["servers"]
+                    for number, size, *_ in self.policy.export_learned_state(now)["servers"]
                     if size is not None
                 },
             )
@@ -366,7 +366,9 @@
     def ages(self) -> dict[str, int]:
         return {
             f"s{number}": int(started_at)
-            for number, _, started_at, *_ in self.policy.learned(self.fleet.clock.now)["servers"]
+            for number, _, started_at, *_ in self.policy.export_learned_state(self.fleet.clock.now)[
+                "servers"
+            ]
         }
 
     def step(self, step: Step, why: str) -> None:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -366,13 +366,13 @@
         """By server's name, how many connections fill it, where that is known."""
         return {
             self._names[number]: size
-            for number, size, *_ in self.learned()["servers"]
+            for number, size, *_ in self.export_learned_state()["servers"]
             if size is not None and number in self._names
         }
 
     def hint(self, sizes: dict[str, float]) -> None:
         """What servers could do before this process: taken until one shows what it can."""
-        self.follow(
+        self.import_learned_state(
             {
                 "servers": [
                     [self._server_id(name), size, 0, 0.0, 0, 0, 0] for name, size in sizes.items()
@@ -388,7 +388,7 @@
         """By server's name, when it started as the decisions know it; 0: long past."""
         return {
             self._names[number]: int(started_at)
-            for number, _, started_at, *_ in self.learned()["servers"]
+            for number, _, started_at, *_ in self.export_learned_state()["servers"]
             if number in self._names
         }
 
@@ -415,13 +415,13 @@
 
     # What goes over to another process of this balancer
 
-    def learned(self) -> dict[str, Any]:
-        return self._balancer.learned(self._scheduler.now())
+    def export_learned_state(self) -> dict[str, Any]:
+        return self._balancer.export_learned_state(self._scheduler.now())
 
-    def follow(self, learned: dict[str, Any]) -> None:
+    def import_learned_state(self, learned: dict[str, Any]) -> None:
         """Takes over what an earlier process has learned; what can't be read of it is left."""
         try:
-            self._balancer.follow(self._scheduler.now(), learned)
+            self._balancer.import_learned_state(self._scheduler.now(), learned)
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
             self._log(f"what an earlier process has learned can't be read: {problem!r:.100}")
 
--- a/corklift/net/overlap.py
+++ b/corklift/net/overlap.py
@@ -116,7 +116,7 @@
     def _tell(self) -> None:
         if self._kin is not None:
             self._held = self._relay.held
-            learned = self._facade.learned() if self._yielded else {}
+            learned = self._facade.export_learned_state() if self._yielded else {}
             try:
                 self._kin.tell(
                     Life(
@@ -172,6 +172,6 @@
             for life in living:
                 if life.learned and life.generation not in self._followed:
                     self._followed.add(life.generation)
-                    self._facade.follow(life.learned)
+                    self._facade.import_learned_state(life.learned)
         self._facade.stand_by(stage is Stage.YIELDED)
         self._yielded = stage is Stage.YIELDED
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -1384,8 +1384,8 @@
             or server.id in self._roster.out_of_service
         )
 
-    def learned(self, now: int) -> dict[str, Any]:
-        """What another process of this balancer goes on from, as plain JSON; see `follow`."""
+    def export_learned_state(self, now: int) -> dict[str, Any]:
+        """What another process of this balancer goes on from, as plain JSON; see `import_learned_state`."""
         return {
             "servers": [
                 [
@@ -1409,7 +1409,7 @@
             "ended": list(self._ended.items()),
         }
 
-    def follow(self, now: int, learned: dict[str, Any]) -> None:
+    def import_learned_state(self, now: int, learned: dict[str, Any]) -> None:
         """Goes on from what another process has learned, which places no logins now."""
         for number, size, started_at, spent, fails, bars, barred_until in learned["servers"]:
             if (server := self._roster.servers.get(number)) is None:
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -120,9 +120,9 @@
     first, second = scene(), scene()
     for number in range(most - 1):
         assert first.login(number + 1) == 1
-    learned = json.loads(json.dumps(first.balancer.learned(first.now)))
+    learned = json.loads(json.dumps(first.balancer.export_learned_state(first.now)))
     first.balancer.stand_by(True)
-    second.balancer.follow(second.now, learned)
+    second.balancer.import_learned_state(second.now, learned)
     assert first.login(900) is None
     assert [second.login(number) for number in (901, 902)] == [1, None] and most > 2
 
@@ -143,13 +143,15 @@
         old.run(2500)
     homes = {server for _, server in old.sent}
     old.balancer.stand_by(True)
-    new.balancer.follow(new.now, json.loads(json.dumps(old.balancer.learned(old.now))))
-    new.balancer.follow(
+    new.balancer.import_learned_state(
+        new.now, json.loads(json.dumps(old.balancer.export_learned_state(old.now)))
+    )
+    new.balancer.import_learned_state(
         new.now, {"servers": [], "homes": [], "rate": [0, 0], "open": [[9, 77]], "ended": []}
     )
     for number in range(1, 9):
         old.ends(number, Outcome.CANCELLED, closed=True)
-    for server, load in old.balancer.learned(old.now)["ended"]:
+    for server, load in old.balancer.export_learned_state(old.now)["ended"]:
         new.balancer.ended_elsewhere(new.now, server, load)
     placed = {"new": [], "stranger": []}
     for number in range(101, 109):
