--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -224,7 +224,7 @@
         changed = []
         for workload in self.config.workloads:
             if self.weights.due(now, workload.name):
-                chances = self.facade.chances(workload.name, self.config.span)
+                chances = self.facade.draw_probabilities(workload.name, self.config.span)
                 if self.config.table.weights.log:
                     self.lines.say(
                         "weighed",
@@ -301,7 +301,10 @@
             for workload in new.workloads:
                 if workload.name not in self.weights.told:
                     self.weights.weighed(
-                        now, workload.name, self.facade.chances(workload.name, new.span), ready
+                        now,
+                        workload.name,
+                        self.facade.draw_probabilities(workload.name, new.span),
+                        ready,
                     )
             self.views.changed(now, self._all_tables())
         self.lines.say("configuration taken")
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -300,11 +300,11 @@
 
     # What a front calls whose clients are placed by others
 
-    def chances(self, workload: str, span: int) -> dict[str, float]:
+    def draw_probabilities(self, workload: str, span: int) -> dict[str, float]:
         """By server's name, the chance for all logins that others place in the span; the rest to 1 is refused."""
         now = self._scheduler.now()
         self._settled_at = now if self._settled_at is None else self._settled_at
-        found = self._balancer.chances(now, self._workloads[workload], span)
+        found = self._balancer.draw_probabilities(now, self._workloads[workload], span)
         return {
             self._names[server]: chance for server, chance in found.items() if server in self._names
         }
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -582,7 +582,7 @@
             return None
         return self._rng.choice(drawn) if even else self._weighted(drawn)
 
-    def chances(self, now: int, held: LoginState, span: int) -> dict[int, float]:
+    def draw_probabilities(self, now: int, held: LoginState, span: int) -> dict[int, float]:
         """`pick`'s answer for every server at once, nothing drawn, nothing changed; empty where it has none.
 
         With a span: for all the logins that others place by it meanwhile. Their sum is under 1 where the
@@ -1447,14 +1447,14 @@
         self._cold.stands_by = wanted
         self._probing.take_settings(self._probes_allowed and not wanted)
 
-    def chances(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
+    def draw_probabilities(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
         """Each server's chance in the draw of a login of this workload that came now; empty: it is refused.
 
         Changes nothing. With a span (ns): the chances by which others may place all logins of that span; what
         is left to 1 is to be refused."""
         asked = self._workloads[workload]
         login = Login(0, workload, 0, 0, now + asked.time_limit, None, 0)
-        return self._draw.chances(now, LoginState(login, 1.0, asked), span)
+        return self._draw.draw_probabilities(now, LoginState(login, 1.0, asked), span)
 
     def placed_by_others(self, now: int, server: int, number: int, failed: int) -> None:
         """So many logins were placed there by our chances since this was last told; so many of them failed.
--- a/tests/test_chances.py
+++ b/tests/test_chances.py
@@ -87,8 +87,8 @@
 @pytest.mark.parametrize("seed", range(40))
 def test_chances_are_what_pick_draws_by(seed):
     scene, drawn, draws = scene_of(seed), Counter(), 3000
-    told = scene.balancer.chances(scene.now, seed % 2)
-    before = scene.balancer.chances(scene.now, seed % 2)
+    told = scene.balancer.draw_probabilities(scene.now, seed % 2)
+    before = scene.balancer.draw_probabilities(scene.now, seed % 2)
     draw = scene.balancer._draw
     for _ in range(draws):
         server = draw.pick(
@@ -103,20 +103,24 @@
     )
     assert apart + abs(refused - drawn[None] / draws) < 0.1
     assert all(told.get(server, 0.0) > 0 for server in drawn if server is not None)
-    assert before == told == scene.balancer.chances(scene.now, seed % 2)  # asking changes nothing
+    assert (
+        before == told == scene.balancer.draw_probabilities(scene.now, seed % 2)
+    )  # asking changes nothing
 
 
 def test_drained_and_gone_servers_have_no_chance():
     scene = Scene(probes_allowed=False)
     scene.balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2), listed(3)])
-    assert scene.balancer.chances(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 1 / 3, 3: 1 / 3})
+    assert scene.balancer.draw_probabilities(scene.now, 0) == pytest.approx(
+        {1: 1 / 3, 2: 1 / 3, 3: 1 / 3}
+    )
     scene.balancer.servers_listed(
         scene.now,
         Scope.DELTA,
         2,
         [listed(1, status=Status.DRAINING), listed(2, status=Status.GONE)],
     )
-    assert scene.balancer.chances(scene.now, 0) == {3: 1.0}
+    assert scene.balancer.draw_probabilities(scene.now, 0) == {3: 1.0}
 
 
 def test_what_others_placed_counts_until_a_report_holds_it():
@@ -125,12 +129,12 @@
     balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2)])
     for server in (1, 2):
         balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(9))
-    assert balancer.chances(scene.now, 0) == pytest.approx({1: 0.5, 2: 0.5})
+    assert balancer.draw_probabilities(scene.now, 0) == pytest.approx({1: 0.5, 2: 0.5})
     balancer.placed_by_others(scene.now, 1, 10, 0)
-    assert balancer.chances(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 2 / 3})
+    assert balancer.draw_probabilities(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 2 / 3})
     scene.now += 1200 * MS
     balancer.probe_answered(scene.now, 1, 0, Outcome.FULFILLED, Report(19))
-    assert balancer.chances(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 2 / 3})
+    assert balancer.draw_probabilities(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 2 / 3})
     balancer.placed_by_others(scene.now, 99, 5, 5)  # of a server that is listed no more
 
 
@@ -143,14 +147,14 @@
     balancer.placed_by_others(scene.now, 2, 600, 0)
     balancer.placed_by_others(scene.now, 1, 3, 3)
     balancer.placed_by_others(scene.now, 1, 3, 3)
-    assert set(balancer.chances(scene.now, 0, SECOND)) == {2}
+    assert set(balancer.draw_probabilities(scene.now, 0, SECOND)) == {2}
     scene.now += 2700 * MS
     for server in (1, 2):
         balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(5))
     logins = balancer._means.rate(scene.now)
-    assert balancer.chances(scene.now, 0, SECOND)[1] * logins <= 1.0 + 1e-9
+    assert balancer.draw_probabilities(scene.now, 0, SECOND)[1] * logins <= 1.0 + 1e-9
     balancer.placed_by_others(scene.now, 1, 1, 0)
-    assert balancer.chances(scene.now, 0, SECOND)[1] > 0.2
+    assert balancer.draw_probabilities(scene.now, 0, SECOND)[1] > 0.2
 
 
 @pytest.mark.parametrize("rate", [0, 20, 400])
@@ -167,9 +171,9 @@
         for server in range(1, 10):
             balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(50, 0.5))
         balancer.probe_answered(scene.now, 10, 0, Outcome.FULFILLED, Report(0, 0.0))
-        told = balancer.chances(scene.now, 0, SECOND)
+        told = balancer.draw_probabilities(scene.now, 0, SECOND)
         assert sum(told.values()) == pytest.approx(1.0)
-        unbounded = balancer.chances(scene.now, 0)
+        unbounded = balancer.draw_probabilities(scene.now, 0)
         bears = rule.multiple * size / 9 * min(1.0, 0.3 + 0.7 * second / 9)  # logins a second
         if second < 9:
             assert told[10] <= 0.3 * (0.3 + 0.7 * second / 9) + 1e-9
@@ -178,8 +182,8 @@
             balancer.placed_by_others(scene.now, server, round(rate * chance), 0)
         scene.now += SECOND
         assert unbounded.get(10, 0.0) == 0.0 or told[10] <= unbounded[10] + 1e-9
-    assert balancer.chances(scene.now, 0, SECOND) == pytest.approx(
-        balancer.chances(scene.now, 0)
+    assert balancer.draw_probabilities(scene.now, 0, SECOND) == pytest.approx(
+        balancer.draw_probabilities(scene.now, 0)
     )  # warm: the draw's own again
 
 
@@ -188,9 +192,11 @@
     scene.balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2)])
     for server in (1, 2):
         scene.balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(50, 0.99))
-    assert scene.balancer.chances(scene.now, 0, SECOND) == {}
+    assert scene.balancer.draw_probabilities(scene.now, 0, SECOND) == {}
     scene = Scene(probes_allowed=False, balancers=1)
     scene.balancer.servers_listed(
         scene.now, Scope.FULL, 1, [listed(n, started_at=scene.now) for n in (1, 2, 3)]
     )
-    assert sum(scene.balancer.chances(scene.now, 0, SECOND).values()) == pytest.approx(1.0)
+    assert sum(scene.balancer.draw_probabilities(scene.now, 0, SECOND).values()) == pytest.approx(
+        1.0
+    )
