--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -175,7 +175,7 @@
             listed = () if scope is Scope.FAILED else self._lists[fields[2]]
             balancer.servers_listed(now, scope, fields[1], listed)
         elif code == codec.CARRIED:
-            balancer.connection_carried(now, _login(fields), fields[8])
+            balancer.connection_resumed(now, _login(fields), fields[8])
         elif code == codec.MAIL:
             balancer.peer_message_received(now, fields[0], content)
 
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -120,7 +120,7 @@
         if found is not None and found[1]:
             self._open[found[1][-1]] = max(0, self._open.get(found[1][-1], 0) - 1)
 
-    def connection_carried(self, now: int, login: Login, server: int) -> None:
+    def connection_resumed(self, now: int, login: Login, server: int) -> None:
         self._logins[login.login] = (login, [server], [None])
         self._open[server] = self._open.get(server, 0) + 1
 
@@ -160,7 +160,7 @@
     def measurement_received(self, *_: Any) -> None:
         pass
 
-    def hand_off_silent(self, *_: Any) -> None:
+    def message_unanswered(self, *_: Any) -> None:
         pass
 
 
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -239,7 +239,7 @@
             now,
         )
         self._standing += 1
-        self._balancer.connection_carried(now, self._login(ticket, opening), server)
+        self._balancer.connection_resumed(now, self._login(ticket, opening), server)
         return ticket
 
     def report_end(
@@ -291,7 +291,7 @@
         self._balancer.measurement_received(
             now, ticket.number, ticket.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
         )
-        self._balancer.hand_off_silent(now, server)
+        self._balancer.message_unanswered(now, server)
 
     def server_named(self, name: str) -> Place | None:
         server = self._server_id(name)
@@ -382,7 +382,7 @@
                 "rate": [0.0, self._scheduler.now()],
             }
         )
-        self.alone()
+        self.other_processes_ended()
 
     def ages(self) -> dict[str, int]:
         """By server's name, when it started as the decisions know it; 0: long past."""
@@ -406,8 +406,8 @@
     def ready_servers(self) -> list[int]:
         return sorted(self._ready - self._out_of_service.keys())
 
-    def known_and_avoided(self) -> tuple[int, int]:
-        return self._balancer.known_and_avoided(self._scheduler.now())
+    def known_and_excluded_servers(self) -> tuple[int, int]:
+        return self._balancer.known_and_excluded_servers(self._scheduler.now())
 
     def takes_new(self, server: int) -> bool:
         """Whether it has not begun to drain, by the list's word or operators'."""
@@ -425,14 +425,14 @@
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
             self._log(f"what an earlier process has learned can't be read: {problem!r:.100}")
 
-    def ended_elsewhere(self, server: int, load: float) -> None:
-        self._balancer.ended_elsewhere(self._scheduler.now(), server, load)
+    def connection_ended_elsewhere(self, server: int, load: float) -> None:
+        self._balancer.connection_ended_elsewhere(self._scheduler.now(), server, load)
 
-    def alone(self) -> None:
-        self._balancer.alone()
+    def other_processes_ended(self) -> None:
+        self._balancer.other_processes_ended()
 
-    def stand_by(self, wanted: bool) -> None:
-        self._balancer.stand_by(wanted)
+    def set_standby(self, wanted: bool) -> None:
+        self._balancer.set_standby(wanted)
 
     # What upkeep calls
 
--- a/corklift/net/overlap.py
+++ b/corklift/net/overlap.py
@@ -143,7 +143,7 @@
             return  # alone, as before
         living, ended = self._kin.others()
         if self._others_live and not living:
-            self._facade.alone()
+            self._facade.other_processes_ended()
         self._others_live = bool(living)
         self._take_words(living + ended)
         self._relay.held_elsewhere = sum(life.held for life in living)
@@ -162,7 +162,7 @@
             more = load - self._ended.get((life.generation, server), 0.0)
             if more > 0:
                 self._ended[life.generation, server] = load
-                self._facade.ended_elsewhere(server, more)
+                self._facade.connection_ended_elsewhere(server, more)
 
     def _change(self, living: list[Life]) -> None:
         stage = self._place.stage
@@ -173,5 +173,5 @@
                 if life.learned and life.generation not in self._followed:
                     self._followed.add(life.generation)
                     self._facade.import_learned_state(life.learned)
-        self._facade.stand_by(stage is Stage.YIELDED)
+        self._facade.set_standby(stage is Stage.YIELDED)
         self._yielded = stage is Stage.YIELDED
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -31,7 +31,7 @@
     Status,
     Workload,
 )
-from corklift.records import Attempt, LoginState, Histogram, Server
+from corklift.records import Attempt, Histogram, LoginState, Server
 
 SECOND = 1_000_000_000
 PROBE_PERIOD = SECOND  # the design's "about once a second"
@@ -1223,7 +1223,7 @@
         self._cut = cut[login.came_back :]
         self._place(now, held)
 
-    def connection_carried(self, now: int, login: Login, server: int) -> None:
+    def connection_resumed(self, now: int, login: Login, server: int) -> None:
         held = LoginState(login, self._like(login.cost), self._workloads[login.workload])
         self._means.stood(now)
         self._draw.saw_group(login.group)
@@ -1266,7 +1266,7 @@
         elif held is not None and kind is MeasurementKind.LOAD:
             held.load = self._like(value)
 
-    def hand_off_silent(self, now: int, server: int) -> None:
+    def message_unanswered(self, now: int, server: int) -> None:
         """A line on an open connection has brought nothing back: its server is not left to the next probe."""
         if (known := self._roster.servers.get(server)) is not None:
             known.late_since = now  # it tells of that connection alone: no others leave for it
@@ -1371,7 +1371,7 @@
             self._host.log(f"server {server} is put back by hand: taken as just started")
             self._probing.started(False, [known])
 
-    def known_and_avoided(self, now: int) -> tuple[int, int]:
+    def known_and_excluded_servers(self, now: int) -> tuple[int, int]:
         """How many servers are listed, and how many of them are out by operators' word or this balancer's."""
         listed = [
             server for server in self._roster.servers.values() if server.status is not Status.GONE
@@ -1432,17 +1432,17 @@
         self._means.follow(now, *learned["rate"])
         self._followed = True
 
-    def ended_elsewhere(self, now: int, server: int, load: float) -> None:
+    def connection_ended_elsewhere(self, now: int, server: int, load: float) -> None:
         """Own ones of another process; reports may hold them yet. Guards against clients that count twice."""
         if (known := self._roster.servers.get(server)) is not None:
             self._others -= 1
             self._counts.placed(now, known, self._others, -load, -load)
 
-    def alone(self) -> None:  # no other process of this balancer lives any longer
+    def other_processes_ended(self) -> None:  # no other process of this balancer lives any longer
         self._draw.take_back()
         self._followed = False
 
-    def stand_by(self, wanted: bool) -> None:
+    def set_standby(self, wanted: bool) -> None:
         """Whether another process of this balancer places its logins, with the probes and the cold budget."""
         self._cold.stands_by = wanted
         self._probing.take_settings(self._probes_allowed and not wanted)
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -222,7 +222,7 @@
         return self.relay.serves and self.overlap.serves and self.may_serve() and not self._stopping
 
     def figures(self) -> str:
-        known, avoided = self.facade.known_and_avoided()
+        known, avoided = self.facade.known_and_excluded_servers()
         return "".join(
             [
                 figures(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -315,7 +315,7 @@
         for at in range(0, 12_000, 500):
             assert balancer._cold.is_cold(scene.now, known) is (at < cold_for), at
             scene.run(500)
-        assert balancer.known_and_avoided(scene.now) == (2, 0)
+        assert balancer.known_and_excluded_servers(scene.now) == (2, 0)
 
 
 def test_a_file_that_lacks_a_key_or_holds_an_impossible_value_changes_nothing_and_is_counted(
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -169,7 +169,7 @@
 def test_a_group_goes_to_its_holder_while_that_has_room():
     scene = ready(5, 5, 5, grouped=True)
     for number, group in enumerate((77, 78, 79, 80), 900):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(number, 0, 0, 0, 0, None, group), 3 - number % 3
         )
     assert {scene.login(n, group=77) for n in range(1, 10)} == {3}
@@ -312,7 +312,7 @@
     scene = Scene(balancers=balancers, probe_price=price)
     scene.listed(*range(1, 13))
     for number in range(900, 940):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(number, 0, 0, 0, 0, None, 0), 1 + number % 12
         )
     scene.auto = {server: Report(5, 0.4) for server in range(1, 13)}
@@ -445,7 +445,7 @@
     scene.run(3000)
     if own:
         for number in range(100, 120):
-            scene.balancer.connection_carried(scene.now, Login(number, 0, 0, 0, 0, None, 0), 1)
+            scene.balancer.connection_resumed(scene.now, Login(number, 0, 0, 0, 0, None, 0), 1)
             scene.balancer.hand_off_ended(scene.now, number, True, 1, Outcome.BROKEN, 0, 0, None)
     scene.lines.clear()
     for number in range(1, 31):
@@ -507,7 +507,7 @@
         scene.listed(1, 2, 3, 4)
         scene.auto = {server: Report(10, pressure) for server in (1, 2, 3, 4)}
         for server in (1, 2, 3, 4):
-            scene.balancer.connection_carried(scene.now, Login(server, 0, 0, 0, 0, None, 0), server)
+            scene.balancer.connection_resumed(scene.now, Login(server, 0, 0, 0, 0, None, 0), server)
         scene.run(3000)
         for second in range(4):
             for server in late if troubled else ():
@@ -530,12 +530,12 @@
     scene.listed(1, 2)
     scene.auto = {server: Report(10, 0.4) for server in (1, 2)}
     for login in range(1, 7):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(login, 0, 0, 0, 0, None, 0), 1 + login % 2
         )
     scene.run(3000)
     for _ in range(25):
         scene.balancer.measurement_received(scene.now, 1, 0, 2, MeasurementKind.DELAY, 300 * MS)
-        scene.balancer.hand_off_silent(scene.now, 2)
+        scene.balancer.message_unanswered(scene.now, 2)
         scene.run(200)
     assert not [line for line in scene.lines if " move " in line]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -790,7 +790,7 @@
     scene.listed(1, 2)
     scene.auto = {1: Report(5, 0.2), 2: Report(5, 0.2)}
     scene.run(4000)
-    scene.balancer.connection_carried(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
+    scene.balancer.connection_resumed(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
     scene.auto[2] = Outcome.TIMED_OUT
     server = scene.balancer._roster.servers[2]
     while scene.balancer._counts.heard(scene.now, server):
@@ -800,8 +800,8 @@
         scene.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS
     )  # a note alone does not
     assert len(scene.asked) == asked
-    scene.balancer.hand_off_silent(scene.now, 2)
-    scene.balancer.hand_off_silent(scene.now, 2)  # one answer at a time is waited for
+    scene.balancer.message_unanswered(scene.now, 2)
+    scene.balancer.message_unanswered(scene.now, 2)  # one answer at a time is waited for
     assert scene.asked[asked:] == [2]
 
 
@@ -813,7 +813,7 @@
     scene.run(1000)
     assert asked == {1, 2, 3}
     # What stood at the start tells the rate as soon as it is up: here it pays for probes of some only.
-    scene.balancer.connection_carried(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
+    scene.balancer.connection_resumed(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
     scene.run(150)
     assert scene.lines == ["  1058 log: probing some of 3 servers"]
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -121,7 +121,7 @@
     for number in range(most - 1):
         assert first.login(number + 1) == 1
     learned = json.loads(json.dumps(first.balancer.export_learned_state(first.now)))
-    first.balancer.stand_by(True)
+    first.balancer.set_standby(True)
     second.balancer.import_learned_state(second.now, learned)
     assert first.login(900) is None
     assert [second.login(number) for number in (901, 902)] == [1, None] and most > 2
@@ -142,7 +142,7 @@
         old.stands(number)
         old.run(2500)
     homes = {server for _, server in old.sent}
-    old.balancer.stand_by(True)
+    old.balancer.set_standby(True)
     new.balancer.import_learned_state(
         new.now, json.loads(json.dumps(old.balancer.export_learned_state(old.now)))
     )
@@ -152,14 +152,14 @@
     for number in range(1, 9):
         old.ends(number, Outcome.CANCELLED, closed=True)
     for server, load in old.balancer.export_learned_state(old.now)["ended"]:
-        new.balancer.ended_elsewhere(new.now, server, load)
+        new.balancer.connection_ended_elsewhere(new.now, server, load)
     placed = {"new": [], "stranger": []}
     for number in range(101, 109):
         placed["new"].append(new.login(number, group=77, came_back=True))
         placed["stranger"].append(stranger.login(number, group=77, came_back=True))
     assert set(placed["new"]) <= homes and None in placed["stranger"]
     draw = new.balancer._draw
-    new.balancer.alone()
+    new.balancer.other_processes_ended()
     assert (
         draw.total_load == 0
         and not draw.group_load
