--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -9,7 +9,7 @@
 import traceback
 
 from corklift.benchlink import codec
-from corklift.interface import Listed, Login, NoteKind, Outcome, Scope
+from corklift.interface import ListedServer, Login, MeasurementKind, Outcome, Scope
 from corklift.policy import Balancer
 from corklift.settings import BadSettings, translate
 
@@ -65,7 +65,7 @@
     def fetch_list(self) -> None:
         self._reply.resolve(self._number)
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         self._reply.say(self._number, EVERYONE if peer is None else peer, content)
 
     def log(self, text: str) -> None:
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self.reply = codec.Reply()
-        self._lists: dict[int, tuple[Listed, ...]] = {}
+        self._lists: dict[int, tuple[ListedServer, ...]] = {}
         self._balancers: dict[int, Balancer] = {}
         self._fields: dict[int, tuple[str | None, ...]] = {}
 
@@ -165,8 +165,8 @@
         elif code == codec.NOTICE:
             txn, value, attempt, sort, server = fields
             if sort in NOTE_UNIT:
-                balancer.hand_off_noted(
-                    now, txn, attempt, server, NoteKind(sort), value * NOTE_UNIT[sort]
+                balancer.measurement_received(
+                    now, txn, attempt, server, MeasurementKind(sort), value * NOTE_UNIT[sort]
                 )
         elif code == codec.DROPPED:
             balancer.login_dropped(now, fields[0])
@@ -175,9 +175,9 @@
             listed = () if scope is Scope.FAILED else self._lists[fields[2]]
             balancer.servers_listed(now, scope, fields[1], listed)
         elif code == codec.CARRIED:
-            balancer.connection_carried(now, _login(fields), fields[8])
+            balancer.connection_resumed(now, _login(fields), fields[8])
         elif code == codec.MAIL:
-            balancer.peer_told(now, fields[0], content)
+            balancer.peer_message_received(now, fields[0], content)
 
 
 def main() -> int:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -14,7 +14,16 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.interface import Listed, Login, NoteKind, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    ListedServer,
+    Login,
+    MeasurementKind,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.net.limits import Counters
 from corklift.net.parsers import Listing, Opening, stable_id
 from corklift.net.scheduler import Scheduler, Task
@@ -61,7 +70,7 @@
         seed: int,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
         settle_time: int,
@@ -93,7 +102,7 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._ready: set[int] = set()  # by the list
         self._listed: set[int] = set()  # draining ones too
-        self._out: dict[
+        self._out_of_service: dict[
             int, str
         ] = {}  # names of those that operators have taken out, listed or not
         self._heard: set[int] = set()
@@ -119,7 +128,7 @@
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
     ) -> None:
@@ -132,7 +141,7 @@
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[NoteKind, int] | None,
+        told: tuple[MeasurementKind, int] | None,
         localities: list[str],
         kinds: list[str],
     ) -> dict[str, Any]:
@@ -230,7 +239,7 @@
             now,
         )
         self._standing += 1
-        self._balancer.connection_carried(now, self._login(ticket, opening), server)
+        self._balancer.connection_resumed(now, self._login(ticket, opening), server)
         return ticket
 
     def report_end(
@@ -265,7 +274,7 @@
             assert ticket.place is not None
             kind, unit = self._told
             self._counters[f"notes of {kind.name.lower()}"] += 1
-            self._balancer.hand_off_noted(
+            self._balancer.measurement_received(
                 self._scheduler.now(),
                 ticket.number,
                 ticket.hand_offs - 1,
@@ -279,10 +288,10 @@
         assert ticket.place is not None
         self._counters["lines unanswered"] += 1
         now, server = self._scheduler.now(), ticket.place.server
-        self._balancer.hand_off_noted(
-            now, ticket.number, ticket.hand_offs - 1, server, NoteKind.DELAY, float(span)
+        self._balancer.measurement_received(
+            now, ticket.number, ticket.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
         )
-        self._balancer.hand_off_silent(now, server)
+        self._balancer.message_unanswered(now, server)
 
     def server_named(self, name: str) -> Place | None:
         server = self._server_id(name)
@@ -291,11 +300,11 @@
 
     # What a front calls whose clients are placed by others
 
-    def chances(self, workload: str, span: int) -> dict[str, float]:
+    def draw_probabilities(self, workload: str, span: int) -> dict[str, float]:
         """By server's name, the chance for all logins that others place in the span; the rest to 1 is refused."""
         now = self._scheduler.now()
         self._settled_at = now if self._settled_at is None else self._settled_at
-        found = self._balancer.chances(now, self._workloads[workload], span)
+        found = self._balancer.draw_probabilities(now, self._workloads[workload], span)
         return {
             self._names[server]: chance for server, chance in found.items() if server in self._names
         }
@@ -327,43 +336,43 @@
 
     # What operators' calls do
 
-    def take_out(self, name: str) -> bool:
+    def take_out_of_service(self, name: str) -> bool:
         """The server drains from now on, until it is put back; whether there is such a server."""
         server = self._server_id(name)
-        if server not in self._listed and server not in self._out:
+        if server not in self._listed and server not in self._out_of_service:
             return False
-        self.word_of(name, True)
+        self.apply_operator_override(name, True)
         return True
 
-    def put_back(self, name: str) -> bool:
+    def restore_to_service(self, name: str) -> bool:
         """The server may serve again where it is listed; whether there is such a server."""
         server = self._server_id(name)
-        if self._out.pop(server, None) is not None:
-            self._balancer.server_back(self._scheduler.now(), server)
+        if self._out_of_service.pop(server, None) is not None:
+            self._balancer.restore_to_service(self._scheduler.now(), server)
             return True
         return server in self._listed
 
-    def word_of(self, name: str, out: bool) -> None:
+    def apply_operator_override(self, name: str, out: bool) -> None:
         """Another process of this balancer has been told: the same holds here, listed or not."""
         if not out:
-            self.put_back(name)
-        elif self._server_id(name) not in self._out:
+            self.restore_to_service(name)
+        elif self._server_id(name) not in self._out_of_service:
             server = self._server_id(name)
-            self._out[server] = name
+            self._out_of_service[server] = name
             self._log(f"server {name:.80} is out by operators' word")
-            self._balancer.server_out(self._scheduler.now(), server)
+            self._balancer.take_out_of_service(self._scheduler.now(), server)
 
     def sizes(self) -> dict[str, float]:
         """By server's name, how many connections fill it, where that is known."""
         return {
             self._names[number]: size
-            for number, size, *_ in self.learned()["servers"]
+            for number, size, *_ in self.export_learned_state()["servers"]
             if size is not None and number in self._names
         }
 
     def hint(self, sizes: dict[str, float]) -> None:
         """What servers could do before this process: taken until one shows what it can."""
-        self.follow(
+        self.import_learned_state(
             {
                 "servers": [
                     [self._server_id(name), size, 0, 0.0, 0, 0, 0] for name, size in sizes.items()
@@ -373,13 +382,13 @@
                 "rate": [0.0, self._scheduler.now()],
             }
         )
-        self.alone()
+        self.other_processes_ended()
 
     def ages(self) -> dict[str, int]:
         """By server's name, when it started as the decisions know it; 0: long past."""
         return {
             self._names[number]: int(started_at)
-            for number, _, started_at, *_ in self.learned()["servers"]
+            for number, _, started_at, *_ in self.export_learned_state()["servers"]
             if number in self._names
         }
 
@@ -389,41 +398,41 @@
     def knows(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
         server = self._server_id(name)
-        return server in self._listed or server in self._out
+        return server in self._listed or server in self._out_of_service
 
     def server_name(self, server: int) -> str:
         return self._names.get(server, "")
 
     def ready_servers(self) -> list[int]:
-        return sorted(self._ready - self._out.keys())
+        return sorted(self._ready - self._out_of_service.keys())
 
-    def known_and_avoided(self) -> tuple[int, int]:
-        return self._balancer.known_and_avoided(self._scheduler.now())
+    def known_and_excluded_servers(self) -> tuple[int, int]:
+        return self._balancer.known_and_excluded_servers(self._scheduler.now())
 
     def takes_new(self, server: int) -> bool:
         """Whether it has not begun to drain, by the list's word or operators'."""
-        return server in self._ready and server not in self._out
+        return server in self._ready and server not in self._out_of_service
 
     # What goes over to another process of this balancer
 
-    def learned(self) -> dict[str, Any]:
-        return self._balancer.learned(self._scheduler.now())
+    def export_learned_state(self) -> dict[str, Any]:
+        return self._balancer.export_learned_state(self._scheduler.now())
 
-    def follow(self, learned: dict[str, Any]) -> None:
+    def import_learned_state(self, learned: dict[str, Any]) -> None:
         """Takes over what an earlier process has learned; what can't be read of it is left."""
         try:
-            self._balancer.follow(self._scheduler.now(), learned)
+            self._balancer.import_learned_state(self._scheduler.now(), learned)
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
             self._log(f"what an earlier process has learned can't be read: {problem!r:.100}")
 
-    def ended_elsewhere(self, server: int, load: float) -> None:
-        self._balancer.ended_elsewhere(self._scheduler.now(), server, load)
+    def connection_ended_elsewhere(self, server: int, load: float) -> None:
+        self._balancer.connection_ended_elsewhere(self._scheduler.now(), server, load)
 
-    def alone(self) -> None:
-        self._balancer.alone()
+    def other_processes_ended(self) -> None:
+        self._balancer.other_processes_ended()
 
-    def stand_by(self, wanted: bool) -> None:
-        self._balancer.stand_by(wanted)
+    def set_standby(self, wanted: bool) -> None:
+        self._balancer.set_standby(wanted)
 
     # What upkeep calls
 
@@ -434,7 +443,7 @@
             server = self._server_id(entry.name)
             self._names[server], self._addresses[server] = entry.name, entry.address
             lines.append(
-                Listed(
+                ListedServer(
                     server,
                     self._zones.get(entry.zone, UNLISTED),
                     self._kinds.get(entry.kind, UNLISTED),
@@ -457,7 +466,7 @@
             ticket.place.server for ticket in self._tickets.values() if ticket.place is not None
         }
         for server in (
-            gone - used - self._out.keys()
+            gone - used - self._out_of_service.keys()
         ):  # Guards against growth with every server that ever was.
             for held in (self._names, self._addresses):
                 held.pop(server, None)
@@ -498,7 +507,7 @@
 
     def all_heard(self) -> bool:
         """Whether a probe of every ready server has come to an end."""
-        return bool(self._ready) and self._ready - self._out.keys() <= self._heard
+        return bool(self._ready) and self._ready - self._out_of_service.keys() <= self._heard
 
     def tick(self) -> int | None:
         """Runs what is due; returns when the next is."""
@@ -566,7 +575,7 @@
     def fetch_list(self) -> None:
         """See `watch_list`."""
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         """Balancers have no way to speak to each other here."""
 
     def log(self, text: str) -> None:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -7,9 +7,9 @@
 
 from corklift.interface import (
     Effect,
-    Listed,
+    ListedServer,
     Login,
-    NoteKind,
+    MeasurementKind,
     Outcome,
     Reach,
     Report,
@@ -169,7 +169,7 @@
 def test_a_group_goes_to_its_holder_while_that_has_room():
     scene = ready(5, 5, 5, grouped=True)
     for number, group in enumerate((77, 78, 79, 80), 900):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(number, 0, 0, 0, 0, None, group), 3 - number % 3
         )
     assert {scene.login(n, group=77) for n in range(1, 10)} == {3}
@@ -266,7 +266,7 @@
     # Guards against filling a server whose reports look fine while its messages already lag.
     scene = ready(0, 9, workloads=[Workload("w", 1.0, 800 * MS, 3200 * MS, message_limit=100 * MS)])
     scene.login(1)
-    scene.balancer.hand_off_noted(scene.now, 1, 0, 1, NoteKind.DELAY, 150 * MS)
+    scene.balancer.measurement_received(scene.now, 1, 0, 1, MeasurementKind.DELAY, 150 * MS)
     assert {scene.login(n) for n in range(2, 20)} == {2}
     scene.run(2000)
     assert 1 in {scene.login(n) for n in range(20, 50)}
@@ -312,7 +312,7 @@
     scene = Scene(balancers=balancers, probe_price=price)
     scene.listed(*range(1, 13))
     for number in range(900, 940):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(number, 0, 0, 0, 0, None, 0), 1 + number % 12
         )
     scene.auto = {server: Report(5, 0.4) for server in range(1, 13)}
@@ -445,7 +445,7 @@
     scene.run(3000)
     if own:
         for number in range(100, 120):
-            scene.balancer.connection_carried(scene.now, Login(number, 0, 0, 0, 0, None, 0), 1)
+            scene.balancer.connection_resumed(scene.now, Login(number, 0, 0, 0, 0, None, 0), 1)
             scene.balancer.hand_off_ended(scene.now, number, True, 1, Outcome.BROKEN, 0, 0, None)
     scene.lines.clear()
     for number in range(1, 31):
@@ -471,7 +471,7 @@
     # learn its size from: own placements were not counted there.
     scene = Scene()
     scene.balancer.servers_listed(
-        scene.now, Scope.FULL, 1, [Listed(n, 0, n, 0, Status.READY, 1.0, 0) for n in (1, 2)]
+        scene.now, Scope.FULL, 1, [ListedServer(n, 0, n, 0, Status.READY, 1.0, 0) for n in (1, 2)]
     )
     scene.auto = {1: Report(2, 0.1), 2: Report(24, 0.6)}
     scene.run(2500)
@@ -507,12 +507,12 @@
         scene.listed(1, 2, 3, 4)
         scene.auto = {server: Report(10, pressure) for server in (1, 2, 3, 4)}
         for server in (1, 2, 3, 4):
-            scene.balancer.connection_carried(scene.now, Login(server, 0, 0, 0, 0, None, 0), server)
+            scene.balancer.connection_resumed(scene.now, Login(server, 0, 0, 0, 0, None, 0), server)
         scene.run(3000)
         for second in range(4):
             for server in late if troubled else ():
-                scene.balancer.hand_off_noted(
-                    scene.now, server, 0, server, NoteKind.DELAY, 400 * MS
+                scene.balancer.measurement_received(
+                    scene.now, server, 0, server, MeasurementKind.DELAY, 400 * MS
                 )
             if second == 0:
                 assert not [
@@ -530,12 +530,12 @@
     scene.listed(1, 2)
     scene.auto = {server: Report(10, 0.4) for server in (1, 2)}
     for login in range(1, 7):
-        scene.balancer.connection_carried(
+        scene.balancer.connection_resumed(
             scene.now, Login(login, 0, 0, 0, 0, None, 0), 1 + login % 2
         )
     scene.run(3000)
     for _ in range(25):
-        scene.balancer.hand_off_noted(scene.now, 1, 0, 2, NoteKind.DELAY, 300 * MS)
-        scene.balancer.hand_off_silent(scene.now, 2)
+        scene.balancer.measurement_received(scene.now, 1, 0, 2, MeasurementKind.DELAY, 300 * MS)
+        scene.balancer.message_unanswered(scene.now, 2)
         scene.run(200)
     assert not [line for line in scene.lines if " move " in line]
