--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -14,7 +14,7 @@
 
 from benchmarks.report import arguments, tell
 from corklift.rig.disks import Memory
-from corklift.store.form import BATCH, HEAD, WHOLE, Batch, Frame, Refused, frame_at, load
+from corklift.store.format import BATCH, HEAD, WHOLE, Batch, Frame, Refused, frame_at, load
 from corklift.store.log import Store
 
 State = dict[bytes, bytes]
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -117,7 +117,7 @@
 
 def _loaded(path: str) -> Any:
     from corklift.store.files import Disk
-    from corklift.store.form import Refused, load
+    from corklift.store.format import Refused, load
 
     try:
         disk = Disk(path, make=False)
@@ -192,9 +192,9 @@
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.facts import ENDED, Fact, encoded
     from corklift.recovery.part import boot_of
-    from corklift.store.form import Refused
-    from corklift.store.keeper import Folders
+    from corklift.store.format import Refused
     from corklift.store.log import InUse, NotKept, Store
+    from corklift.store.worker import Folders
 
     try:
         made = Store(Folders(path).newest())
@@ -215,7 +215,7 @@
 @click.option("--to", required=True, type=click.Path(file_okay=False))
 def store_salvage(folder: str, to: str) -> None:
     from corklift.store.files import Disk
-    from corklift.store.form import salvage
+    from corklift.store.format import salvage
 
     disk = Disk(folder, make=False)
     found = salvage(disk.names(), disk.read)
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -16,7 +16,7 @@
 from corklift.interface import ColdRule, Workload
 from corklift.net.limits import Limits
 from corklift.rpc.core import MS, SECOND, RpcLimits
-from corklift.typed import Table, fault
+from corklift.toml_tables import Table, fault
 
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
--- a/corklift/control/kept.py
+++ b/corklift/control/kept.py
@@ -18,8 +18,8 @@
 from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
-from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
+from corklift.store.worker import Folders, Keeper
 
 WAIT = 100 * MS  # for the disk, before a view follows the list all the same
 
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -12,7 +12,7 @@
 
 from corklift.interface import ColdRule, Effect, Reach, Workload
 from corklift.lab.clock import MS
-from corklift.typed import Table, fault
+from corklift.toml_tables import Table, fault
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 Whole = Annotated[int, Meta(ge=0, le=1_000_000_000)]
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -23,8 +23,8 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
+from corklift.store.worker import Folders, Keeper
 
 if TYPE_CHECKING:
     from corklift.service import Process
--- a/corklift/rig/power_days.py
+++ b/corklift/rig/power_days.py
@@ -15,7 +15,7 @@
 from corklift.rig.checker import Break, judge
 from corklift.rig.fleet import Rig, Shape
 from corklift.store.files import Disk
-from corklift.store.form import Refused, load, salvage
+from corklift.store.format import Refused, load, salvage
 
 Way = Literal["serve", "today", "knows"]
 MOST_BAD = 2  # disks at a time, of five or more: a yes means three, and one that comes back asks as many as are bad at the most
--- a/corklift/rig/scenario.py
+++ b/corklift/rig/scenario.py
@@ -17,7 +17,7 @@
 from corklift.net.limits import MS, SECOND
 from corklift.rig.fleet import Event, Rig, Shape
 from corklift.rig.links import SOUND, Fault
-from corklift.typed import Table, fault
+from corklift.toml_tables import Table, fault
 
 AGREE = 60.0  # seconds in which all that live must come to hold the same; wide: what counts is that they do
 Kind = Literal[
--- a/corklift/rig/store_days.py
+++ b/corklift/rig/store_days.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from corklift.rig.disks import Faults, Memory, PowerLost
-from corklift.store.form import Batch, Refused
+from corklift.store.format import Batch, Refused
 from corklift.store.log import NotKept, Store
 
 FAILING = Faults(append=0.03, sync=0.03, create=0.02, remove=0.05, folder=0.02)
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -22,7 +22,7 @@
 from corklift.membership.peers import Peers, split
 from corklift.net.limits import MS, BadConfig, Counters, Limits, Printer, allow_sockets
 from corklift.service import Part, Process, carry_on
-from corklift.typed import Table, fault
+from corklift.toml_tables import Table, fault
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
--- a/corklift/store/log.py
+++ b/corklift/store/log.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from corklift.store.files import Files
-from corklift.store.form import (
+from corklift.store.format import (
     BATCH,
     HEAD,
     MARK,
--- a/corklift/store/keeper.py
+++ b/corklift/store/worker.py
@@ -17,7 +17,7 @@
 from corklift.net.scheduler import READ, Scheduler
 from corklift.store import files
 from corklift.store.files import Files
-from corklift.store.form import Batch, Refused, salvage
+from corklift.store.format import Batch, Refused, salvage
 from corklift.store.log import InUse, Notes, NotKept, Store
 
 Opened = Callable[[Notes | None, list[tuple[bytes, bytes]], str, str], None]
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,11 +11,12 @@
 from corklift.net.scheduler import Scheduler, wall_clock
 from corklift.rig.disks import PLAN, SECTOR, Faults, Memory, Played, cut_power
 from corklift.rig.store_days import KINDS, play
-from corklift.store import form, log
+from corklift.store import format as store_format
+from corklift.store import log
 from corklift.store.files import Disk
-from corklift.store.form import BATCH, HEAD, WHOLE, Refused, load, salvage
-from corklift.store.keeper import Folders, Keeper
+from corklift.store.format import BATCH, HEAD, WHOLE, Refused, load, salvage
 from corklift.store.log import InUse, NotKept, Store
+from corklift.store.worker import Folders, Keeper
 
 
 def filled(disk, number=5):
@@ -121,26 +122,26 @@
 
     newer = bytearray(content)
     newer[8] = 2
-    newer[HEAD.size - 4 : HEAD.size] = form.crc32c(bytes(newer[: HEAD.size - 4])).to_bytes(
+    newer[HEAD.size - 4 : HEAD.size] = store_format.crc32c(bytes(newer[: HEAD.size - 4])).to_bytes(
         4, "little"
     )
     assert "is of form 2" in refusal({name: bytes(newer)})
     assert "no segment of a store" in refusal({name: b"x" * 600})
-    assert "says that it is" in refusal({form.name_of(9): content})
+    assert "says that it is" in refusal({store_format.name_of(9): content})
     other = Memory(Random(5))
     Store(other, b"o" * 16)
     assert "another store" in refusal(
-        {name: other.read(other.names()[0]), form.name_of(2): _numbered(content, 2)}
+        {name: other.read(other.names()[0]), store_format.name_of(2): _numbered(content, 2)}
     )
     assert load([], {}.get).segment == 0  # an empty folder is a new store: only peers can tell
 
 
 def _numbered(content, number):
-    given = form.read_head(form.name_of(1), content)
-    frames, mark = form.frame(
-        WHOLE, 0, 0, int.from_bytes(form.head(given._replace(number=number))[-4:], "little")
+    given = store_format.read_head(store_format.name_of(1), content)
+    frames, mark = store_format.frame(
+        WHOLE, 0, 0, int.from_bytes(store_format.head(given._replace(number=number))[-4:], "little")
     )
-    return form.head(given._replace(number=number)) + frames
+    return store_format.head(given._replace(number=number)) + frames
 
 
 def test_one_process_at_a_time_and_what_another_left_is_written_anew(tmp_path):
@@ -153,7 +154,7 @@
     again = Store(Disk(str(tmp_path / "store")))
     assert again.sequence == 5 and again.get(b"a") == b"4" and not again.notes.fresh
     assert [name for name in os.listdir(tmp_path / "store") if name.endswith(".seg")] == [
-        form.name_of(2)
+        store_format.name_of(2)
     ]
 
 
@@ -163,7 +164,7 @@
     store = filled(disk)
     store.end()
     disk.end()
-    file = path / form.name_of(1)
+    file = path / store_format.name_of(1)
     run = CliRunner().invoke
     assert run(cli, ["store", "check", str(path)]).exit_code == 0
     assert "k4" in run(cli, ["store", "dump", str(path)]).output
@@ -245,7 +246,7 @@
 
 
 def _unchecked(monkeypatch):
-    monkeypatch.setattr(form, "crc32c", lambda content: 7)
+    monkeypatch.setattr(store_format, "crc32c", lambda content: 7)
 
 
 def _folder_not_synced(monkeypatch):
@@ -253,7 +254,7 @@
 
 
 def _tail_accepted(monkeypatch):
-    monkeypatch.setattr(form, "_known_synced", lambda content, since: 0)
+    monkeypatch.setattr(store_format, "_known_synced", lambda content, since: 0)
 
 
 def _sync_tried_again(monkeypatch):
@@ -273,7 +274,7 @@
 
     def finish(self, writing, sequence, batches):
         for name in self._files.names():
-            if name < form.name_of(writing.number):
+            if name < store_format.name_of(writing.number):
                 self._remove(name)
         self._files.sync_folder()
         plain(self, writing, sequence, batches)
@@ -322,7 +323,7 @@
     frame = next(
         at
         for at in range(HEAD.size, len(content))
-        if getattr(form.frame_at(content, at), "kind", 0) == BATCH
+        if getattr(store_format.frame_at(content, at), "kind", 0) == BATCH
     )
     for at in range(frame, len(content) - 36, 997):
         assert load([name], lambda _, at=at: content[:at]).state == {}
@@ -335,7 +336,7 @@
     disk = Disk(str(tmp_path / "store-1"))
     filled(disk).end()
     disk.end()
-    file = tmp_path / "store-1" / form.name_of(1)
+    file = tmp_path / "store-1" / store_format.name_of(1)
     content = bytearray(file.read_bytes())
     content[200] ^= 1
     file.write_bytes(content)
