--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -19,8 +19,8 @@
 from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
-from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
+from corklift.store.worker import Folders, Keeper
 
 WRITE_TIMEOUT = 100 * MS  # then a snapshot follows the list although it is not on disk
 
@@ -53,7 +53,7 @@
             expected=1,
             alone=True,
         )
-        self._keeper = Keeper(scheduler, Folders(path), self._opened)
+        self._store_worker = Keeper(scheduler, Folders(path), self._opened)
         self._full_list: Listing | None = None  # as last received from discovery, deltas applied
         self._waiting_tasks: list[Task] = []
         self._open_deadline = 0
@@ -62,8 +62,8 @@
 
     def jobs(self) -> list[Callable[[], None]]:
         self._open_deadline = self._scheduler.now() + self._open_timeout
-        self._keeper.start()
-        return [self._keeper.keep_hearing, self._limit_opening]
+        self._store_worker.start()
+        return [self._store_worker.keep_hearing, self._limit_opening]
 
     def _limit_opening(self) -> None:
         self._scheduler.sleep(self._open_timeout)
@@ -175,8 +175,8 @@
 
     def close(self) -> None:
         self._core.stopping(self._scheduler.now())
-        self._keeper.settle(self._open_timeout)
-        self._keeper.stop()
+        self._store_worker.settle(self._open_timeout)
+        self._store_worker.stop()
 
     # Host of the recovery: there are no peers, and operators act on discovery alone
 
@@ -187,10 +187,12 @@
             self._pending_writes -= 1
             self._core.kept(self._scheduler.now(), number, sequence, why)
 
-        self._keeper.keep(dict(map(encoded, facts)), kept)
+        self._store_worker.keep(dict(map(encoded, facts)), kept)
 
     def forget(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
+        self._store_worker.keep(
+            {encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None
+        )
 
     def log(self, what: str, **fields: Any) -> None:
         self._write_event("store", kind=what, **fields)
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -237,7 +237,9 @@
         changed = []
         for workload in self.config.workloads:
             if self.weights.may_publish(now, workload.name):
-                probabilities = self.facade.chances(workload.name, self.config.weight_interval)
+                probabilities = self.facade.draw_probabilities(
+                    workload.name, self.config.weight_interval
+                )
                 if self.config.table.weights.log:
                     self.event_log.write(
                         "weighed",
@@ -300,7 +302,7 @@
     # Reload, start and shutdown
 
     def reload(self) -> None:
-        """Applies a changed file; streams, list and counters stay. An invalid file changes nothing."""
+        """Applies a changed file, keeping streams, list and counters; ignores an invalid file."""
         try:
             new = load_config(self._path or "")
         except ControlConfigError as error:
@@ -331,7 +333,7 @@
                     self.weights.publish(
                         now,
                         workload.name,
-                        self.facade.chances(workload.name, new.weight_interval),
+                        self.facade.draw_probabilities(workload.name, new.weight_interval),
                         ready,
                     )
             self.subscriptions.update_snapshot(now, self._build_snapshot())
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -18,7 +18,7 @@
 from corklift.interface import (
     ColdRule,
     Effect,
-    Listed,
+    ListedServer,
     Login,
     Outcome,
     Report,
@@ -126,7 +126,7 @@
     def fetch_list(self) -> None:
         pass
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         pass
 
     def log(self, text: str) -> None:
@@ -198,7 +198,7 @@
                 self.rules.told_ready(seat.number, server)
             else:
                 self.rules.told_leaving(self.now, seat.number, server)
-            lines.append(Listed(server, 0, 0, server % 2, status, 1.0, self.started[server]))
+            lines.append(ListedServer(server, 0, 0, server % 2, status, 1.0, self.started[server]))
         seat.policy.servers_listed(self.now, scope, 1, tuple(lines))
 
     def enabled(self) -> list[str]:
