--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -11,7 +11,7 @@
 
 from corklift.interface import NoteKind
 from corklift.net.limits import BadConfig, Limits, allow_sockets, need
-from corklift.net.parsers import Listing, Malformed, listing
+from corklift.net.parsers import Listing, Malformed, parse_listing
 from corklift.settings import BadSettings, report_names, told_figure, translate
 
 
@@ -83,7 +83,7 @@
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
             raise BadConfig(f"config: settings: {problem!r:.60}") from None
         try:
-            known = listing(need(config, "known", dict))
+            known = parse_listing(need(config, "known", dict))
         except Malformed as problem:
             raise BadConfig(f"config: known: {problem}") from None
         allow = need(settings, "permissions", dict, "settings.")
--- a/corklift/control/kept.py
+++ b/corklift/control/kept.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from corklift.interface import Scope, Status
-from corklift.net.parsers import Entry, Listing
+from corklift.net.parsers import Listing, ServerEntry
 from corklift.net.scheduler import Scheduler, Task
 from corklift.recovery.core import Quiet, Recovery, Terms
 from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
@@ -82,7 +82,7 @@
         kept = self._core.facts.get(LIST)
         if self._known is None and kept is not None:
             entries = tuple(
-                Entry(
+                ServerEntry(
                     line.name,
                     (line.host, line.port),
                     line.zone,
@@ -116,7 +116,7 @@
         believed = self._believed(now, content, True)
         known = (
             {}
-            if content.whole or self._known is None
+            if content.is_full or self._known is None
             else {entry.name: entry for entry in self._known.entries}
         )
         known |= {entry.name: entry for entry in content.entries}
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -178,7 +178,7 @@
             for entry in content.entries
             if entry.name in self._places and self._places[entry.name].address != entry.address
         }
-        if content.whole:
+        if content.is_full:
             gone |= self._states.keys() - named
         for entry in content.entries:
             self._states[entry.name] = entry.status
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -13,7 +13,13 @@
 
 from corklift.net.blocking import Gone, Late, door, see_off
 from corklift.net.limits import Counters, Limits
-from corklift.net.parsers import GO_ON, HttpCall, Malformed, TooLong, http_answer
+from corklift.net.parsers import (
+    CONTINUE_RESPONSE,
+    HttpRequest,
+    Malformed,
+    MessageTooLongError,
+    format_http_response,
+)
 from corklift.net.scheduler import READ, WRITE, Scheduler, Task
 from corklift.net.stream import Stream
 
@@ -45,7 +51,7 @@
 
     def __init__(self, balance: Balance) -> None:
         self._balance = balance
-        self._calls: dict[str, tuple[str, Callable[[HttpCall], Answer]]] = {
+        self._calls: dict[str, tuple[str, Callable[[HttpRequest], Answer]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", lambda call: Answer(200, balance.figures())),
             "/admin/cordon": ("POST", lambda call: self._member(call, balance.take_out, "out")),
@@ -59,7 +65,7 @@
         """The one that a path is called by; empty where there is no such path."""
         return self._calls[path][0] if path in self._calls else ""
 
-    def answer(self, call: HttpCall) -> Answer:
+    def answer(self, call: HttpRequest) -> Answer:
         method = self.method(call.path)
         if not method:
             return Answer(404, f"There is no {call.path:.80} here.\n")
@@ -67,15 +73,15 @@
             return Answer(405, f"{call.path} is called by {method}.\n")
         return self._calls[call.path][1](call)
 
-    def _health(self, call: HttpCall) -> Answer:
+    def _health(self, call: HttpRequest) -> Answer:
         return (
             Answer(200, "It serves.\n")
             if self._balance.serves()
             else Answer(503, "It does not serve.\n")
         )
 
-    def _member(self, call: HttpCall, act: Callable[[str], bool], what: str) -> Answer:
-        name = call.table().get("member")
+    def _member(self, call: HttpRequest, act: Callable[[str], bool], what: str) -> Answer:
+        name = call.json_object().get("member")
         if not isinstance(name, str) or not name:
             raise Malformed("member is no name of a server")
         try:
@@ -191,27 +197,27 @@
             call = self._call(stream)
             status, text = self._desk.answer(call)
             more = f"Allow: {self._desk.method(call.path)}\r\n" if status == 405 else ""
-        except TooLong as problem:
+        except MessageTooLongError as problem:
             status, text, more = 413, f"The call is too long: {problem}.\n", ""
         except Malformed as problem:
             status, text, more = 400, f"The call can't be read: {problem}.\n", ""
         except Late:
             status, text, more = 408, "No whole call has come.\n", ""
         self._counters["operators' calls" if status == 200 else "operators' calls turned down"] += 1
-        return http_answer(status, text, more)
+        return format_http_response(status, text, more)
 
-    def _call(self, stream: Stream) -> HttpCall:
+    def _call(self, stream: Stream) -> HttpRequest:
         until = self._scheduler.now() + self._limits.call_time
-        call, urged = HttpCall(self._limits.call), False
+        call, urged = HttpRequest(self._limits.call), False
         while True:
             stream.receive()
             if len(stream.inbox):
                 call.feed(stream.inbox.take(len(stream.inbox)))
             if call.done:
                 return call
-            if call.head_done and call.hesitates and not urged:
+            if call.header_done and call.expects_continue and not urged:
                 urged = True
-                stream.write(GO_ON)
+                stream.write(CONTINUE_RESPONSE)
             if stream.broken or stream.ended:
                 raise Gone
             if self._scheduler.now() >= until:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -16,7 +16,7 @@
 
 from corklift.interface import Listed, Login, NoteKind, Outcome, Report, Scope, Status, Workload
 from corklift.net.limits import Counters
-from corklift.net.parsers import Listing, Opening, stable_id
+from corklift.net.parsers import Listing, LoginRequest, stable_id
 from corklift.net.scheduler import Scheduler, Task
 from corklift.policy import Balancer
 
@@ -107,7 +107,9 @@
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.door: Callable[[Opening, int], Refusal | None] = lambda opening, number: None
+        self.door: Callable[[LoginRequest, int], Refusal | None] = lambda login_request, number: (
+            None
+        )
         self.went: Callable[[int, bool | None], None] = lambda number, up: None
         self.missed: Callable[[int], None] = lambda server: (
             None
@@ -173,19 +175,21 @@
     def in_flight(self) -> int:
         return len(self._tickets)
 
-    def time_limit(self, opening: Opening) -> int:
-        return self._all_workloads[self._workloads[opening.workload]].time_limit
+    def time_limit(self, login_request: LoginRequest) -> int:
+        return self._all_workloads[self._workloads[login_request.workload]].time_limit
 
-    def pick(self, opening: Opening, time_limit_at: int) -> tuple[Ticket, Place | Refusal]:
+    def pick(
+        self, login_request: LoginRequest, time_limit_at: int
+    ) -> tuple[Ticket, Place | Refusal]:
         """A login has come; blocks until it is decided where it goes."""
         self.before_placing()
-        refused = self.door(opening, self._next_login)
+        refused = self.door(login_request, self._next_login)
         ticket = self._ticket(time_limit_at)
         if refused is not None:
             return ticket, refused
         now = self._scheduler.now()
         self._settled_at = self._settled_at or now + self._settle_time
-        self._balancer.login_arrived(now, self._login(ticket, opening))
+        self._balancer.login_arrived(now, self._login(ticket, login_request))
         return ticket, self._decision(ticket)
 
     def report(
@@ -219,7 +223,7 @@
             now, ticket.number, ticket.hand_offs - 1, ticket.place.server, now - ticket.sent_at
         )
 
-    def report_carried(self, opening: Opening, server: int) -> Ticket:
+    def report_carried(self, login_request: LoginRequest, server: int) -> Ticket:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
@@ -230,7 +234,7 @@
             now,
         )
         self._standing += 1
-        self._balancer.connection_carried(now, self._login(ticket, opening), server)
+        self._balancer.connection_carried(now, self._login(ticket, login_request), server)
         return ticket
 
     def report_end(
@@ -383,8 +387,8 @@
             if number in self._names
         }
 
-    def importance(self, opening: Opening) -> float:
-        return self._all_workloads[self._workloads[opening.workload]].importance
+    def importance(self, login_request: LoginRequest) -> float:
+        return self._all_workloads[self._workloads[login_request.workload]].importance
 
     def knows(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
@@ -446,7 +450,7 @@
             )
         named = {line.server for line in lines}
         gone = {line.server for line in lines if line.status is Status.GONE}
-        if content.whole:
+        if content.is_full:
             gone |= self._names.keys() - named
         self._ready -= gone
         self._listed = self._listed - gone | named - gone
@@ -589,17 +593,17 @@
         self._tickets[ticket.number] = ticket
         return ticket
 
-    def _login(self, ticket: Ticket, opening: Opening) -> Login:
+    def _login(self, ticket: Ticket, login_request: LoginRequest) -> Login:
         return Login(
             ticket.number,
-            self._workloads[opening.workload],
+            self._workloads[login_request.workload],
             0,
-            stable_id(opening.subject),
+            stable_id(login_request.subject),
             ticket.time_limit_at,
-            None if opening.cost is None else round(opening.cost * COST_UNIT),
-            stable_id(opening.group) if opening.group and self._grouped else 0,
+            None if login_request.cost is None else round(login_request.cost * COST_UNIT),
+            stable_id(login_request.group) if login_request.group and self._grouped else 0,
             False,
-            opening.came_back,
+            login_request.came_back,
         )
 
     def _decision(self, ticket: Ticket) -> Place | Refusal:
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -17,7 +17,7 @@
 
 PING, PONG, STATS = b"PING\r\n", b"PONG\r\n", b"STATS\r\n"
 MOVE, FAILED, BUSY, ERR = b"MOVE\r\n", b"FAILED\r\n", b"BUSY\r\n", b"ERR\r\n"
-GO_ON = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 REASONS = {
     200: "OK",
     202: "Accepted",
@@ -41,7 +41,7 @@
     """What came does not follow the form."""
 
 
-class TooLong(Malformed):
+class MessageTooLongError(Malformed):
     """What came is longer than it may be."""
 
 
@@ -60,26 +60,26 @@
     return number or 1
 
 
-class Opening(NamedTuple):
+class LoginRequest(NamedTuple):
     """A client's first line."""
 
     line: bytes
-    name: str  # of this connection, new with each
+    connection_name: str  # of this connection, new with each
     workload: str
-    wait: int | None  # how long the client waits, ns
+    max_wait: int | None  # how long the client waits, ns
     subject: str
     group: str
     came_back: bool
-    stands_at: str  # the server that held it before the start, or nothing
+    previous_server: str  # the server that held it before the start, or nothing
     cost: float | None
 
-    def with_wait(self, wait: int) -> bytes:
+    def with_time_limit(self, wait: int) -> bytes:
         """The line for a server, unchanged but for how long the balancer will wait."""
         left = b"%d" % max(1, wait // 1_000_000)
         return _TIME_LEFT.sub(lambda found: found[1] + left, self.line, count=1)
 
 
-def opening(line: bytes) -> Opening:
+def parse_login_request(line: bytes) -> LoginRequest:
     found = _OPENING.fullmatch(line)
     if found is None:
         raise Malformed("no OPEN line")
@@ -94,7 +94,7 @@
     wait = values.get("d")
     if wait is not None and not (wait.isdecimal() and len(wait) <= 12):
         raise Malformed("absurd time to wait")
-    return Opening(
+    return LoginRequest(
         line,
         found[1].decode("ascii"),
         values["c"],
@@ -117,17 +117,17 @@
     return value
 
 
-def busy(retry_in: int) -> bytes:
+def format_busy(retry_in: int) -> bytes:
     """The answer that trying again is harmless, with the time after which to come, if any."""
     return b"BUSY %d\r\n" % (retry_in // 1_000_000) if retry_in >= 1_000_000 else BUSY
 
 
 class ServerLine(NamedTuple):
-    word: str
-    rest: str
+    keyword: str
+    arguments: str
 
 
-def server_line(line: bytes) -> ServerLine:
+def parse_server_line(line: bytes) -> ServerLine:
     if not line.endswith(b"\r\n"):
         raise Malformed("no CRLF")
     try:
@@ -137,7 +137,7 @@
     return ServerLine(word, rest)
 
 
-def load_report(text: str) -> dict[str, float] | None:
+def parse_load_report(text: str) -> dict[str, float] | None:
     """`inflight=7,util=0.61`; None where no report came."""
     if not text:
         return None
@@ -148,12 +148,12 @@
     return values
 
 
-def figure(text: str) -> float:
+def parse_load_value(text: str) -> float:
     """What `LOAD` tells."""
     return _number(text)
 
 
-class Entry(NamedTuple):
+class ServerEntry(NamedTuple):
     name: str
     address: tuple[str, int]
     zone: str
@@ -166,12 +166,12 @@
 
 class Listing(NamedTuple):
     version: int
-    whole: bool
-    entries: tuple[Entry, ...]
-    spoiled: int  # entries that could not be read
+    is_full: bool
+    entries: tuple[ServerEntry, ...]
+    unreadable_count: int  # entries that could not be read
 
 
-def _entry(item: Any) -> Entry:
+def _entry(item: Any) -> ServerEntry:
     try:
         found = _ADDRESS.fullmatch(item["address"])
         if (
@@ -181,7 +181,7 @@
         ):
             raise Malformed("address")
         started = item.get("since_ms", 0)
-        entry = Entry(
+        entry = ServerEntry(
             item["name"],
             (found[1], int(found[2])),
             str(item.get("zone", "")),
@@ -198,26 +198,26 @@
     return entry
 
 
-def listing(content: Any) -> Listing:
+def parse_listing(content: Any) -> Listing:
     """The list of servers in discovery's form."""
     if not isinstance(content, dict) or not isinstance(content.get("endpoints"), list):
         raise Malformed("no list of servers")
     index, whole = content.get("index"), content.get("snapshot", False)
     if not isinstance(index, int) or isinstance(index, bool) or not isinstance(whole, bool):
         raise Malformed("index or snapshot")
-    entries, spoiled = [], 0
+    entries, unreadable_count = [], 0
     for item in content["endpoints"]:
         try:
             entries.append(_entry(item))
         except Malformed:
-            spoiled += 1
-    if spoiled and whole:
+            unreadable_count += 1
+    if unreadable_count and whole:
         # Guards against taking a server for gone because its entry could not be read.
         raise Malformed("an entry of the whole list")
-    return Listing(index, whole, tuple(entries), spoiled)
+    return Listing(index, whole, tuple(entries), unreadable_count)
 
 
-def http_get(path: str, host: str) -> bytes:
+def format_http_get(path: str, host: str) -> bytes:
     return f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode(
         "ascii"
     )
@@ -234,27 +234,27 @@
         self._left: int | None = None  # of the body, or of the chunk
         self._chunked = self._to_end = False
         self._body = bytearray()
-        self.head_done = self.done = False
+        self.header_done = self.done = False
         self.fields: dict[bytes, bytes] = {}
-        self.keeps = True  # the connection may be used again
+        self.keep_alive = True  # the connection may be used again
 
     def feed(self, content: bytes) -> None:
         self._bytes += content
-        if not self.head_done:
+        if not self.header_done:
             self._read_head()
-        if self.head_done and not self.done:
+        if self.header_done and not self.done:
             if self._chunked:
                 self._read_chunks()
             else:
                 self._read_plain()
         if len(self._body) > self._most:
-            raise TooLong("body too long")
+            raise MessageTooLongError("body too long")
 
-    def ended(self) -> None:
+    def connection_closed(self) -> None:
         """The connection has ended; that ends a message of unstated length, and spoils any other."""
-        self.keeps = False
+        self.keep_alive = False
         if not self.done:
-            if not (self.head_done and self._to_end):
+            if not (self.header_done and self._to_end):
                 raise Malformed("message cut off")
             self.done = True
 
@@ -275,7 +275,7 @@
     def _read_head(self) -> None:
         end = self._bytes.find(b"\r\n\r\n")
         if end > self.HEAD_MOST or (end < 0 and len(self._bytes) > self.HEAD_MOST):
-            raise TooLong("head too long")
+            raise MessageTooLongError("head too long")
         if end < 0:
             return
         first, *lines = bytes(self._bytes[:end]).split(b"\r\n")
@@ -288,10 +288,10 @@
                 raise Malformed("header")
             fields[name.lower()] = value.strip()
         if fields.get(b"connection", b"").lower() == b"close":
-            self.keeps = False
+            self.keep_alive = False
         if self._goes_on():
             return self._read_head()
-        self.head_done = True
+        self.header_done = True
         if fields.get(b"transfer-encoding", b"").lower() == b"chunked":
             self._chunked = True
         elif self._bodiless():
@@ -301,7 +301,7 @@
             if not length.isdigit():
                 raise Malformed("length")
             if len(length) > 12 or int(length) > self._most:
-                raise TooLong("length")
+                raise MessageTooLongError("length")
             self._left = int(length)
         else:
             self._without_length()
@@ -339,7 +339,7 @@
                     raise Malformed("chunk")
                 self._left = int(size, 16)
                 if len(self._body) + self._left > self._most:
-                    raise TooLong("body too long")
+                    raise MessageTooLongError("body too long")
                 if not self._left:
                     self._left = -1  # trailers, up to an empty line
             if self._left < 0:
@@ -360,7 +360,7 @@
             self._left = None
 
 
-class HttpAnswer(HttpMessage):
+class HttpResponse(HttpMessage):
     """An answer to a GET."""
 
     def __init__(self, body_most: int) -> None:
@@ -376,7 +376,7 @@
         found = re.fullmatch(rb"HTTP/1\.([01]) (\d{3})(?: .*)?", line)
         if found is None:
             raise Malformed("no HTTP/1.1")
-        self.status, self.keeps = int(found[2]), found[1] == b"1"
+        self.status, self.keep_alive = int(found[2]), found[1] == b"1"
 
     def _goes_on(self) -> bool:
         return 100 <= self.status < 200
@@ -385,7 +385,7 @@
         return self.status in (204, 304)
 
 
-class HttpCall(HttpMessage):
+class HttpRequest(HttpMessage):
     """A call that comes in."""
 
     def __init__(self, body_most: int) -> None:
@@ -393,11 +393,11 @@
         self.method = self.path = ""
 
     @property
-    def hesitates(self) -> bool:
+    def expects_continue(self) -> bool:
         """Whether the caller sends the body only when told to go on."""
         return self.fields.get(b"expect", b"").lower() == b"100-continue" and not self.done
 
-    def table(self) -> dict[str, Any]:
+    def json_object(self) -> dict[str, Any]:
         content = self._decoded()
         if not isinstance(content, dict):
             raise Malformed("no JSON object")
@@ -416,7 +416,7 @@
         self._left = 0
 
 
-def http_answer(status: int, text: str, more: str = "") -> bytes:
+def format_http_response(status: int, text: str, more: str = "") -> bytes:
     """The one answer on its connection, which then ends."""
     body = text.encode()
     return (
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -22,13 +22,13 @@
     MOVE,
     PING,
     PONG,
+    LoginRequest,
     Malformed,
-    Opening,
-    busy,
-    figure,
-    load_report,
-    opening,
-    server_line,
+    format_busy,
+    parse_load_report,
+    parse_load_value,
+    parse_login_request,
+    parse_server_line,
 )
 from corklift.net.scheduler import BAD, ENDED, READ, WRITE, Scheduler, Task
 from corklift.net.stream import OverLong, Stream
@@ -188,7 +188,7 @@
             self._unwanted.discard(client)
             client.close()
 
-    def _first_line(self, client: Stream) -> Opening | None:
+    def _first_line(self, client: Stream) -> LoginRequest | None:
         until = self._now() + self._limits.first_line_time
         ponged = False
         while True:
@@ -207,7 +207,7 @@
                     {}, self._now()
                 )  # a flood of these must not keep others waiting
             elif line is not None:
-                return opening(line)
+                return parse_login_request(line)
             elif client.ended or client.broken:
                 self._counters["clients gone before a line"] += 1
                 return None
@@ -230,40 +230,43 @@
         client.write(PONG)
         return not client.broken and not len(client.outbox)
 
-    def _admit(self, client: Stream, first: Opening) -> None:
+    def _admit(self, client: Stream, first: LoginRequest) -> None:
         if self._facade.workload(first.workload) is None:
             if first.workload in self._facade.workloads():
                 self._counters.answered(
                     "failed", first.workload
                 )  # one that a new configuration has taken away
             raise Malformed("unknown workload")
-        if first.name in self._held or self._past.get(first.name, 0) > self._now():
+        if (
+            first.connection_name in self._held
+            or self._past.get(first.connection_name, 0) > self._now()
+        ):
             # Guards against a client that takes another's name: servers turn that down, and it would count
             # against them and the one who bears it. Names are new with every connection.
-            if first.name in self._past:
-                self._know(first.name)
+            if first.connection_name in self._past:
+                self._know(first.connection_name)
             raise Malformed("name in use")
-        if first.stands_at:
+        if first.previous_server:
             self._counters["standing connections in"] += 1
         else:
             self._counters["logins in"] += 1
         if len(self._held) + self.held_elsewhere >= self._limits.clients or (
-            self._turning_away and not first.stands_at
+            self._turning_away and not first.previous_server
         ):
             self._counters["logins bounced without room"] += 1
             self._counters.answered("refused", first.workload)
             self._turn_away(client, BUSY)
             return
         self._waiting.pop(client, None)
-        self._held.add(first.name)
+        self._held.add(first.connection_name)
         try:
-            if first.stands_at:
+            if first.previous_server:
                 self._stand(client, first)
             else:
                 self._place(client, first)
         finally:
-            self._held.discard(first.name)
-            self._know(first.name)
+            self._held.discard(first.connection_name)
+            self._know(first.connection_name)
 
     def _know(self, name: str) -> None:
         """Keeps the name of one that has ended in mind, for a while and among so many at the most."""
@@ -274,13 +277,13 @@
             del self._past[oldest]
             oldest = next(iter(self._past))
 
-    def _place(self, client: Stream, first: Opening) -> None:
+    def _place(self, client: Stream, first: LoginRequest) -> None:
         if (
-            first.wait is None
-            or not self._limits.answer_margin < first.wait <= self._limits.longest_wait
+            first.max_wait is None
+            or not self._limits.answer_margin < first.max_wait <= self._limits.longest_wait
         ):
             raise Malformed("absurd time to wait")
-        time_limit = min(first.wait, self._facade.time_limit(first))
+        time_limit = min(first.max_wait, self._facade.time_limit(first))
         ticket, decided = self._facade.pick(
             first, self._now() + time_limit - self._limits.answer_margin
         )
@@ -298,7 +301,7 @@
                 self._counters[f"hand-offs {tried.outcome.value}"] += 1
                 decided = self._facade.report(ticket, tried.outcome, tried.values)
             if decided.harmless:
-                answer, word = busy(decided.retry_in), "refused"
+                answer, word = format_busy(decided.retry_in), "refused"
             self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
         except ClientGone:
             word = ""
@@ -313,15 +316,15 @@
             if answer:
                 self._finish(client, answer)
 
-    def _stand(self, client: Stream, first: Opening) -> None:
+    def _stand(self, client: Stream, first: LoginRequest) -> None:
         """Brings up a connection that stood at a server before the start: there and nowhere else."""
         until = self._now() + min(
-            self._limits.standing_time, first.wait or self._limits.standing_time
+            self._limits.standing_time, first.max_wait or self._limits.standing_time
         )
         self._standing, counted = self._standing + 1, True
         try:
             while self._now() < until:
-                place = self._facade.server_named(first.stands_at)
+                place = self._facade.server_named(first.previous_server)
                 if place is not None:
                     tried = self._hand_off(client, place._replace(cut_at=until), first)
                     if tried.server is not None:
@@ -343,7 +346,7 @@
 
     # One hand-off
 
-    def _hand_off(self, client: Stream, place: Place, first: Opening) -> Tried:
+    def _hand_off(self, client: Stream, place: Place, first: LoginRequest) -> Tried:
         try:
             server = Stream.connect(place.address, self._limits)
         except OSError:
@@ -359,7 +362,7 @@
             if not up:
                 server.close()
 
-    def _try(self, client: Stream, server: Stream, place: Place, first: Opening) -> Tried:
+    def _try(self, client: Stream, server: Stream, place: Place, first: LoginRequest) -> Tried:
         def without(outcome: Outcome, values: dict[str, float] | None = None) -> Tried:
             return Tried(None, b"", outcome, values)
 
@@ -370,10 +373,10 @@
                 return without(Outcome.NOT_CONNECTED)
         if server.failed():
             return without(Outcome.NOT_CONNECTED)
-        if not (first.stands_at or self._facade.takes_new(place.server)):
+        if not (first.previous_server or self._facade.takes_new(place.server)):
             # Guards against a line on its way to a server that has begun to drain while it was connected to.
             return without(Outcome.NOT_SENT)
-        server.write(first.with_wait(place.cut_at - self._now()))
+        server.write(first.with_time_limit(place.cut_at - self._now()))
         while len(server.outbox):
             # The line's last byte has not left, so it has never run.
             if server.broken or self._now() >= place.cut_at:
@@ -386,11 +389,11 @@
             try:
                 line = server.take_line()
                 if line is not None:
-                    word, rest = server_line(line)
+                    word, rest = parse_server_line(line)
                     if word == "UP":
                         return Tried(server, line, Outcome.FULFILLED)
                     if word in BEFORE_UP:
-                        return without(BEFORE_UP[word], load_report(rest))
+                        return without(BEFORE_UP[word], parse_load_report(rest))
                     if word != "LOAD":
                         raise Malformed("unknown word")
             except (Malformed, OverLong) as problem:
@@ -419,7 +422,7 @@
     # One connection
 
     def _connected(
-        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: Opening
+        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: LoginRequest
     ) -> None:
         self._counters["connections up"] += 1
         self._counters.answered("served", first.workload)
@@ -519,7 +522,7 @@
 
     def _take_told(self, ticket: Ticket, line: bytes) -> None:
         try:
-            self._facade.report_told(ticket, figure(server_line(line).rest))
+            self._facade.report_told(ticket, parse_load_value(parse_server_line(line).arguments))
         except Malformed:
             self._counters["bad lines of servers (figure)"] += 1
 
--- a/corklift/net/upkeep.py
+++ b/corklift/net/upkeep.py
@@ -17,12 +17,12 @@
 from corklift.net.limits import Counters, Limits, Printer
 from corklift.net.parsers import (
     STATS,
-    HttpAnswer,
+    HttpResponse,
     Malformed,
-    http_get,
-    listing,
-    load_report,
-    server_line,
+    format_http_get,
+    parse_listing,
+    parse_load_report,
+    parse_server_line,
 )
 from corklift.net.scheduler import READ, Scheduler, Task
 from corklift.net.stream import OverLong, Stream
@@ -177,10 +177,12 @@
             stream.receive()
             line = stream.take_line()
             if line is not None:
-                word, rest = server_line(line)
+                word, rest = parse_server_line(line)
                 if word not in ("PONG", "ERR", "NO"):
                     raise Malformed("unknown word")
-                return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), load_report(rest)
+                return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), parse_load_report(
+                    rest
+                )
             if stream.ended or stream.broken:
                 raise Gone
             if self._scheduler.now() >= until:
@@ -294,8 +296,8 @@
                 self._scheduler, self._limits, self._address, now + self._limits.watch_slack
             )
         stream = self._stream
-        send(self._scheduler, stream, http_get(path, "%s:%d" % self._address), until)
-        answer = HttpAnswer(self._limits.body)
+        send(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
+        answer = HttpResponse(self._limits.body)
         while not answer.done:
             stream.receive()
             if len(stream.inbox):
@@ -303,21 +305,21 @@
                 # Guards against an answer that stops short, with a drain that counts as told: asked anew at once.
                 until = self._scheduler.now() + self._limits.watch_stall
             elif stream.ended and not stream.broken:
-                answer.ended()
+                answer.connection_closed()
             elif stream.broken:
                 raise Gone
             elif self._scheduler.now() >= until:
                 raise Late
             else:
                 self._scheduler.wait({stream.fd: READ}, until)
-        if not answer.keeps:
+        if not answer.keep_alive:
             self._drop()
         if answer.status in (429, 503):
             # Guards against the whole list asked for, by everyone, where it has said no more than to come later.
             raise Overbooked(f"status {answer.status}")
-        content = listing(answer.json())
+        content = parse_listing(answer.json())
         self._counters["discovery answers"] += 1
-        if content.spoiled:
-            self._counters["discovery entries that can't be read"] += content.spoiled
-        self._facade.listed(Scope.FULL if content.whole else Scope.DELTA, content)
+        if content.unreadable_count:
+            self._counters["discovery entries that can't be read"] += content.unreadable_count
+        self._facade.listed(Scope.FULL if content.is_full else Scope.DELTA, content)
         self._index, self.told = content.version, True
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -15,7 +15,7 @@
 from corklift.net.admin import Otherwise
 from corklift.net.facade import Refusal
 from corklift.net.limits import MS, SECOND, Counters
-from corklift.net.parsers import Entry, Listing, Opening
+from corklift.net.parsers import Listing, LoginRequest, ServerEntry
 from corklift.net.scheduler import Task
 from corklift.recovery.core import Outcome, Recovery, Step, Terms
 from corklift.recovery.facts import LIST, SIZES, Fact, Server, Unreadable, decoded, encoded, servers
@@ -261,7 +261,7 @@
                 kept.number[0],
                 True,
                 tuple(
-                    Entry(
+                    ServerEntry(
                         line.name,
                         (line.host, line.port),
                         line.zone,
@@ -363,13 +363,13 @@
     def _remember(self, now: int, content: Listing) -> None:
         known = (
             {}
-            if content.whole or self._listing is None
+            if content.is_full or self._listing is None
             else {entry.name: entry for entry in self._listing.entries}
         )
         known |= {entry.name: entry for entry in content.entries}
         known = {name: entry for name, entry in known.items() if entry.status is not Status.GONE}
         self._listing = Listing(content.version, True, tuple(known.values()), 0)
-        if content.whole or len(known) > 0:
+        if content.is_full or len(known) > 0:
             self.core.listed(
                 now,
                 [
@@ -389,14 +389,14 @@
 
     # Clients
 
-    def _importance_of(self, opening: Opening) -> float:
+    def _importance_of(self, login_request: LoginRequest) -> float:
         facade = self._process.facade
-        return facade.importance(opening) / self._importance if self._importance else 1.0
+        return facade.importance(login_request) / self._importance if self._importance else 1.0
 
-    def _door(self, opening: Opening, number: int) -> Refusal | None:
+    def _door(self, login_request: LoginRequest, number: int) -> Refusal | None:
         if self.core.step is Step.FULL:
             return None
-        wait = self.core.login(self._scheduler.now(), self._importance_of(opening))
+        wait = self.core.login(self._scheduler.now(), self._importance_of(login_request))
         if wait is None:
             if self.core.step is Step.OPEN:
                 self._let_in.add(number)
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -107,11 +107,11 @@
     """Each twentieth login waits past its time limit."""
     arrived, seen = Facade.pick, [0]
 
-    def pick(self: Any, opening: Any, until: int) -> Any:
+    def pick(self: Any, login_request: Any, until: int) -> Any:
         seen[0] += 1
         if seen[0] % 20 == 0:
             self._scheduler.sleep(4_200_000_000)
-        return arrived(self, opening, until)
+        return arrived(self, login_request, until)
 
     Facade.pick = pick  # type: ignore[method-assign]
 
@@ -119,7 +119,7 @@
 def sends_twice() -> None:
     """A once-only login is tried again whatever became of it, and each answer of a server is taken for a failure once."""
     HandOffs._may_have_run = lambda self, held: []  # type: ignore[method-assign]
-    plain, seen = relay.server_line, [0]
+    plain, seen = relay.parse_server_line, [0]
 
     def read(line: bytes) -> Any:
         word, rest = plain(line)
@@ -129,7 +129,7 @@
                 return "ERR", b""  # as if the server had answered so, after it ran
         return word, rest
 
-    relay.server_line = read
+    relay.parse_server_line = read
 
 
 def ignores_drains() -> None:
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -121,7 +121,7 @@
             self.facade,
             given.discovery,
             Random(given.seed ^ 1),
-            given.known.version if given.known.whole and given.known.entries else None,
+            given.known.version if given.known.is_full and given.known.entries else None,
         )
         self.admin = Admin(scheduler, limits, self.counters, Desk(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,7 +7,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import ColdRule, Outcome, Report, Scope, Status, Workload
-from corklift.net.parsers import HttpCall, Malformed, TooLong
+from corklift.net.parsers import HttpRequest, Malformed, MessageTooLongError
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 
@@ -77,24 +77,28 @@
     rng, seen = Random(1), set()
     for content in whole:
         for _ in range(50):
-            call, at = HttpCall(1000), 0
+            call, at = HttpRequest(1000), 0
             while not call.done:
                 step = rng.randrange(1, 9)
                 call.feed(content[at : at + step])
                 at += step
             seen.add(
-                (call.method, call.path, json.dumps(call.table()) if call.method == "POST" else "")
+                (
+                    call.method,
+                    call.path,
+                    json.dumps(call.json_object()) if call.method == "POST" else "",
+                )
             )
     assert seen == {("POST", "/admin/cordon", '{"member": "s1"}'), ("GET", "/admin/stats", "")}
     for bad, kind in (
         (b"GET / HTTP/2\r\n\r\n", Malformed),
         (b"OPEN 1 2 c=x\r\n\r\n", Malformed),
         (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Malformed),
-        (b"x" * 20000, TooLong),
-        (b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", TooLong),
+        (b"x" * 20000, MessageTooLongError),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", MessageTooLongError),
     ):
         with pytest.raises(kind):
-            HttpCall(1000).feed(bad)
+            HttpRequest(1000).feed(bad)
 
 
 def test_each_call_has_its_answer_and_one_that_is_wrong_changes_nothing():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,12 +14,12 @@
 from corklift.interface import Login, NoteKind, Outcome, Report, Scope
 from corklift.net.limits import BadConfig, Counters, Limits, Printer
 from corklift.net.parsers import (
-    HttpAnswer,
+    HttpResponse,
     Malformed,
-    busy,
-    listing,
-    load_report,
-    opening,
+    format_busy,
+    parse_listing,
+    parse_load_report,
+    parse_login_request,
     stable_id,
 )
 from corklift.net.scheduler import Scheduler
@@ -560,16 +560,16 @@
     rng = Random(1)
     for whole in answers:
         for _ in range(50):
-            answer, at = HttpAnswer(1000), 0
+            answer, at = HttpResponse(1000), 0
             while not answer.done:
                 step = rng.randrange(1, 9)
                 answer.feed(whole[at : at + step])
                 at += step
-            assert answer.json() == json.loads(body) and answer.keeps
-    answer = HttpAnswer(1000)
+            assert answer.json() == json.loads(body) and answer.keep_alive
+    answer = HttpResponse(1000)
     answer.feed(b"HTTP/1.0 200 OK\r\n\r\n" + body)
-    answer.ended()
-    assert answer.json()["index"] == 3 and not answer.keeps
+    answer.connection_closed()
+    assert answer.json()["index"] == 3 and not answer.keep_alive
     for bad in (
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
@@ -579,29 +579,32 @@
         b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
     ):
         with pytest.raises(Malformed):
-            HttpAnswer(1000).feed(bad)
+            HttpResponse(1000).feed(bad)
     with pytest.raises(Malformed):
-        cut = HttpAnswer(1000)
+        cut = HttpResponse(1000)
         cut.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{")
-        cut.ended()
+        cut.connection_closed()
 
 
 def test_a_first_line_goes_on_unchanged_but_for_the_time_left():
     line = b"OPEN 9b1f dd=5 c=plain,pd=1,d=2000,g=5c\r\n"
-    first = opening(line)
-    assert (first.workload, first.wait, first.subject, first.group) == (
+    first = parse_login_request(line)
+    assert (first.workload, first.max_wait, first.subject, first.group) == (
         "plain",
         2000 * MS,
         "dd=5",
         "5c",
     )
-    assert first.with_wait(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
-    assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_wait(MS) == b"OPEN 1 2 d=1,c=a,again=1\r\n"
-    assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").came_back
-    assert busy(0) == b"BUSY\r\n" and busy(250 * MS) == b"BUSY 250\r\n"
+    assert first.with_time_limit(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
     assert (
-        load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0}
-        and load_report("") is None
+        parse_login_request(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_time_limit(MS)
+        == b"OPEN 1 2 d=1,c=a,again=1\r\n"
+    )
+    assert parse_login_request(b"OPEN 1 2 d=7,c=a,again=1\r\n").came_back
+    assert format_busy(0) == b"BUSY\r\n" and format_busy(250 * MS) == b"BUSY 250\r\n"
+    assert (
+        parse_load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0}
+        and parse_load_report("") is None
     )
 
 
@@ -617,7 +620,9 @@
         for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)
     ]
     for _ in range(2):
-        facade.listed(Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries}))
+        facade.listed(
+            Scope.FULL, parse_listing({"index": 1, "snapshot": True, "endpoints": entries})
+        )
     places = [facade.server_named(entry["name"]) for entry in entries]
     assert [place.address[1] for place in places] == [1, 2, 3] and len(
         {place.server for place in places}
@@ -636,11 +641,12 @@
         {"weight": float("inf")},
     ):
         with pytest.raises(Malformed):
-            listing({"index": 1, "snapshot": True, "endpoints": [good, good | change]})
-        changes = listing({"index": 1, "snapshot": False, "endpoints": [good, good | change]})
-        assert len(changes.entries) == 1 and changes.spoiled == 1
+            parse_listing({"index": 1, "snapshot": True, "endpoints": [good, good | change]})
+        changes = parse_listing({"index": 1, "snapshot": False, "endpoints": [good, good | change]})
+        assert len(changes.entries) == 1 and changes.unreadable_count == 1
     assert (
-        listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at == 5 * MS
+        parse_listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at
+        == 5 * MS
     )
 
 
