--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from corklift.net.blocking import Gone, Late, door, see_off
+from corklift.net.blocking import Gone, Late, drain_and_close, listening_socket
 from corklift.net.limits import Counters, Limits
 from corklift.net.parsers import (
     CONTINUE_RESPONSE,
@@ -138,7 +138,7 @@
 
     def listen(self, address: tuple[str, int]) -> int:
         """Opens the door, instead of the one before if there is one; returns its port."""
-        sock = door(address)
+        sock = listening_socket(address)
         old, self._door = self._door, sock
         if self._acceptor is not None:
             self._scheduler.interrupt(self._acceptor, Gone())
@@ -180,7 +180,7 @@
     def _serve(self, stream: Stream) -> None:
         try:
             answer = self._answer(stream)
-            see_off(
+            drain_and_close(
                 self._scheduler,
                 stream,
                 answer,
--- a/corklift/net/blocking.py
+++ b/corklift/net/blocking.py
@@ -20,7 +20,7 @@
     """No answer within its time."""
 
 
-def door(address: tuple[str, int]) -> socket.socket:
+def listening_socket(address: tuple[str, int]) -> socket.socket:
     """Listens at once."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -34,7 +34,7 @@
     return sock
 
 
-def connected(scheduler: Scheduler, limits: Limits, address: tuple[str, int], until: int) -> Stream:
+def connect(scheduler: Scheduler, limits: Limits, address: tuple[str, int], until: int) -> Stream:
     stream = Stream.connect(address, limits)
     try:
         while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
@@ -48,7 +48,7 @@
     return stream
 
 
-def send(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
+def send_all(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
     stream.write(content)
     while len(stream.outbox):
         if stream.broken:
@@ -59,7 +59,7 @@
         stream.flush()
 
 
-def see_off(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
+def drain_and_close(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
     """Writes a last line, ends, and takes in what still comes, so that no reset overtakes the line."""
     if line and not stream.closed and stream.outbox.room >= len(line):
         stream.write(line)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from corklift.interface import Outcome
-from corklift.net.blocking import door, see_off
+from corklift.net.blocking import drain_and_close, listening_socket
 from corklift.net.facade import Facade, Place, Refusal, Ticket
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
@@ -95,7 +95,7 @@
 
     def listen(self, address: tuple[str, int]) -> int:
         """Opens the door at once, so that no client is refused while the rest starts; returns its port."""
-        return self._listen(door(address))
+        return self._listen(listening_socket(address))
 
     def share(self, sock: socket.socket) -> int:
         """The door is a socket that is held for this process; clients stay in its queue until they are taken."""
@@ -527,7 +527,7 @@
             self._counters["bad lines of servers (figure)"] += 1
 
     def _finish(self, client: Stream, line: bytes = b"") -> None:
-        see_off(self._scheduler, client, line, self._now() + self._limits.end_time)
+        drain_and_close(self._scheduler, client, line, self._now() + self._limits.end_time)
 
     def _turn_away(self, client: Stream, line: bytes = ERR) -> None:
         """As `_finish`, for a client that is not taken in: little is read on from it, and it soon makes room.
--- a/corklift/net/upkeep.py
+++ b/corklift/net/upkeep.py
@@ -12,7 +12,7 @@
 
 from corklift.interface import Outcome, Scope
 from corklift.net.backoff import Backoff
-from corklift.net.blocking import Gone, Late, connected, send
+from corklift.net.blocking import Gone, Late, connect, send_all
 from corklift.net.facade import Facade, Place
 from corklift.net.limits import Counters, Limits, Printer
 from corklift.net.parsers import (
@@ -139,7 +139,7 @@
         while True:
             try:
                 if stream is None:
-                    stream = connected(
+                    stream = connect(
                         self._scheduler,
                         self._limits,
                         address,
@@ -172,7 +172,7 @@
         stream.receive()
         if stream.ended or stream.broken or len(stream.inbox):
             raise Gone
-        send(self._scheduler, stream, STATS, until)
+        send_all(self._scheduler, stream, STATS, until)
         while True:
             stream.receive()
             line = stream.take_line()
@@ -292,11 +292,11 @@
             path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
-            self._stream = connected(
+            self._stream = connect(
                 self._scheduler, self._limits, self._address, now + self._limits.watch_slack
             )
         stream = self._stream
-        send(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
+        send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
         answer = HttpResponse(self._limits.body)
         while not answer.done:
             stream.receive()
--- a/corklift/rig/links.py
+++ b/corklift/rig/links.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from corklift.net.blocking import door
+from corklift.net.blocking import listening_socket
 from corklift.net.limits import SECOND
 from corklift.net.scheduler import READ, WRITE, Scheduler, Task
 from corklift.net.stream import Stream
@@ -59,7 +59,7 @@
         self._scheduler, self._rng, self.target = scheduler, rng, target
         self.fault = SOUND
         self.passed = 0  # bytes, both ways
-        self._listener = door(("127.0.0.1", 0))
+        self._listener = listening_socket(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
         self._connections: dict[Task, tuple[Stream, Stream]] = {}
         scheduler.spawn(self._keep_accepting)
