--- a/corklift/lab/load.py
+++ b/corklift/lab/load.py
@@ -215,10 +215,10 @@
             self.most_open = max(self.most_open, self.open)
             try:
                 ends = self.scheduler.now() + hold
-                while not stream.ended and not stream.broken and self.scheduler.now() < ends:
+                while not stream.peer_closed and not stream.broken and self.scheduler.now() < ends:
                     self.scheduler.wait({stream.fd: READ}, ends)
                     stream.receive()
-                if stream.ended or stream.broken or len(stream.inbox):
+                if stream.peer_closed or stream.broken or len(stream.receive_buffer):
                     self.outcomes[f"{way}: ended early"] += 1
             finally:
                 self.open -= way == "balancer"
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -131,7 +131,7 @@
             if self._scheduler.now() >= until:
                 stream.close()
                 raise RpcError(Code.DEADLINE_EXCEEDED, "no connection in time")
-        if stream.failed():
+        if stream.connect_failed():
             stream.close()
             raise RpcError(Code.UNAVAILABLE, "no connection")
         self._counters["links to peers"] += 1
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -211,16 +211,18 @@
         call, urged = HttpRequest(self._limits.call), False
         while True:
             stream.receive()
-            if len(stream.inbox):
-                call.feed(stream.inbox.take(len(stream.inbox)))
+            if len(stream.receive_buffer):
+                call.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
             if call.done:
                 return call
             if call.header_done and call.expects_continue and not urged:
                 urged = True
                 stream.write(CONTINUE_RESPONSE)
-            if stream.broken or stream.ended:
+            if stream.broken or stream.peer_closed:
                 raise Gone
             if self._scheduler.now() >= until:
                 raise Late
-            self._scheduler.wait({stream.fd: READ | (WRITE if len(stream.outbox) else 0)}, until)
+            self._scheduler.wait(
+                {stream.fd: READ | (WRITE if len(stream.send_buffer) else 0)}, until
+            )
             stream.flush()
--- a/corklift/net/blocking.py
+++ b/corklift/net/blocking.py
@@ -40,7 +40,7 @@
         while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
             if scheduler.now() >= until:
                 raise Late
-        if stream.failed():
+        if stream.connect_failed():
             raise Gone
     except BaseException:
         stream.close()
@@ -50,7 +50,7 @@
 
 def send_all(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
     stream.write(content)
-    while len(stream.outbox):
+    while len(stream.send_buffer):
         if stream.broken:
             raise Gone
         if scheduler.now() >= until:
@@ -61,15 +61,15 @@
 
 def drain_and_close(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
     """Writes a last line, ends, and takes in what still comes, so that no reset overtakes the line."""
-    if line and not stream.closed and stream.outbox.room >= len(line):
+    if line and not stream.closed and stream.send_buffer.free_bytes >= len(line):
         stream.write(line)
     while not stream.broken and not stream.closed and scheduler.now() < until:
         stream.flush()
-        if not len(stream.outbox):
-            stream.end_sending()
+        if not len(stream.send_buffer):
+            stream.shutdown_write()
         stream.receive()
-        stream.inbox.drop(len(stream.inbox))
-        mask = (0 if stream.ended else READ) | (WRITE if len(stream.outbox) else 0)
+        stream.receive_buffer.discard(len(stream.receive_buffer))
+        mask = (0 if stream.peer_closed else READ) | (WRITE if len(stream.send_buffer) else 0)
         if not mask:
             break
         scheduler.wait({stream.fd: mask}, until)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -30,8 +30,8 @@
     parse_login_request,
     parse_server_line,
 )
-from corklift.net.scheduler import BAD, ENDED, READ, WRITE, Scheduler, Task
-from corklift.net.stream import OverLong, Stream
+from corklift.net.scheduler import ERROR_EVENTS, READ, READ_CLOSED, WRITE, Scheduler, Task
+from corklift.net.stream import LineTooLongError, Stream
 
 BEFORE_UP = {"BUSY": Outcome.FULL, "ERR": Outcome.ERROR, "MOVE": Outcome.CANCELLED}
 AT_END = {"BYE": Outcome.FULFILLED, "MOVE": Outcome.CANCELLED}
@@ -180,7 +180,7 @@
             first = self._first_line(client)
             if first is not None:
                 self._admit(client, first)
-        except (Malformed, OverLong) as problem:
+        except (Malformed, LineTooLongError) as problem:
             self._counters[f"bad lines of clients ({str(problem) or 'over-long'})"] += 1
             self._turn_away(client)
         finally:
@@ -193,8 +193,8 @@
         ponged = False
         while True:
             client.receive()
-            line = client.take_line()
-            if line is not None and len(client.inbox):
+            line = client.read_line()
+            if line is not None and len(client.receive_buffer):
                 # A client waits for each answer. Guards against hundreds of commands at once.
                 raise Malformed("more than one line at once")
             if line == PING:
@@ -208,11 +208,11 @@
                 )  # a flood of these must not keep others waiting
             elif line is not None:
                 return parse_login_request(line)
-            elif client.ended or client.broken:
+            elif client.peer_closed or client.broken:
                 self._counters["clients gone before a line"] += 1
                 return None
             elif self._now() >= until or client in self._unwanted:
-                if len(client.inbox):
+                if len(client.receive_buffer):
                     raise Malformed("not whole in time")
                 self._counters["clients without a line"] += 1
                 return None
@@ -223,12 +223,12 @@
         """Answers a PING, as soon as this balancer can serve."""
         while not self.ready:
             if (
-                self._scheduler.wait({client.fd: ENDED}, self._now() + 50 * MS)
+                self._scheduler.wait({client.fd: READ_CLOSED}, self._now() + 50 * MS)
                 or client in self._unwanted
             ):
                 return False
         client.write(PONG)
-        return not client.broken and not len(client.outbox)
+        return not client.broken and not len(client.send_buffer)
 
     def _admit(self, client: Stream, first: LoginRequest) -> None:
         if self._facade.workload(first.workload) is None:
@@ -371,13 +371,13 @@
         while not server.broken and not self._await(client, server, WRITE, until):
             if self._now() >= until:
                 return without(Outcome.NOT_CONNECTED)
-        if server.failed():
+        if server.connect_failed():
             return without(Outcome.NOT_CONNECTED)
         if not (first.previous_server or self._facade.takes_new(place.server)):
             # Guards against a line on its way to a server that has begun to drain while it was connected to.
             return without(Outcome.NOT_SENT)
         server.write(first.with_time_limit(place.cut_at - self._now()))
-        while len(server.outbox):
+        while len(server.send_buffer):
             # The line's last byte has not left, so it has never run.
             if server.broken or self._now() >= place.cut_at:
                 return without(Outcome.NOT_CONNECTED)
@@ -387,7 +387,7 @@
         while True:
             server.receive()
             try:
-                line = server.take_line()
+                line = server.read_line()
                 if line is not None:
                     word, rest = parse_server_line(line)
                     if word == "UP":
@@ -396,10 +396,10 @@
                         return without(BEFORE_UP[word], parse_load_report(rest))
                     if word != "LOAD":
                         raise Malformed("unknown word")
-            except (Malformed, OverLong) as problem:
+            except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad lines of servers ({str(problem) or 'over-long'})"] += 1
                 return without(Outcome.ERROR)
-            if line is None and (server.ended or server.broken):
+            if line is None and (server.peer_closed or server.broken):
                 return without(Outcome.BROKEN)
             if self._now() >= place.cut_at:
                 return without(Outcome.TIMED_OUT)
@@ -412,8 +412,8 @@
 
     def _await(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
         """Whether the server's stream is ready; the client's end ends the wait, and so does anything it says."""
-        got = self._scheduler.wait({server.fd: mask, client.fd: READ | ENDED}, until)
-        if got.get(client.fd, 0) & (ENDED | BAD):
+        got = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
+        if got.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
             raise ClientGone
         if client.fd in got:
             raise Malformed("a line before its answer")
@@ -431,7 +431,7 @@
         try:
             client.write(line)
             outcome, last = self._pass_on(client, server, ticket)
-        except OverLong:
+        except LineTooLongError:
             self._counters["bad lines on connections (over-long)"] += 1
         finally:
             del self._open[ticket.number]
@@ -449,7 +449,7 @@
         while True:
             try:
                 lines = self._carry(server, client)
-            except OverLong:
+            except LineTooLongError:
                 # Guards against a server that falls into garbage: its client is told to come again.
                 self._counters["bad lines of servers (over-long)"] += 1
                 return Outcome.ERROR, MOVE
@@ -472,31 +472,35 @@
             if server.broken:
                 client.abort()
                 return Outcome.BROKEN, b""
-            if server.ended and not len(server.inbox):
+            if server.peer_closed and not len(server.receive_buffer):
                 return AT_END.get(last_word, Outcome.BROKEN), b""
-            if client.ended and not len(client.inbox) and not len(server.outbox):
-                server.end_sending()
+            if (
+                client.peer_closed
+                and not len(client.receive_buffer)
+                and not len(server.send_buffer)
+            ):
+                server.shutdown_write()
             silent = asked_at and self._now() >= asked_at + self._limits.silent_time
-            if (ticket.to_move or silent) and client.outbox.room >= len(MOVE):
+            if (ticket.to_move or silent) and client.send_buffer.free_bytes >= len(MOVE):
                 self._counters["clients moved from silence" if silent else "clients moved"] += 1
                 return Outcome.TIMED_OUT if silent else Outcome.CANCELLED, MOVE
-            if (client.ended or server.ended) and not end_by:
+            if (client.peer_closed or server.peer_closed) and not end_by:
                 end_by = self._now() + self._limits.end_time
             if end_by and self._now() >= end_by:
                 return Outcome.CANCELLED, b""
             until = end_by or (doubt_at if asked_at else None)
             fds = {}
             for stream in (client, server):
-                mask = READ if stream.inbox.room and not stream.ended else 0
-                mask |= WRITE if len(stream.outbox) else 0
-                if mask or not stream.ended:
+                mask = READ if stream.receive_buffer.free_bytes and not stream.peer_closed else 0
+                mask |= WRITE if len(stream.send_buffer) else 0
+                if mask or not stream.peer_closed:
                     fds[stream.fd] = mask
             got = self._scheduler.wait(fds, until)
             for stream in (client, server):
                 events = got.get(stream.fd, 0)
                 if events & WRITE:
                     stream.flush()
-                if events & BAD and not stream.inbox.room:
+                if events & ERROR_EVENTS and not stream.receive_buffer.free_bytes:
                     stream.broken = True
                 elif events:
                     stream.receive()
@@ -505,17 +509,17 @@
         """Passes on the whole lines that have come, as far as there is room for them; returns them."""
         lines = []
         while True:
-            length = source.inbox.line_length()
+            length = source.receive_buffer.line_length()
             if length > self._limits.line or (
-                not length and len(source.inbox) >= self._limits.line
+                not length and len(source.receive_buffer) >= self._limits.line
             ):
-                raise OverLong
-            if not length and source.ended:
-                length = len(source.inbox)  # the rest, without a line's end
-            if not length or sink.outbox.room < length:
+                raise LineTooLongError
+            if not length and source.peer_closed:
+                length = len(source.receive_buffer)  # the rest, without a line's end
+            if not length or sink.send_buffer.free_bytes < length:
                 break
-            line = source.inbox.take(length)
-            sink.outbox.put(line)
+            line = source.receive_buffer.read(length)
+            sink.send_buffer.append(line)
             lines.append(line)
         sink.flush()
         return lines
@@ -536,16 +540,16 @@
         """
         until = self._now() + self._limits.turned_away_time
         left = self._limits.turned_away_bytes
-        if not client.closed and client.outbox.room >= len(line):
+        if not client.closed and client.send_buffer.free_bytes >= len(line):
             client.write(line)
-        if not len(client.outbox):
-            client.end_sending()
+        if not len(client.send_buffer):
+            client.shutdown_write()
         while not client.broken and not client.closed and client not in self._unwanted:
-            client.inbox.drop(len(client.inbox))
+            client.receive_buffer.discard(len(client.receive_buffer))
             left -= client.receive()
-            if client.ended or left <= 0 or self._now() >= until:
+            if client.peer_closed or left <= 0 or self._now() >= until:
                 break
-            if not len(client.inbox):
+            if not len(client.receive_buffer):
                 self._scheduler.wait({client.fd: READ}, until)
         client.close()
 
--- a/corklift/net/scheduler.py
+++ b/corklift/net/scheduler.py
@@ -19,8 +19,8 @@
 
 from greenlet import getcurrent, greenlet
 
-READ, WRITE, ENDED = select.POLLIN, select.POLLOUT, select.POLLRDHUP
-BAD = select.POLLERR | select.POLLHUP
+READ, WRITE, READ_CLOSED = select.POLLIN, select.POLLOUT, select.POLLRDHUP
+ERROR_EVENTS = select.POLLERR | select.POLLHUP
 
 
 def wall_clock() -> Callable[[], int]:
--- a/corklift/net/stream.py
+++ b/corklift/net/stream.py
@@ -1,7 +1,7 @@
-"""A non-blocking socket with one ring buffer a direction.
+"""A non-blocking socket with a ring buffer for each direction.
 
-Owns its socket and the count of open ones. Reading stops when the ring for it is full, so a slow reader on one
-side slows the writer on the other. Must never look into what it carries beyond line ends, and never block.
+A stream stops reading while its receive buffer is full, so that backpressure from a slow reader on
+one side reaches the writer on the other. A stream never blocks, and interprets only line ends.
 """
 
 from __future__ import annotations
@@ -11,109 +11,114 @@
 import struct
 from typing import Protocol
 
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: a close that resets
+# SO_LINGER, switched on with a time of 0 s: close() sends a reset.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Sizes(Protocol):
-    """What a stream takes of its program's limits."""
+class StreamLimits(Protocol):
+    """The limits that a stream needs from its program."""
 
     @property
-    def line(self) -> int: ...  # bytes of a line, its end included
+    def line(self) -> int: ...  # maximum line length in bytes, including the line end
     @property
-    def ring(self) -> int: ...  # bytes of a ring buffer
+    def ring(self) -> int: ...  # size of a ring buffer in bytes
 
 
-class OverLong(Exception):
-    """A line longer than the limit."""
+class LineTooLongError(Exception):
+    """A received line exceeds the limit."""
 
 
-class Ring:
-    """Bytes in the order in which they came, in a buffer of fixed size that is made at the first use."""
+class RingBuffer:
+    """A FIFO byte buffer of fixed size, allocated on first use."""
 
     def __init__(self, size: int) -> None:
         self._size = size
         self._bytes = bytearray()
-        self._start = self._held = 0
+        self._start = self._length = 0
 
     def __len__(self) -> int:
-        return self._held
+        return self._length
 
     @property
-    def room(self) -> int:
-        return self._size - self._held
+    def free_bytes(self) -> int:
+        return self._size - self._length
 
-    def free_part(self) -> memoryview:
-        """The next stretch that may be filled; what was filled is told to `filled`."""
+    def writable_view(self) -> memoryview:
+        """Returns the next contiguous free region. Call `mark_written` after writing to it."""
         if not self._bytes:
             self._bytes = bytearray(self._size)
-        at = (self._start + self._held) % self._size
+        end = (self._start + self._length) % self._size
         return memoryview(self._bytes)[
-            at : self._size if at >= self._start or not self._held else self._start
-        ][: self.room]
+            end : self._size if end >= self._start or not self._length else self._start
+        ][: self.free_bytes]
 
-    def filled(self, number: int) -> None:
-        self._held += number
+    def mark_written(self, count: int) -> None:
+        self._length += count
 
-    def held_part(self) -> memoryview:
-        return memoryview(self._bytes)[self._start : min(self._size, self._start + self._held)]
+    def readable_view(self) -> memoryview:
+        """Returns the first contiguous region of stored bytes."""
+        return memoryview(self._bytes)[self._start : min(self._size, self._start + self._length)]
 
-    def drop(self, number: int) -> None:
-        self._held -= number
-        self._start = (self._start + number) % self._size if self._held else 0
+    def discard(self, count: int) -> None:
+        self._length -= count
+        self._start = (self._start + count) % self._size if self._length else 0
 
-    def put(self, content: bytes) -> None:
-        if len(content) > self.room:
-            raise ValueError("no room in the ring")
+    def append(self, content: bytes) -> None:
+        if len(content) > self.free_bytes:
+            raise ValueError("ring buffer overflow")
         while content:
-            part = self.free_part()
-            number = min(len(part), len(content))
-            part[:number] = content[:number]
-            self.filled(number)
-            content = content[number:]
-
-    def take(self, number: int) -> bytes:
+            view = self.writable_view()
+            count = min(len(view), len(content))
+            view[:count] = content[:count]
+            self.mark_written(count)
+            content = content[count:]
+
+    def read(self, count: int) -> bytes:
+        """Removes and returns the first `count` bytes."""
         parts = []
-        while number:
-            part = bytes(self.held_part()[:number])
+        while count:
+            part = bytes(self.readable_view()[:count])
             parts.append(part)
-            number -= len(part)
-            self.drop(len(part))
+            count -= len(part)
+            self.discard(len(part))
         return b"".join(parts)
 
     def line_length(self) -> int:
-        """Of the first whole line, its end included; 0 if there is none."""
-        end = min(self._size, self._start + self._held)
-        at = self._bytes.find(b"\n", self._start, end)
-        if at >= 0:
-            return at + 1 - self._start
-        wrapped = self._start + self._held - self._size
+        """Returns the length of the first complete line with its line end; 0 if there is none."""
+        end = min(self._size, self._start + self._length)
+        found = self._bytes.find(b"\n", self._start, end)
+        if found >= 0:
+            return found + 1 - self._start
+        wrapped = self._start + self._length - self._size
         if wrapped > 0:
-            at = self._bytes.find(b"\n", 0, wrapped)
-            if at >= 0:
-                return self._size - self._start + at + 1
+            found = self._bytes.find(b"\n", 0, wrapped)
+            if found >= 0:
+                return self._size - self._start + found + 1
         return 0
 
 
 class Stream:
-    open_now = 0  # sockets of this process
+    """A non-blocking socket with a receive buffer and a send buffer."""
+
+    open_count = 0  # open streams in this process
 
-    def __init__(self, sock: socket.socket, limits: Sizes) -> None:
+    def __init__(self, sock: socket.socket, limits: StreamLimits) -> None:
         sock.setblocking(False)
         self._sock = sock
         self.fd = sock.fileno()
-        self._line = limits.line
-        self.inbox, self.outbox = Ring(limits.ring), Ring(limits.ring)
-        self.ended = False  # nothing more will come
-        self.broken = False  # it was reset, or can't be written to
+        self._max_line = limits.line
+        self.receive_buffer, self.send_buffer = RingBuffer(limits.ring), RingBuffer(limits.ring)
+        self.peer_closed = False  # the peer has closed its sending side
+        self.broken = False  # the connection was reset or a write failed
         self.closed = False
-        self._shut = False
-        Stream.open_now += 1
+        self._write_shut_down = False
+        Stream.open_count += 1
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     @classmethod
-    def connect(cls, address: tuple[str, int], limits: Sizes) -> Stream:
-        """Begins to connect; writable when it stands, or `failed` tells why not."""
+    def connect(cls, address: tuple[str, int], limits: StreamLimits) -> Stream:
+        """Starts a connect. Once the socket is writable, `connect_failed` returns the result."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         stream = cls(sock, limits)
         code = sock.connect_ex(address)
@@ -121,58 +126,60 @@
             stream.broken = True
         return stream
 
-    def failed(self) -> bool:
-        """Whether the connect has failed."""
+    def connect_failed(self) -> bool:
         if not self.broken and self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self.broken = True
         return self.broken
 
     def receive(self) -> int:
-        """Takes in what has come, as far as there is room; returns how much."""
-        got = 0
-        while self.inbox.room and not self.ended and not self.broken:
-            part = self.inbox.free_part()
+        """Reads what has arrived, as far as the receive buffer has room; returns the byte count."""
+        received = 0
+        while self.receive_buffer.free_bytes and not self.peer_closed and not self.broken:
+            view = self.receive_buffer.writable_view()
             try:
-                number = self._sock.recv_into(part)
+                count = self._sock.recv_into(view)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:
                 self.broken = True
                 break
-            if not number:
-                self.ended = True
+            if not count:
+                self.peer_closed = True
                 break
-            self.inbox.filled(number)
-            got += number
-            if number < len(part):
+            self.receive_buffer.mark_written(count)
+            received += count
+            if count < len(view):
                 break
-        return got
+        return received
 
-    def take_line(self) -> bytes | None:
-        """The first line that has come, its end included; None while there is none."""
-        length = self.inbox.line_length()
-        if length > self._line or (not length and len(self.inbox) >= self._line):
-            raise OverLong
-        return self.inbox.take(length) if length else None
+    def read_line(self) -> bytes | None:
+        """Removes and returns the first complete line with its line end; None if there is none."""
+        length = self.receive_buffer.line_length()
+        if length > self._max_line or (not length and len(self.receive_buffer) >= self._max_line):
+            raise LineTooLongError
+        return self.receive_buffer.read(length) if length else None
 
     def write(self, content: bytes) -> None:
-        self.outbox.put(content)
+        """Appends to the send buffer and sends as much of it as the socket takes at once."""
+        self.send_buffer.append(content)
         self.flush()
 
     def flush(self) -> None:
-        while len(self.outbox) and not self.broken and not self.closed:
+        """Sends as much of the send buffer as the socket takes at once."""
+        while len(self.send_buffer) and not self.broken and not self.closed:
             try:
-                number = self._sock.send(self.outbox.held_part())
+                count = self._sock.send(self.send_buffer.readable_view())
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
                 self.broken = True
                 return
-            self.outbox.drop(number)
+            self.send_buffer.discard(count)
 
-    def end_sending(self) -> None:
-        if not self._shut and not self.closed:
-            self._shut = True
+    def shutdown_write(self) -> None:
+        """Closes the sending side of the connection."""
+        if not self._write_shut_down and not self.closed:
+            self._write_shut_down = True
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:
@@ -181,14 +188,14 @@
     def close(self) -> None:
         if not self.closed:
             self.closed = True
-            Stream.open_now -= 1
+            Stream.open_count -= 1
             self._sock.close()
 
     def abort(self) -> None:
-        """Closes it so that the other end sees a reset."""
+        """Closes the connection with a reset."""
         if not self.closed:
             try:
-                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+                self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
             except OSError:
                 pass
             self.close()
--- a/corklift/net/upkeep.py
+++ b/corklift/net/upkeep.py
@@ -25,7 +25,7 @@
     parse_server_line,
 )
 from corklift.net.scheduler import READ, Scheduler, Task
-from corklift.net.stream import OverLong, Stream
+from corklift.net.stream import LineTooLongError, Stream
 
 LIST = "/registry/instances"
 
@@ -153,7 +153,7 @@
                 outcome = Outcome.TIMED_OUT if server in self._kept else Outcome.NOT_CONNECTED
                 self._close(server)
                 break
-            except (Malformed, OverLong) as problem:
+            except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad answers to probes ({str(problem) or 'over-long'})"] += 1
                 outcome = Outcome.ERROR
                 self._close(server)
@@ -170,12 +170,12 @@
 
     def _ask(self, stream: Stream, until: int) -> tuple[Outcome, dict[str, float] | None]:
         stream.receive()
-        if stream.ended or stream.broken or len(stream.inbox):
+        if stream.peer_closed or stream.broken or len(stream.receive_buffer):
             raise Gone
         send_all(self._scheduler, stream, STATS, until)
         while True:
             stream.receive()
-            line = stream.take_line()
+            line = stream.read_line()
             if line is not None:
                 word, rest = parse_server_line(line)
                 if word not in ("PONG", "ERR", "NO"):
@@ -183,7 +183,7 @@
                 return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), parse_load_report(
                     rest
                 )
-            if stream.ended or stream.broken:
+            if stream.peer_closed or stream.broken:
                 raise Gone
             if self._scheduler.now() >= until:
                 raise Late
@@ -300,11 +300,11 @@
         answer = HttpResponse(self._limits.body)
         while not answer.done:
             stream.receive()
-            if len(stream.inbox):
-                answer.feed(stream.inbox.take(len(stream.inbox)))
+            if len(stream.receive_buffer):
+                answer.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
                 # Guards against an answer that stops short, with a drain that counts as told: asked anew at once.
                 until = self._scheduler.now() + self._limits.watch_stall
-            elif stream.ended and not stream.broken:
+            elif stream.peer_closed and not stream.broken:
                 answer.connection_closed()
             elif stream.broken:
                 raise Gone
--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -747,7 +747,7 @@
                 how="line"
                 if word
                 else "ended"
-                if stream.ended
+                if stream.peer_closed
                 else "reset"
                 if stream.broken
                 else "nothing",
@@ -766,13 +766,13 @@
             self.held[balancer] = self.held.get(balancer, 0) + 1
             while (
                 self._playing
-                and not stream.ended
+                and not stream.peer_closed
                 and not stream.broken
                 and self.scheduler.now() < ends
             ):
                 self.scheduler.wait({stream.fd: READ}, ends)
                 stream.receive()
-                line = stream.inbox.take(len(stream.inbox))
+                line = stream.receive_buffer.read(len(stream.receive_buffer))
                 if line.startswith((b"UP", b"BUSY", b"ERR")):
                     self.note(
                         "more", "client", login=login, text=line.decode("ascii", "replace")[:80]
@@ -791,10 +791,10 @@
 
     def _rest(self, stream: Stream, span: int) -> bytes:
         until = self.scheduler.now() + span
-        while not stream.ended and not stream.broken and self.scheduler.now() < until:
+        while not stream.peer_closed and not stream.broken and self.scheduler.now() < until:
             stream.receive()
-            if len(stream.inbox):
-                return stream.inbox.take(len(stream.inbox))
+            if len(stream.receive_buffer):
+                return stream.receive_buffer.read(len(stream.receive_buffer))
             self.scheduler.wait({stream.fd: READ}, until)
         return b""
 
--- a/corklift/rig/links.py
+++ b/corklift/rig/links.py
@@ -110,7 +110,7 @@
                         {far.fd: WRITE, near.fd: 0}, self._scheduler.now() + SECOND
                     )
                 ):
-                    up = not far.closed and not far.failed()
+                    up = not far.closed and not far.connect_failed()
                 if far.closed or near.closed or far.broken and not up:
                     break
                 if not up:
@@ -140,12 +140,12 @@
             mask = (
                 READ
                 if out.waiting < PASSES
-                and stream.inbox.room
-                and not stream.ended
+                and stream.receive_buffer.free_bytes
+                and not stream.peer_closed
                 and not stream.broken
                 else 0
             )
-            fds[stream.fd] = mask | (WRITE if len(stream.outbox) and not stream.broken else 0)
+            fds[stream.fd] = mask | (WRITE if len(stream.send_buffer) and not stream.broken else 0)
         self._scheduler.wait({fd: mask for fd, mask in fds.items() if mask}, due)
         return True
 
@@ -154,9 +154,9 @@
         fault, now = self.fault, self._scheduler.now()
         if way.source.closed or way.sink.closed:
             return now
-        if way.waiting < PASSES and not way.source.ended:
+        if way.waiting < PASSES and not way.source.peer_closed:
             way.source.receive()
-            piece = way.source.inbox.take(len(way.source.inbox))
+            piece = way.source.receive_buffer.read(len(way.source.receive_buffer))
             if piece and (way.swallowed or fault.most and len(piece) > fault.most):
                 way.swallowed = True
             elif piece:
@@ -170,7 +170,7 @@
             due = max(due, way.free_at)
             if due > now:
                 return due
-            room = way.sink.outbox.room
+            room = way.sink.send_buffer.free_bytes
             if first and fault.cut_at:
                 room = min(room, max(1, fault.cut_at - way.passed))
             if fault.rate:
@@ -191,12 +191,12 @@
                 return now
         way.sink.flush()
         if (
-            way.source.ended
+            way.source.peer_closed
             and not way.pieces
-            and not len(way.sink.outbox)
+            and not len(way.sink.send_buffer)
             and not way.ended
             and not way.swallowed
         ):
             way.ended = True
-            way.sink.end_sending()
+            way.sink.shutdown_write()
         return now + 60 * SECOND
--- a/corklift/rpc/client.py
+++ b/corklift/rpc/client.py
@@ -74,7 +74,7 @@
             if self._scheduler.now() >= until or self._closed:
                 stream.close()
                 return None
-        if stream.failed():
+        if stream.connect_failed():
             stream.close()
             return None
         link = Link(
--- a/corklift/rpc/link.py
+++ b/corklift/rpc/link.py
@@ -189,7 +189,7 @@
     def wake_if_left(self) -> None:
         # A task that waits for reading alone would not see that there is something to write.
         if (
-            len(self._stream.outbox)
+            len(self._stream.send_buffer)
             or self.session.has_bytes
             or self.session.waiting
             or self._stream.broken
@@ -230,32 +230,34 @@
         now = self.scheduler.now()
         if self._stream.receive():
             self._heard_at = now
-            self.session.received(now, self._stream.inbox.take(len(self._stream.inbox)))
+            self.session.received(
+                now, self._stream.receive_buffer.read(len(self._stream.receive_buffer))
+            )
         self._write()
-        if self._stream.broken or self._stream.ended:
+        if self._stream.broken or self._stream.peer_closed:
             self.why = self.why or "the peer has ended the connection"
             return True
         if self.session.over or (self.session.leaving and not self.session.calls):
             self._last_words()
             return True
         due = self._check_times(now)
-        if self.session.has_bytes and self._stream.outbox.room:
+        if self.session.has_bytes and self._stream.send_buffer.free_bytes:
             return False
-        fds = {self._stream.fd: READ | (WRITE if len(self._stream.outbox) else 0)}
+        fds = {self._stream.fd: READ | (WRITE if len(self._stream.send_buffer) else 0)}
         self.scheduler.wait(fds, due)
         self._stream.flush()
         return False
 
     def _write(self) -> None:
         while not self._stream.broken:
-            part = self.session.take(self._stream.outbox.room)
+            part = self.session.take(self._stream.send_buffer.free_bytes)
             if not part:
                 break
             self._put += len(part)
             self._stream.write(part)
-            if len(self._stream.outbox):
+            if len(self._stream.send_buffer):
                 break
-        left = self._put - len(self._stream.outbox)
+        left = self._put - len(self._stream.send_buffer)
         if left >= self._mark:
             self._mark, self._mark_at = self._put, self.scheduler.now()
 
@@ -271,7 +273,7 @@
             due = min(due, self._began_at + limits.handshake_time)
         if self._put > self._mark and now - self._mark_at >= limits.stall_time:
             raise Broken("the peer does not read")
-        if len(self._stream.outbox) == 0:
+        if len(self._stream.send_buffer) == 0:
             self._mark, self._mark_at = self._put, now
         call = session.stalled(now)
         if call is not None:
@@ -293,12 +295,12 @@
         """What is left to say leaves, if the peer takes it soon."""
         until = self.scheduler.now() + self._limits.end_time
         while not self._stream.broken and self.scheduler.now() < until:
-            if not len(self._stream.outbox):
-                part = self.session.take(self._stream.outbox.room)
+            if not len(self._stream.send_buffer):
+                part = self.session.take(self._stream.send_buffer.free_bytes)
                 if not part:
                     break
                 self._stream.write(part)
-            if len(self._stream.outbox):
+            if len(self._stream.send_buffer):
                 self.scheduler.wait({self._stream.fd: WRITE}, until)
                 self._stream.flush()
-        self._stream.end_sending()
+        self._stream.shutdown_write()
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -254,7 +254,7 @@
         self.printer.print_all()
 
     def _tell_counters(self) -> None:
-        self.counters["sockets open"] = Stream.open_now
+        self.counters["sockets open"] = Stream.open_count
         self.printer.say(self.counters.text(), always=True)
 
     def _get_ready(self) -> None:
--- a/corklift/standins/client.py
+++ b/corklift/standins/client.py
@@ -7,7 +7,7 @@
 
 from corklift.net.limits import SECOND, Limits
 from corklift.net.scheduler import READ, WRITE, Scheduler
-from corklift.net.stream import OverLong, Stream
+from corklift.net.stream import LineTooLongError, Stream
 
 CLIENT = Limits(
     clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=1024
@@ -24,7 +24,7 @@
         if scheduler.now() >= until:
             break
     else:
-        if not stream.failed():
+        if not stream.connect_failed():
             return stream
     stream.close()
     return None
@@ -36,11 +36,11 @@
     while True:
         stream.receive()
         try:
-            found = stream.take_line()
-        except OverLong:
+            found = stream.read_line()
+        except LineTooLongError:
             return b""
         if found is not None:
             return found
-        if stream.ended or stream.broken or scheduler.now() >= until:
+        if stream.peer_closed or stream.broken or scheduler.now() >= until:
             return b""
         scheduler.wait({stream.fd: READ}, until)
--- a/corklift/standins/discovery.py
+++ b/corklift/standins/discovery.py
@@ -83,8 +83,8 @@
         try:
             while True:
                 stream.receive()
-                head += stream.inbox.take(len(stream.inbox))
-                if stream.ended or stream.broken:
+                head += stream.receive_buffer.read(len(stream.receive_buffer))
+                if stream.peer_closed or stream.broken:
                     return
                 if b"\r\n\r\n" not in head:
                     self._scheduler.wait({stream.fd: READ})
@@ -101,7 +101,7 @@
         index = int(found[1]) if found[1] is not None else None
         if index is not None:
             until = self._scheduler.now() + int(found[2]) * MS
-            while self.index <= index and self._scheduler.now() < until and not stream.ended:
+            while self.index <= index and self._scheduler.now() < until and not stream.peer_closed:
                 self._waiting.append(self._scheduler.current)
                 self._scheduler.wait({stream.fd: READ}, until)
                 stream.receive()
@@ -126,10 +126,10 @@
             self.cuts -= 1
             content = content[: len(head) + len(body) // 2]
         while content and not stream.broken:
-            room = stream.outbox.room
+            room = stream.send_buffer.free_bytes
             stream.write(content[:room])
             content = content[room:]
-            while len(stream.outbox) and not stream.broken:
+            while len(stream.send_buffer) and not stream.broken:
                 self._scheduler.wait({stream.fd: WRITE})
                 stream.flush()
         return not stream.broken
--- a/corklift/standins/proxy.py
+++ b/corklift/standins/proxy.py
@@ -24,7 +24,7 @@
 
 from corklift.net.limits import MS, SECOND, Counters, Limits
 from corklift.net.scheduler import READ, WRITE, Scheduler
-from corklift.net.stream import OverLong, Stream
+from corklift.net.stream import LineTooLongError, Stream
 from corklift.rpc.client import Channel
 from corklift.rpc.core import RpcError, RpcLimits
 from corklift.rpc.link import LiveCall
@@ -384,7 +384,7 @@
             self._counters["logins placed"] += 1
             until = self._scheduler.now() + hold
             while (
-                not stream.ended
+                not stream.peer_closed
                 and not stream.broken
                 and self._scheduler.now() < until
                 and not self.stopped
@@ -401,18 +401,18 @@
         while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, until):
             if self._scheduler.now() >= until:
                 return False
-        if stream.failed():
+        if stream.connect_failed():
             return False
         stream.write(line.encode())
         while self._scheduler.now() < until:
             stream.receive()
             try:
-                answer = stream.take_line()
-            except OverLong:
+                answer = stream.read_line()
+            except LineTooLongError:
                 return False
             if answer is not None:
                 return answer.startswith(b"UP ")
-            if stream.ended or stream.broken:
+            if stream.peer_closed or stream.broken:
                 return False
             self._scheduler.wait({stream.fd: READ}, until)
         return False
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -13,7 +13,7 @@
 
 from corklift.net.limits import SECOND, Counters, Limits
 from corklift.net.scheduler import READ, Scheduler
-from corklift.net.stream import OverLong, Stream
+from corklift.net.stream import LineTooLongError, Stream
 from corklift.rpc.core import RpcLimits
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import Server, unary
@@ -94,9 +94,9 @@
         try:
             while True:
                 stream.receive()
-                line = stream.take_line()
+                line = stream.read_line()
                 if line is None:
-                    if stream.ended or stream.broken:
+                    if stream.peer_closed or stream.broken:
                         return
                     self._scheduler.wait({stream.fd: READ})
                 elif line == b"STATS\r\n" and not up:
@@ -122,7 +122,7 @@
                     return
                 else:
                     stream.write(line)
-        except OverLong:
+        except LineTooLongError:
             return
         finally:
             if up:
--- a/tests/processes/test_power.py
+++ b/tests/processes/test_power.py
@@ -68,8 +68,8 @@
             b"GET /admin/%s HTTP/1.1\r\nHost: b\r\n\r\n" % path.encode(),
             rig.scheduler.now() + 5_000_000_000,
         )
-        rig.until(lambda: stream.receive() or stream.ended, 5)
-        return stream.inbox.take(len(stream.inbox)).decode()
+        rig.until(lambda: stream.receive() or stream.peer_closed, 5)
+        return stream.receive_buffer.read(len(stream.receive_buffer)).decode()
     finally:
         stream.close()
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -277,10 +277,10 @@
     def lines_of(self, stream: Stream):
         while not stream.broken:
             stream.receive()
-            line = stream.take_line()
+            line = stream.read_line()
             if line is not None:
                 yield line.decode().rstrip("\r\n")
-            elif stream.ended or stream.broken:
+            elif stream.peer_closed or stream.broken:
                 return
             else:
                 self.wait({stream.fd: READ})
@@ -349,7 +349,7 @@
                 if isinstance(step, int):
                     self.sleep(step * MS)
                 elif step is None:
-                    stream.end_sending()
+                    stream.shutdown_write()
                 elif step is ...:
                     stream.abort()
                 elif not stream.broken and not stream.closed:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -41,10 +41,10 @@
                 elif not stream.broken:
                     stream.write(step.encode())
             got = b""
-            while not stream.ended and not stream.broken:
+            while not stream.peer_closed and not stream.broken:
                 self.wait({stream.fd: READ})
                 stream.receive()
-                got += stream.inbox.take(len(stream.inbox))
+                got += stream.receive_buffer.read(len(stream.receive_buffer))
             stream.close()
             head, _, body = got.partition(b"\r\n\r\n")
             self.answers[name] = (
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -23,7 +23,7 @@
     stable_id,
 )
 from corklift.net.scheduler import Scheduler
-from corklift.net.stream import OverLong, Ring
+from corklift.net.stream import LineTooLongError, RingBuffer
 
 OPEN = "OPEN 1 7f c=plain,d=2000,x=9\r\n"
 
@@ -173,7 +173,7 @@
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.abort()
 
     def fin(wire, stream, line):
-        stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.end_sending()
+        stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.shutdown_write()
 
     wire = Wire("up")
     for what, act, steps in (
@@ -443,7 +443,7 @@
     def once(stream):  # answers one probe, each third with garbage, then ends the connection
         seen.append(stream)
         stream.write(b"PONG x0=0.2,inflight=3\r\n" if len(seen) % 3 else b"PONG x0=lots\r\n")
-        stream.end_sending()
+        stream.shutdown_write()
 
     wire = Wire("up", "up")
     wire.probed = once
@@ -535,14 +535,14 @@
 
 def test_a_ring_holds_its_bytes_in_order_whatever_the_sizes():
     rng = Random(3)
-    ring, model = Ring(50), b""
+    ring, model = RingBuffer(50), b""
     for step in range(3000):
-        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[: ring.room]
-        ring.put(content)
+        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[: ring.free_bytes]
+        ring.append(content)
         model += content
         assert len(ring) == len(model) and ring.line_length() == model.find(b"\n") + 1
         number = rng.randrange(len(model) + 1)
-        assert ring.take(number) == model[:number]
+        assert ring.read(number) == model[:number]
         model = model[number:]
 
 
