--- a/corklift/net/__init__.py
+++ b/corklift/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real balancer: sockets, time and discovery round one Balancer. It takes no decision of its own."""
+"""The network side of a balancer process. All decisions are made by `corklift.policy`."""
--- a/corklift/net/backoff.py
+++ b/corklift/net/backoff.py
@@ -1,9 +1,9 @@
-"""How long to leave a service alone that has failed.
+"""Exponential backoff with jitter, for one caller among many that share no state.
 
-Owns the waits between calls of one caller among many that share nothing. Must never read a clock, wait, or know what
-is called. The first wait is short, as a lone fault is over at once; each further one is about twice as long, up to a
-bound, and drawn at random. Guards against a service that is overbooked and kept so: dozens of callers that start or
-fail together would come back together, and at a fixed pace their calls alone are more than it can answer.
+The first delay is short because a single fault is usually over at once. Each further delay is about
+twice as long, up to a maximum, and random. Otherwise dozens of callers that start or fail together
+would return together and keep an overloaded service overloaded: at a fixed interval their calls
+alone can exceed its capacity. The class reads no clock and does not wait itself.
 """
 
 from __future__ import annotations
@@ -12,14 +12,18 @@
 
 
 class Backoff:
-    SPREAD = 0.5  # of a wait, either way
+    """The delays of one caller. Create a new object after a success."""
 
-    def __init__(self, rng: Random, least: int, most: int) -> None:
-        self._rng, self._least, self._most = rng, least, max(least, most)
-        self.failures = 0  # since it was made; a new one is made after a success
+    JITTER = 0.5  # fraction of a delay by which it varies either way
 
-    def failed(self) -> int:
-        """Takes note of a failure; returns how long to wait before the next call, in ns."""
-        grown = self._least << min(self.failures, 32)
+    def __init__(self, rng: Random, min_delay: int, max_delay: int) -> None:
+        self._rng, self._min_delay, self._max_delay = rng, min_delay, max(min_delay, max_delay)
+        self.failures = 0
+
+    def next_delay(self) -> int:
+        """Counts a failure and returns the delay before the next call, in ns."""
+        delay = self._min_delay << min(self.failures, 32)
         self.failures += 1
-        return int(min(grown, self._most) * self._rng.uniform(1 - self.SPREAD, 1 + self.SPREAD))
+        return int(
+            min(delay, self._max_delay) * self._rng.uniform(1 - self.JITTER, 1 + self.JITTER)
+        )
--- a/corklift/net/blocking.py
+++ b/corklift/net/blocking.py
@@ -1,6 +1,6 @@
-"""What a task does with a stream and waits for: a door, a connect, a message out, an end that is seen out.
+"""Blocking operations of a task on a stream: connect, send all, drain and close; and listening.
 
-Owns nothing. Must never wait past the time it is given, or know what is said.
+None of them waits past its deadline `until`, or interprets the bytes.
 """
 
 from __future__ import annotations
@@ -13,15 +13,21 @@
 
 
 class Gone(Exception):
-    """The connection has ended or never stood."""
+    """The peer closed the connection, or the connect failed.
+
+    The class name is printed in log lines that a tool matches.
+    """
 
 
 class Late(Exception):
-    """No answer within its time."""
+    """The deadline has passed.
+
+    The class name is printed in log lines that a tool matches.
+    """
 
 
 def listening_socket(address: tuple[str, int]) -> socket.socket:
-    """Listens at once."""
+    """Returns a non-blocking socket that listens on the address."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -35,6 +41,12 @@
 
 
 def connect(scheduler: Scheduler, limits: Limits, address: tuple[str, int], until: int) -> Stream:
+    """Returns a connected stream.
+
+    Raises:
+        Gone: the connect failed.
+        Late: the deadline has passed.
+    """
     stream = Stream.connect(address, limits)
     try:
         while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
@@ -49,6 +61,12 @@
 
 
 def send_all(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
+    """Writes the content and waits until the socket has taken all of it.
+
+    Raises:
+        Gone: the connection broke.
+        Late: the deadline has passed.
+    """
     stream.write(content)
     while len(stream.send_buffer):
         if stream.broken:
@@ -60,7 +78,10 @@
 
 
 def drain_and_close(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
-    """Writes a last line, ends, and takes in what still comes, so that no reset overtakes the line."""
+    """Writes a last line, shuts down writing, discards input until the peer closes, then closes.
+
+    Closing with unread input would send a reset, which may overtake the line.
+    """
     if line and not stream.closed and stream.send_buffer.free_bytes >= len(line):
         stream.write(line)
     while not stream.broken and not stream.closed and scheduler.now() < until:
--- a/corklift/net/upkeep.py
+++ b/corklift/net/upkeep.py
@@ -94,7 +94,7 @@
     def _make_way(self) -> bool:
         """Ends the kept connection that has idled longest. Guards against servers never probed for want of one."""
         for server, asked in self._asked.items():
-            if not asked and self._tasks[server].problem is None:
+            if not asked and self._tasks[server].pending_exception is None:
                 self._scheduler.interrupt(self._tasks[server], Gone())
                 return True
         return False
@@ -276,7 +276,7 @@
                 if isinstance(problem, Malformed):
                     self._index = None  # begin anew with the whole list
                 backoff = self._refusals if isinstance(problem, Overbooked) else self._faults
-                self._scheduler.sleep(backoff.failed())
+                self._scheduler.sleep(backoff.next_delay())
 
     def _drop(self) -> None:
         if self._stream is not None:
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -34,12 +34,13 @@
     backoffs = [Backoff(Random(number), 5 * SECOND, 20 * SECOND) for number in range(40)]
     assert heard(40, lambda number: SECOND // 20, work, patience, 20, 60 * SECOND) < 20
     assert (
-        heard(40, lambda number: backoffs[number].failed(), work, patience, 20, 60 * SECOND) == 40
+        heard(40, lambda number: backoffs[number].next_delay(), work, patience, 20, 60 * SECOND)
+        == 40
     )
 
 
 def test_waits_grow_apart_up_to_their_bound():
     waits = [Backoff(Random(number), 100, 1000) for number in range(200)]
     for middle in (100, 200, 400, 800, 1000, 1000):
-        drawn = [backoff.failed() for backoff in waits]
+        drawn = [backoff.next_delay() for backoff in waits]
         assert middle / 2 <= min(drawn) < 0.6 * middle and 1.4 * middle < max(drawn) <= 1.5 * middle
