--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -40,7 +40,7 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option("--check", is_flag=True, help="Only read the file and say whether it holds.")
 def serve(file: str, check: bool) -> None:
-    from corklift.net.limits import BadConfig
+    from corklift.net.limits import ConfigError
     from corklift.serve import check as look
     from corklift.serve import main as start
 
@@ -48,7 +48,7 @@
         sys.exit(start(file))
     try:
         click.echo(look(file))
-    except BadConfig as problem:
+    except ConfigError as problem:
         raise click.ClickException(str(problem)) from None
 
 
--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -10,14 +10,14 @@
 from typing import Any, NamedTuple
 
 from corklift.interface import NoteKind
-from corklift.net.limits import BadConfig, Limits, allow_sockets, need
+from corklift.net.limits import ConfigError, Limits, raise_descriptor_limit, require_key
 from corklift.net.parsers import Listing, Malformed, parse_listing
 from corklift.settings import BadSettings, report_names, told_figure, translate
 
 
 def address(config: Any, key: str, told: str | None = None) -> tuple[str, int]:
     """An address of the configuration, or the one that the environment tells instead."""
-    text = told or need(config, key, str)
+    text = told or require_key(config, key, str)
     host, _, port = text.rpartition(":")
     try:
         # Guards against a name, whose look-up would block everything at each connect.
@@ -25,26 +25,26 @@
         if not (port.isascii() and port.isdecimal()) or int(port) > 65535:
             raise ValueError
     except (OSError, ValueError):
-        raise BadConfig(f"config: {key} holds {text!r:.60}") from None
+        raise ConfigError(f"config: {key} holds {text!r:.60}") from None
     return host, int(port)
 
 
 def _names(settings: dict[str, Any], key: str) -> list[str]:
     names = settings.get(key) or []
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise BadConfig(f"config: settings.{key} holds {names!r:.60}")
+        raise ConfigError(f"config: settings.{key} holds {names!r:.60}")
     return names
 
 
 def read(path: str | None) -> Any:
     """The file of `run`: JSON."""
     if not path:
-        raise BadConfig("config: BALANCER_CONFIG is not set")
+        raise ConfigError("config: BALANCER_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             return json.load(file)
     except (OSError, ValueError, RecursionError) as problem:
-        raise BadConfig(f"config: BALANCER_CONFIG: {problem}") from None
+        raise ConfigError(f"config: BALANCER_CONFIG: {problem}") from None
 
 
 class Configuration(NamedTuple):
@@ -69,30 +69,32 @@
         listen, discovery = address(config, "listen"), address(config, "discovery")
         operated = bool(admin_told) or "admin_addr" in config
         admin = address(config, "admin_addr", admin_told) if operated else None
-        seed = need(config, "seed", (str, int))
+        seed = require_key(config, "seed", (str, int))
         try:
             seed = seed if isinstance(seed, int) else int(seed, 16)
         except ValueError:
-            raise BadConfig(f"config: seed holds {seed!r:.60}") from None
-        settings = need(config, "settings", dict)
+            raise ConfigError(f"config: seed holds {seed!r:.60}") from None
+        settings = require_key(config, "settings", dict)
         try:
             arguments, _ = translate(settings)
             names, told = report_names(settings), told_figure(settings)
         except BadSettings as problem:
-            raise BadConfig(str(problem)) from None
+            raise ConfigError(str(problem)) from None
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
-            raise BadConfig(f"config: settings: {problem!r:.60}") from None
+            raise ConfigError(f"config: settings: {problem!r:.60}") from None
         try:
-            known = parse_listing(need(config, "known", dict))
+            known = parse_listing(require_key(config, "known", dict))
         except Malformed as problem:
-            raise BadConfig(f"config: known: {problem}") from None
-        allow = need(settings, "permissions", dict, "settings.")
-        connect_time = need(allow, "connect-timeout-ns", int, "settings.permissions.")
+            raise ConfigError(f"config: known: {problem}") from None
+        allow = require_key(settings, "permissions", dict, "settings.")
+        connect_time = require_key(allow, "connect-timeout-ns", int, "settings.permissions.")
         longest = max(workload.time_limit for workload in arguments["workloads"])
-        given = need(config, "limits", dict)
-        given = given | {"sockets": allow_sockets(need(given, "sockets", int, "limits."))}
+        given = require_key(config, "limits", dict)
+        given = given | {
+            "sockets": raise_descriptor_limit(require_key(given, "sockets", int, "limits."))
+        }
         try:
-            limits = Limits.of(
+            limits = Limits.from_deployment(
                 given,
                 connect_time,
                 len(known.entries),
@@ -102,7 +104,7 @@
                 operated,
             )
         except OverflowError:
-            raise BadConfig(f"config: limits holds {given!r:.60}") from None
+            raise ConfigError(f"config: limits holds {given!r:.60}") from None
         return cls(
             listen,
             discovery,
@@ -114,7 +116,7 @@
             told,
             _names(settings, "localities"),
             _names(settings, "skus"),
-            need(allow, "keepalive-ns", int, "settings.permissions."),
+            require_key(allow, "keepalive-ns", int, "settings.permissions."),
             admin,
             config,
         )
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -16,7 +16,7 @@
 from corklift.interface import ColdRule, Workload
 from corklift.net.limits import Limits
 from corklift.rpc.core import MS, SECOND, RpcLimits
-from corklift.toml_tables import Table, fault
+from corklift.toml_tables import Table, locate_error
 
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
@@ -250,7 +250,7 @@
     try:
         return Control(msgspec.toml.decode(content, type=ControlTable))
     except msgspec.ValidationError as problem:
-        key, text = fault(problem)
+        key, text = locate_error(problem)
         raise BadConfig(f"config: {key}: {text}") from None
     except (msgspec.DecodeError, ValueError, RecursionError) as problem:
         raise BadConfig(f"config: not TOML: {problem}") from None
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -26,7 +26,7 @@
 from corklift.control.weights import Told, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
+from corklift.net.limits import MS, SECOND, Counters, Printer, raise_descriptor_limit
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.upkeep import Probes, Watch
@@ -382,7 +382,7 @@
     try:
         config = read(path)
         wanted = config.rpc.connections + config.net.probes + STANDARD_FILES
-        allowed = allow_sockets(wanted)
+        allowed = raise_descriptor_limit(wanted)
         program = Program(config, path)
         if allowed < wanted:
             program.lines.say(
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -12,7 +12,7 @@
 
 from corklift.interface import ColdRule, Effect, Reach, Workload
 from corklift.lab.clock import MS
-from corklift.toml_tables import Table, fault
+from corklift.toml_tables import Table, locate_error
 
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 Whole = Annotated[int, Meta(ge=0, le=1_000_000_000)]
@@ -195,7 +195,7 @@
 
 
 def _told(problem: msgspec.ValidationError) -> str:
-    key, text = fault(problem)
+    key, text = locate_error(problem)
     return f"{key}: {text}"
 
 
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -17,23 +17,25 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-STANDARD_FILES = 8  # standard streams, listener, signal pair, and some that the interpreter opens
+RESERVED_DESCRIPTORS = (
+    8  # standard streams, listener, signal pair, and some that the interpreter opens
+)
 
 
-class BadConfig(Exception):
+class ConfigError(Exception):
     """Names the key that is missing or impossible."""
 
 
-def need(table: Any, key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
+def require_key(table: Any, key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
     if not isinstance(table, dict) or key not in table:
-        raise BadConfig(f"config: {where}{key} is missing")
+        raise ConfigError(f"config: {where}{key} is missing")
     value = table[key]
     if (
         not isinstance(value, kind)
         or isinstance(value, bool)
         or (isinstance(value, float) and not isfinite(value))
     ):
-        raise BadConfig(f"config: {where}{key} holds {value!r:.60}")
+        raise ConfigError(f"config: {where}{key} holds {value!r:.60}")
     return value
 
 
@@ -100,13 +102,13 @@
     printed: int = 20  # lines a second
     print_queue: int = 200  # lines
 
-    def stop_moving(self, accepting: int) -> int:
+    def time_to_move_connections(self, accepting: int) -> int:
         """Over which connections are moved after SIGTERM: what is left but for the last to end."""
         left = self.stop_time - accepting
         return max(left // 2, left - 500 * MS)
 
     @property
-    def doubt_time(self) -> int:
+    def unanswered_line_time(self) -> int:
         """A line that brought nothing back for so long, and again after as long, is told to the decisions."""
         return self.connect_time
 
@@ -117,7 +119,7 @@
         )  # a probe's answer is waited for a little longer than a connect
 
     @classmethod
-    def of(
+    def from_deployment(
         cls,
         limits: Any,
         connect_time: int,
@@ -128,17 +130,19 @@
         operated: bool = False,
     ) -> Limits:
         """From the deployment's limits; each of a fleet's servers may have a probe's connection of its own."""
-        sockets = need(limits, "sockets", int, "limits.")
-        memory = need(limits, "memory_mb", (int, float), "limits.")
+        sockets = require_key(limits, "sockets", int, "limits.")
+        memory = require_key(limits, "memory_mb", (int, float), "limits.")
         probes = max(8, min(2 * servers + 8, sockets // 8))
         waiting = max(8, sockets // 8)
         calls = max(4, min(32, sockets // 16)) if operated else 0
-        left = sockets - STANDARD_FILES - probes - waiting - 2 - (calls + 1 if operated else 0)
+        left = (
+            sockets - RESERVED_DESCRIPTORS - probes - waiting - 2 - (calls + 1 if operated else 0)
+        )
         # A relayed client holds four rings and a greenlet; half of the memory is for these.
         by_memory = int(memory * (1 << 20) / 2) // (5 * cls.ring + 24 * 1024)
         clients = min(left // 2, by_memory)
         if sockets < 1 or clients < 1:
-            raise BadConfig(
+            raise ConfigError(
                 f"config: limits.{'sockets' if left < 2 else 'memory_mb'} leaves no room for a client"
             )
         # The kill comes no sooner than the longest time limit, of 3 s at most, and 0.7 s more after SIGTERM.
@@ -157,7 +161,7 @@
         )
 
 
-def allow_sockets(wanted: int) -> int:
+def raise_descriptor_limit(wanted: int) -> int:
     """Lets this process hold so many descriptors, as far as the system does; returns how many it may."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
@@ -177,7 +181,7 @@
         super().__init__()
         self.answers: Counter[tuple[str, str]] = Counter()  # served, refused or failed, by workload
 
-    def answered(self, word: str, workload: str) -> None:
+    def count_answer(self, word: str, workload: str) -> None:
         """A client of this workload has been served, refused or failed: each once, where the answer is written."""
         self.answers[word, workload] += 1
 
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -233,7 +233,7 @@
     def _admit(self, client: Stream, first: LoginRequest) -> None:
         if self._facade.workload(first.workload) is None:
             if first.workload in self._facade.workloads():
-                self._counters.answered(
+                self._counters.count_answer(
                     "failed", first.workload
                 )  # one that a new configuration has taken away
             raise Malformed("unknown workload")
@@ -254,7 +254,7 @@
             self._turning_away and not first.previous_server
         ):
             self._counters["logins bounced without room"] += 1
-            self._counters.answered("refused", first.workload)
+            self._counters.count_answer("refused", first.workload)
             self._turn_away(client, BUSY)
             return
         self._waiting.pop(client, None)
@@ -312,7 +312,7 @@
         finally:
             self._facade.report_left(ticket)
             if word and word != "served":  # that was counted when it came up
-                self._counters.answered(word, first.workload)
+                self._counters.count_answer(word, first.workload)
             if answer:
                 self._finish(client, answer)
 
@@ -341,7 +341,7 @@
         finally:
             self._standing -= counted
         self._counters["standing connections lost"] += 1
-        self._counters.answered("failed", first.workload)
+        self._counters.count_answer("failed", first.workload)
         self._finish(client, FAILED)
 
     # One hand-off
@@ -425,7 +425,7 @@
         self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: LoginRequest
     ) -> None:
         self._counters["connections up"] += 1
-        self._counters.answered("served", first.workload)
+        self._counters.count_answer("served", first.workload)
         self._open[ticket.number] = ticket
         outcome, last = Outcome.BROKEN, b""
         try:
@@ -461,11 +461,11 @@
                 asked_at = 0
             if self._carry(client, server) and not asked_at:
                 asked_at = self._now()
-                doubt_at = asked_at + self._limits.doubt_time
+                doubt_at = asked_at + self._limits.unanswered_line_time
             if asked_at and doubt_at <= self._now():
                 # Guards against a silent server that is not probed soon: its own connections show it first.
                 self._facade.report_unanswered(ticket, self._now() - asked_at)
-                doubt_at = self._now() + self._limits.doubt_time
+                doubt_at = self._now() + self._limits.unanswered_line_time
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
@@ -563,7 +563,7 @@
         accepting = 0 if self._shared else self._limits.stop_accepting
         self._scheduler.sleep(accepting)
         self._turning_away = not self._shared
-        moving, most = self._limits.stop_moving(accepting), 0
+        moving, most = self._limits.time_to_move_connections(accepting), 0
         while self._now() < began + self._limits.stop_time and (self._held or self._waiting):
             still = sorted(number for number, ticket in self._open.items() if not ticket.to_move)
             left = max(0, began + accepting + moving - self._now())
--- a/corklift/rig/scenario.py
+++ b/corklift/rig/scenario.py
@@ -17,7 +17,7 @@
 from corklift.net.limits import MS, SECOND
 from corklift.rig.fleet import Event, Rig, Shape
 from corklift.rig.links import SOUND, Fault
-from corklift.toml_tables import Table, fault
+from corklift.toml_tables import Table, locate_error
 
 AGREE = 60.0  # seconds in which all that live must come to hold the same; wide: what counts is that they do
 Kind = Literal[
@@ -145,7 +145,7 @@
                 (json if path.endswith(".json") else tomllib).load(file), Scenario
             )
     except msgspec.ValidationError as problem:
-        key, text = fault(problem)
+        key, text = locate_error(problem)
         raise BadScenario(f"{path}: {key}: {text}") from None
     except (OSError, ValueError) as problem:
         raise BadScenario(f"{path}: {problem}") from None
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -20,9 +20,9 @@
 
 from corklift.configuration import Configuration
 from corklift.membership.peers import Peers, split
-from corklift.net.limits import MS, BadConfig, Counters, Limits, Printer, allow_sockets
+from corklift.net.limits import MS, ConfigError, Counters, Limits, Printer, raise_descriptor_limit
 from corklift.service import Part, Process, carry_on
-from corklift.toml_tables import Table, fault
+from corklift.toml_tables import Table, locate_error
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
@@ -82,28 +82,28 @@
             and isinstance(limits, dict)
             and isinstance(limits.get("sockets"), int)
         ):
-            allow_sockets(limits["sockets"])
+            raise_descriptor_limit(limits["sockets"])
             given["limits"] = limits | {"sockets": limits["sockets"] - 3 * self.peers.links - 4}
         return given
 
 
 def read(path: str) -> ServeTable:
     """Raises:
-    BadConfig: names the key at fault.
+    ConfigError: names the key at fault.
     """
     try:
         with open(path, "rb") as file:
             found = msgspec.convert(tomllib.load(file), ServeTable)
     except msgspec.ValidationError as problem:
-        key, text = fault(problem)
-        raise BadConfig(f"config: {key}: {text}") from None
+        key, text = locate_error(problem)
+        raise ConfigError(f"config: {key}: {text}") from None
     except (OSError, ValueError, RecursionError) as problem:
-        raise BadConfig(f"config: {path}: {problem}") from None
+        raise ConfigError(f"config: {path}: {problem}") from None
     peers = found.peers
     if peers is not None:
         if peers.at[0] == "0.0.0.0" and peers.advertise is None:
             # Guards against a member that tells all others to call themselves.
-            raise BadConfig(
+            raise ConfigError(
                 "config: peers.advertise is missing: listen holds every address, and others need one"
             )
         for key, address in [
@@ -116,11 +116,11 @@
             try:
                 socket.inet_pton(socket.AF_INET, host)
             except OSError:
-                raise BadConfig(
+                raise ConfigError(
                     f"config: peers.{key} holds {address!r}, an IPv4 address and a port are needed"
                 ) from None
             if port > 65535:
-                raise BadConfig(f"config: peers.{key} holds {address!r}: there is no such port")
+                raise ConfigError(f"config: peers.{key} holds {address!r}: there is no such port")
     return found
 
 
@@ -155,7 +155,7 @@
     def make() -> Process:
         given = read(path)
         if given.peers is not None and os.environ.get("BALANCER_LISTEN_FD"):
-            raise BadConfig(
+            raise ConfigError(
                 "environment: BALANCER_LISTEN_FD is set: with peers no socket is taken over, as both would have one name"
             )
         name = given.peers.name if given.peers else ""
@@ -201,7 +201,7 @@
 
 def check(path: str) -> str:
     """Raises:
-    BadConfig: names the key at fault.
+    ConfigError: names the key at fault.
     """
     given = read(path)
     whole = Configuration.of(given.whole())
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -21,7 +21,7 @@
 from corklift.net.admin import Admin, Desk, figures
 from corklift.net.facade import Facade
 from corklift.net.kin import folder
-from corklift.net.limits import MS, SECOND, BadConfig, Counters, Printer, Seconds
+from corklift.net.limits import MS, SECOND, ConfigError, Counters, Printer, Seconds
 from corklift.net.overlap import Overlap
 from corklift.net.relay import Relay
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
@@ -45,7 +45,7 @@
             problem = "is no listening socket over IPv4"
         except (OSError, OverflowError) as found:
             problem = found
-    raise BadConfig(f"environment: BALANCER_LISTEN_FD holds {text!r:.40}: {problem}")
+    raise ConfigError(f"environment: BALANCER_LISTEN_FD holds {text!r:.40}: {problem}")
 
 
 class Part(Protocol):
@@ -181,14 +181,16 @@
                 old.whole | {"known": None, "admin_addr": None}, new.whole | {"admin_addr": None}
             )
             if lacks is not None:
-                raise BadConfig(f"config: {lacks} is missing, which the configuration in force has")
+                raise ConfigError(
+                    f"config: {lacks} is missing, which the configuration in force has"
+                )
             if new.listen != old.listen and not self._stopping and not self._shares:
                 self.port = self.relay.listen(new.listen)
             if new.admin != old.admin and new.admin is not None:
                 self.admin_port = self.admin.listen(new.admin)
-        except (BadConfig, OSError) as problem:
+        except (ConfigError, OSError) as problem:
             self.counters["configurations refused"] += 1
-            what = problem if isinstance(problem, BadConfig) else f"config: listen: {problem}"
+            what = problem if isinstance(problem, ConfigError) else f"config: listen: {problem}"
             self.printer.say(f"{what}; the old configuration stays in force", always=True)
             return
         self._configuration, self.limits = new, new.limits
@@ -313,7 +315,7 @@
     signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
     try:
         process = make()
-    except BadConfig as problem:
+    except ConfigError as problem:
         print(f"corklift: {problem}", file=sys.stderr)
         return 2
     except OSError as problem:
--- a/corklift/toml_tables.py
+++ b/corklift/toml_tables.py
@@ -1,7 +1,6 @@
-"""Typed tables for files that people write, and where one of them is wrong.
+"""Base class of the typed tables of TOML files, and the location of an error in one.
 
-Owns what all such forms have in common. Must never know what a key is for. Imported by programs that read TOML, never by
-the balancer.
+Imported only by commands that read TOML files; `corklift run` reads JSON and must not import it.
 """
 
 from __future__ import annotations
@@ -12,11 +11,11 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """A table that takes the keys it names and no other."""
+    """A table that accepts only the keys it declares."""
 
 
-def fault(problem: msgspec.ValidationError) -> tuple[str, str]:
-    """The key at fault, a missing one included, and what is wrong with it."""
+def locate_error(problem: msgspec.ValidationError) -> tuple[str, str]:
+    """Returns the key at fault, which may be a missing one, and what is wrong with it."""
     # "Expected `int` - at `$.weights.every_ms`"
     found = re.fullmatch(r"(.*?) - at `\$\.?(.*)`", str(problem), re.DOTALL)
     key, text = (found[2], found[1]) if found else ("", str(problem))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -21,7 +21,7 @@
     decode,
     encode,
 )
-from corklift.net.limits import BadConfig
+from corklift.net.limits import ConfigError
 from corklift.serve import check
 
 SECOND = 1_000_000_000
@@ -210,7 +210,7 @@
     ):
         assert change[0] in whole
         path.write_text(whole.replace(*change, 1))
-        with pytest.raises(BadConfig, match=key.replace(".", r"\.")):
+        with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
             check(str(path))
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import Login, NoteKind, Outcome, Report, Scope
-from corklift.net.limits import BadConfig, Counters, Limits, Printer
+from corklift.net.limits import ConfigError, Counters, Limits, Printer
 from corklift.net.parsers import (
     HttpResponse,
     Malformed,
@@ -673,7 +673,7 @@
 def test_a_log_flood_is_dropped_and_counted(capsys):
     now = [0]
     counters = Counters()
-    limits = Limits.of(
+    limits = Limits.from_deployment(
         {"sockets": 100, "memory_mb": 64}, 200 * MS, 3, 3200 * MS, 10_000 * MS, False
     )
     printer = Printer(limits, lambda: now[0], counters)
@@ -691,7 +691,7 @@
 
 def test_limits_leave_room_for_probes_and_refuse_what_serves_nobody():
     for sockets, memory in ((36, 64), (1024, 192), (20000, 192), (400, 16)):
-        limits = Limits.of(
+        limits = Limits.from_deployment(
             {"sockets": sockets, "memory_mb": memory}, 200 * MS, 12, 3200 * MS, 10_000 * MS, False
         )
         assert 2 * limits.clients + limits.waiting + limits.probes + 10 <= sockets
@@ -701,8 +701,8 @@
         (400, 0, "memory_mb"),
         ("many", 64, "sockets"),
     ):
-        with pytest.raises(BadConfig, match=key):
-            Limits.of(
+        with pytest.raises(ConfigError, match=key):
+            Limits.from_deployment(
                 {"sockets": sockets, "memory_mb": memory},
                 200 * MS,
                 12,
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -17,7 +17,7 @@
 
 from corklift.interface import ColdRule, Outcome, Report
 from corklift.net.kin import Kin
-from corklift.net.limits import BadConfig
+from corklift.net.limits import ConfigError
 from corklift.service import inherited
 from corklift.succession import Life, Stage, Succession, Unreadable, Word, decode, encode
 
@@ -169,7 +169,7 @@
     plain = socket.socket()
     read_end, write_end = os.pipe()
     for text in ("x", "-1", "99999", str(read_end), str(plain.fileno())):
-        with pytest.raises(BadConfig, match="BALANCER_LISTEN_FD"):
+        with pytest.raises(ConfigError, match="BALANCER_LISTEN_FD"):
             inherited(text)
     plain.getsockname()  # and what is no such socket is left as it was
     os.close(read_end)
