--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -54,7 +54,7 @@
     FAILED = 3
 
 
-class NoteKind(IntEnum):
+class MeasurementKind(IntEnum):
     LOAD = 1  # the work a second the connection asks now, ns (same unit as Login.cost)
     DELAY = 2  # how long a message takes at its server now, ns
 
@@ -95,7 +95,7 @@
     busy: float | None = None  # share of its cores in use
 
 
-class Listed(NamedTuple):
+class ListedServer(NamedTuple):
     server: int
     zone: int
     kind: int
@@ -118,5 +118,5 @@
     def set_timer(self, after: int, mark: int) -> None: ...
     def watch_list(self, wanted: bool) -> None: ...
     def fetch_list(self) -> None: ...
-    def tell(self, peer: int | None, content: bytes) -> None: ...
+    def send_to_peer(self, peer: int | None, content: bytes) -> None: ...
     def log(self, text: str) -> None: ...
