--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -354,10 +354,10 @@
             seat = self.seats[balancer]
             if login not in seat.open and not seat.timers and not seat.probes:
                 return f"rule 1: login {login} is never answered"
-            if login not in seat.open and not getattr(seat.policy, "_held", {}).get(login):
+            if login not in seat.open and not getattr(seat.policy, "_active_logins", {}).get(login):
                 return f"rule 1: login {login} is forgotten without an answer"
         for seat in self.seats:
-            held = set(getattr(seat.policy, "_held", ()))
+            held = set(getattr(seat.policy, "_active_logins", ()))
             if (
                 held
                 - set(seat.open)
--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -111,9 +111,9 @@
 
     def __init__(self, seat: Seat, policy: Any) -> None:
         super().__init__(seat, policy)
-        hand_offs = getattr(policy, "_hand_offs", None)
-        if hand_offs is not None:
-            hand_offs.allowed = lambda held: lambda server: True
+        retry_policy = getattr(policy, "_retry_policy", None)
+        if retry_policy is not None:
+            retry_policy.server_filter = lambda state: lambda server: True
 
 
 # The fault, and the check that must find it.
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -352,18 +352,20 @@
         for seat in self.seats:
             if not seat.alive or now - seat.started_at < UNPROBED:
                 continue
-            some_only = getattr(getattr(seat.policy, "_counts", None), "some_only", True)
+            probes_subset = getattr(
+                getattr(seat.policy, "_load_reports", None), "probes_subset", True
+            )
             for line in seat.known.values():
                 heard = seat.probed_at.get(line.server, seat.started_at)
                 if (
-                    not some_only
+                    not probes_subset
                     and line.status is Status.READY
                     and now - max(heard, line.started_at) > UNPROBED
                 ):
                     found["probing"] = (
                         f"balancer {seat.number} has not probed server {line.server} for {(now - heard) / SECOND:.1f} s"
                     )
-            held = getattr(seat.policy, "_held", None)
+            held = getattr(seat.policy, "_active_logins", None)
             if held is not None and len(held) > len(seat.ways) + 5 + 0.05 * len(seat.ways):
                 found["counts"] = (
                     f"balancer {seat.number} counts {len(held)} connections, {len(seat.ways)} stand"
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -169,7 +169,7 @@
         core.members(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
         ready = {
             line.server for line in self.known.values() if line.status is Status.READY
-        } - self.policy._roster.out_of_service.keys()
+        } - self.policy._registry.out_of_service.keys()
         core.looked(now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard)
         if core.step >= Step.OPEN:
             core.sized(
@@ -357,7 +357,7 @@
         for line in list(self.known.values()):
             if (
                 line.status is Status.READY
-                and line.server not in self.policy._roster.out_of_service
+                and line.server not in self.policy._registry.out_of_service
             ):
                 self.fleet.clock.after(
                     int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -19,7 +19,7 @@
 from corklift.net import relay
 from corklift.net.facade import Facade
 from corklift.net.relay import Relay
-from corklift.policy import ColdBudget, HandOffs
+from corklift.policy import ColdBudget, RetryPolicy
 from corklift.rig import disks
 from corklift.store import files
 
@@ -118,7 +118,7 @@
 
 def sends_twice() -> None:
     """A once-only login is tried again whatever became of it, and each answer of a server is taken for a failure once."""
-    HandOffs._may_have_run = lambda self, held: []  # type: ignore[method-assign]
+    RetryPolicy._may_have_run = lambda self, state: []  # type: ignore[method-assign]
     plain, seen = relay.server_line, [0]
 
     def read(line: bytes) -> Any:
@@ -148,8 +148,8 @@
 
 def no_cold_guard() -> None:
     """A cold server is drawn like any other."""
-    ColdBudget.chance = lambda self, now, server, held: 1.0  # type: ignore[method-assign]
-    ColdBudget.allows = lambda self, now, server, held, rng: True  # type: ignore[method-assign]
+    ColdBudget.admission_probability = lambda self, now, server, state: 1.0  # type: ignore[method-assign]
+    ColdBudget.admits = lambda self, now, server, state, rng: True  # type: ignore[method-assign]
 
 
 def speaks_twice() -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -240,7 +240,7 @@
     assert wire.ask(post("/admin/uncordon", {"member": "s1"}))[0] == 200
     wire.change(wire.entry("s1"))
     wire.run(1500)
-    assert wire.process.facade._balancer._roster.servers.keys() == wire.process.facade._ready
+    assert wire.process.facade._balancer._registry.servers.keys() == wire.process.facade._ready
     wire.lines.clear()
     for number in range(12):
         wire.client(f"b{number}", OPEN)
@@ -310,10 +310,10 @@
         if listed_late:
             scene.listed(1, scope=Scope.DELTA, started_at=started)
         balancer = scene.balancer
-        known = balancer._roster.servers[1]
+        known = balancer._registry.servers[1]
         assert known.status is Status.READY and known.count is None
         for at in range(0, 12_000, 500):
-            assert balancer._cold.is_cold(scene.now, known) is (at < cold_for), at
+            assert balancer._cold_budget.is_cold(scene.now, known) is (at < cold_for), at
             scene.run(500)
         assert balancer.known_and_excluded_servers(scene.now) == (2, 0)
 
--- a/tests/test_chances.py
+++ b/tests/test_chances.py
@@ -151,7 +151,7 @@
     scene.now += 2700 * MS
     for server in (1, 2):
         balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(5))
-    logins = balancer._means.rate(scene.now)
+    logins = balancer._probe_budget.login_rate(scene.now)
     assert balancer.draw_probabilities(scene.now, 0, SECOND)[1] * logins <= 1.0 + 1e-9
     balancer.placed_by_others(scene.now, 1, 1, 0)
     assert balancer.draw_probabilities(scene.now, 0, SECOND)[1] > 0.2
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -235,7 +235,7 @@
     answers = Counter(
         line.split()[2] for line in scene.lines if line.split()[1] in ("bounce", "terminate")
     )
-    open_ones = set(scene.balancer._held)
+    open_ones = set(scene.balancer._active_logins)
     assert all(count == 1 for count in answers.values())
     assert {int(login) for login in answers} | open_ones == set(range(1, 30))
 
@@ -259,7 +259,7 @@
     scene.ends(6, Outcome.CANCELLED, closed=True)
     scene.balancer.login_dropped(scene.now, 6)
     scene.check("ended")
-    assert not scene.balancer._held
+    assert not scene.balancer._active_logins
 
 
 def test_a_server_noted_late_with_messages_gets_nothing_new_for_a_while():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -792,8 +792,8 @@
     scene.run(4000)
     scene.balancer.connection_resumed(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
     scene.auto[2] = Outcome.TIMED_OUT
-    server = scene.balancer._roster.servers[2]
-    while scene.balancer._counts.heard(scene.now, server):
+    server = scene.balancer._registry.servers[2]
+    while scene.balancer._load_reports.is_recent(scene.now, server):
         scene.run(10)
     asked = len(scene.asked)
     scene.balancer.measurement_received(
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -110,7 +110,9 @@
         made.auto = {1: Report(20, 0.5)}
         made.listed(1, started_at=made.now)
         for _ in range(40):
-            made.balancer._counts.take(made.now, made.balancer._roster.servers[1], Report(20, 0.5))
+            made.balancer._load_reports.record(
+                made.now, made.balancer._registry.servers[1], Report(20, 0.5)
+            )
         return made
 
     alone = scene()
@@ -163,7 +165,7 @@
     assert (
         draw.total_load == 0
         and not draw.group_load
-        and not any(s.groups for s in new.balancer._roster.ready)
+        and not any(s.groups for s in new.balancer._registry.ready)
     )
 
 
