--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -1,7 +1,8 @@
-"""What the decisions need from their surroundings (Host) and the plain values both sides exchange.
+"""The interface between the decisions (`corklift/policy.py`) and the program around them.
 
-Times are whole nanoseconds of the host's one clock; logins, servers, groups and subjects are ids that are
-only compared and handed back. 0 stands for an absent id.
+`Host` is what the decisions may ask for; the other types are the values that both sides exchange.
+Times are whole nanoseconds of the host's clock. Logins, servers, groups and subjects are opaque
+ids that are only compared and passed back; 0 stands for an absent id.
 """
 
 from __future__ import annotations
@@ -11,9 +12,14 @@
 
 
 class Effect(Enum):
-    REPEATABLE = "repeatable"  # may run again
-    TAGGED = "tagged"  # repeats are recognised within a group of servers, for a while
-    ONCE_ONLY = "once-only"  # must never run twice
+    """Whether a login may run more than once."""
+
+    # May run any number of times.
+    REPEATABLE = "repeatable"
+    # Repeats are recognised by a set of servers (`Reach`) for a limited time.
+    TAGGED = "tagged"
+    # Never runs twice.
+    ONCE_ONLY = "once-only"
 
 
 class Reach(Enum):
@@ -25,7 +31,7 @@
 
 
 class Outcome(Enum):
-    """How a hand-off or a probe ended. `proves_not_run` tells what may safely be sent again."""
+    """How a hand-off or a probe ended."""
 
     FULFILLED = "fulfilled"
     ERROR = "error"
@@ -38,28 +44,43 @@
 
     @property
     def proves_not_run(self) -> bool:
+        """Whether the login certainly did not run, so that it may be sent again safely."""
         return self in (Outcome.FULL, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
 
 
 class Status(IntEnum):
+    """A server's status in discovery's list."""
+
     GONE = 0
     READY = 1
     DRAINING = 2
 
 
 class Scope(IntEnum):
+    """What an update of the server list holds."""
+
+    # Only the servers that changed.
     DELTA = 0
+    # All servers.
     FULL = 1
+    # All servers, from a stored copy rather than from discovery.
     CACHED = 2
+    # Nothing: the list watch failed.
     FAILED = 3
 
 
 class MeasurementKind(IntEnum):
-    LOAD = 1  # the work a second the connection asks now, ns (same unit as Login.cost)
-    DELAY = 2  # how long a message takes at its server now, ns
+    """What a server measures and sends on an open connection."""
+
+    # The connection's current demand, in ns of work per second (the unit of Login.cost).
+    LOAD = 1
+    # How long a message currently takes at its server, in ns.
+    DELAY = 2
 
 
 class Workload(NamedTuple):
+    """A kind of login and its limits."""
+
     name: str
     importance: float
     soft_limit: int
@@ -67,46 +88,69 @@
     effect: Effect = Effect.REPEATABLE
     reach: Reach = Reach.ALL
     dedup_window: int = 0
-    message_limit: int = 0  # within which a message on an open connection is wanted; 0: not told
+    # The longest acceptable delay of a message on an open connection; 0: not configured.
+    message_limit: int = 0
 
 
 class ColdRule(NamedTuple):
-    start_share: float  # a server starts with at least this share of its capacity
-    ramp: int  # and is warm after this
-    multiple: float  # sent more than this multiple of what it can do ...
-    span: int  # ... for this long, it falls
+    """How quickly a server that has just started may be given load."""
+
+    # The share of its full capacity that a server has at its start.
+    start_share: float
+    # How long it takes to reach full capacity.
+    ramp: int
+    # A server fails if it is sent more than this multiple of its current capacity ...
+    multiple: float
+    # ... for this long.
+    span: int
 
 
 class Login(NamedTuple):
+    """A client's request for a connection to a server."""
+
     login: int
     workload: int
     tenant: int
     subject: int
     time_limit_at: int
-    cost: int | None  # expected work a second, ns; None when not told
+    # Expected work per second, in ns; None: unknown.
+    cost: int | None
     group: int
-    mid_flow: bool = False  # packets of a connection already open somewhere
-    came_back: bool = False  # after a break or a move
+    # These are packets of a connection that is already open on some server.
+    mid_flow: bool = False
+    # The client returns after its connection broke or was moved.
+    came_back: bool = False
 
 
 class Report(NamedTuple):
-    count: float | None = None  # open connections
-    pressure: float | None = None  # load asked over what the server can do
-    busy: float | None = None  # share of its cores in use
+    """A server's report of its load; fields that it does not report are None."""
+
+    # Open connections.
+    count: float | None = None
+    # Demand over capacity.
+    pressure: float | None = None
+    # The share of its cores in use.
+    busy: float | None = None
 
 
 class ListedServer(NamedTuple):
+    """One server of discovery's list."""
+
     server: int
     zone: int
     kind: int
     cell: int
     status: Status
     weight: float
-    started_at: int  # 0: long past
+    # 0: long ago.
+    started_at: int
 
 
 class Host(Protocol):
-    """What a Balancer may do. Every call takes effect at once and returns nothing."""
+    """The actions that a Balancer may take.
+
+    Every call takes effect at once and returns nothing.
+    """
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None: ...
     def cancel(self, login: int, attempt: int) -> None: ...
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -1,12 +1,14 @@
-"""Every decision of corklift, for every deployment.
+"""All placement decisions of corklift, for every deployment.
 
-How to call it: make one `Balancer` an instance, with a `Host` to act on, a `random.Random` of its own and the
-settings in our words; then call the method named for each thing that happens, with the host's clock. All
-actions are calls on the host, made before the method returns. The interface: `corklift/interface.py`.
+Usage: create one `Balancer` per instance with a `Host` that carries out its actions, a
+`random.Random` of its own and the settings as keyword arguments. Call the method named for each
+event, with the host's clock. All actions are calls on the host that are made before the method
+returns. The types of both sides are in `corklift/interface.py`.
 
-The ordinary path is the design's: each ready server is probed for its open-connection count about once a
-second at a random phase, and a login's server is drawn with chance proportional to 1/(count + 1), own
-placements since added. `docs/design.md` lists each departure and when it acts.
+The ordinary path: every ready server is probed for its number of open connections about once a
+second, at a random phase. A login's server is drawn with probability proportional to
+1/(count + 1), where the count includes this balancer's own placements since the report.
+`docs/design.md` lists each departure from this rule and when it applies.
 """
 
 from __future__ import annotations
@@ -33,98 +35,114 @@
 )
 from corklift.records import Attempt, Histogram, LoginState, Server
 
+# Durations are in nanoseconds. Utilisation is load over capacity, where 1.0 is a server's limit.
+
 SECOND = 1_000_000_000
-PROBE_PERIOD = SECOND  # the design's "about once a second"
-RELAXED_PROBE_PERIOD = 2 * PROBE_PERIOD  # for a server with much room: probes are paid for
-LOW_UTILISATION = 0.5  # of what a server can do: below it a server has much room
-MAX_REPORT_AGE = 3 * PROBE_PERIOD  # the design's 3 s: a count older than this leaves the draw
-REPORT_LAG = PROBE_PERIOD  # a report may miss placements made this long before it came
-HEADROOM_UTILISATION = (
-    0.7  # of what a server can do: beyond it a server gets nothing new while others have room
-)
-OVERLOAD_UTILISATION = 0.85  # of what a server can do: beyond it connections are moved away
-OVERLOAD_OVER_MEAN = (
-    1.15  # times the fleet's mean pressure: a fleet that is full all over has no hot server
-)
-MOVE_PAUSE = 5 * PROBE_PERIOD // 2  # until a move shows in the reports
-MOVE_FRACTION = 0.5  # of the excess that goes in one step, each balancer its own part of it
-GROUP_CAPACITY_FACTOR = (
-    1.15  # times a group's share of the load: the part of the power it may spread over
-)
-IMPORTANCE_RESERVE = (
-    0.1  # of what a server can do, kept for logins that bring more importance for their load
-)
-EXPENSIVE_ZONE_CROSSING = (
-    0.01  # of a login's worth: a crossing of zones that costs more is avoided while there is room
-)
-DELAY_VALIDITY = (
-    3 * PROBE_PERIOD // 2
-)  # a note of late messages comes once a second while they are late
-EVACUATION_DELAY_FACTOR = (
-    2.0  # times the shortest message limit: past it connections leave a server though it has room
-)
-MAX_DELAYED_FRACTION = (
-    0.75  # of the servers that hold own connections may be late at once, for that
-)
-MAX_BALANCERS_IN_STEP = 4  # balancers, this one too, that are taken to place alike
-GROUP_COST_MARGIN = (
-    0.1  # of what a server can do: what a group may cost a server that does not hold it yet
-)
-FAILURES_TO_EXCLUDE = 2  # failed hand-offs that take a server out of the draw
-UNANSWERED_TO_EVACUATE = 3  # unanswered probes or connects after which a server counts as lost
-COLD_BUDGET_FRACTION = (
-    0.8  # of the cold budget is used; the rest is for chance and for what others send
-)
-FULL_UTILISATION = (
-    0.85  # of what a server can do: nothing new beyond it; a fleet with no server under it bounces
-)
-RESENDS_PER_LOGIN = (
-    0.3  # resends earned by each login; past failures that may be shared, the rest are bounced
-)
-MAX_SAVED_RESENDS = 10.0  # resends that may be saved up
-LOGIN_RATE_HALF_LIFE = 10 * MAX_REPORT_AGE  # over which own logins are counted
-EXPENSIVE_PROBING = (
-    0.02  # of what logins are worth: where probing all servers costs more, only some are probed
-)
-SUBSET_PROBING_COST = (
-    0.005  # of what logins are worth: what the standing probes of some servers may cost then
-)
-FIRST_QUERY_SIZE = (
-    3  # servers asked before a hand-off where only some are probed; later rounds ask more
-)
-MAX_QUERY_ROUNDS = 2
-PENDING_PROBE_REUSE = PROBE_PERIOD // 20  # a probe sent so lately is waited for, not sent again
-QUERY_WAIT_FRACTION = 0.25  # of the soft limit, for one round of answers; half of the time left at most, to end in time
-EXTERNAL_COLD_FRACTION = (
-    0.5  # of a cold server's budget is given to others, who come unevenly and tell of it late
-)
-MAX_ENUMERATED_SERVERS, SAMPLED_COMBINATIONS = (
-    6,
-    2000,
-)  # cold servers all of whose lots are told apart; so many lots where they are more
-EXPECTED_GROUPS = (
-    40  # of unknown size; what is seen of a group's share is drawn towards that of one of them
-)
+# The design asks for a probe about once a second.
+PROBE_PERIOD = SECOND
+# The period for servers below LOW_UTILISATION, because every probe costs something.
+RELAXED_PROBE_PERIOD = 2 * PROBE_PERIOD
+LOW_UTILISATION = 0.5
+# A server whose last report is older than this leaves the draw; the design sets 3 s.
+MAX_REPORT_AGE = 3 * PROBE_PERIOD
+# A report may miss placements that were made less than this before it arrived.
+REPORT_LAG = PROBE_PERIOD
+# Above this utilisation a server gets no new logins while others are below it.
+HEADROOM_UTILISATION = 0.7
+# Above this utilisation connections are moved away from a server ...
+OVERLOAD_UTILISATION = 0.85
+# ... unless it is below this multiple of the fleet's mean: in a uniformly full fleet a move would
+# only shift the load.
+OVERLOAD_OVER_MEAN = 1.15
+# The time until a move shows in the reports; the server moves no further connections before.
+MOVE_PAUSE = 5 * PROBE_PERIOD // 2
+# The fraction of the excess load that one step moves away; each balancer moves its own part.
+MOVE_FRACTION = 0.5
+# The home servers of a group with a share s of the load have this multiple of s of the fleet's
+# capacity.
+GROUP_CAPACITY_FACTOR = 1.15
+# The utilisation reserved for the logins with the highest importance for their load.
+IMPORTANCE_RESERVE = 0.1
+# A zone crossing that costs more than this fraction of a login's value is avoided while the
+# balancer's own zone has headroom.
+EXPENSIVE_ZONE_CROSSING = 0.01
+# How long a measured message delay is valid; servers repeat it every second while it lasts.
+DELAY_VALIDITY = 3 * PROBE_PERIOD // 2
+# Connections leave a server with headroom whose message delay exceeds this multiple of the shortest
+# message limit ...
+EVACUATION_DELAY_FACTOR = 2.0
+# ... if at most this fraction of the servers that hold own connections is delayed at the same time.
+MAX_DELAYED_FRACTION = 0.75
+# At most this many balancers, including this one, are assumed to place the same load on the same
+# server at the same time.
+MAX_BALANCERS_IN_STEP = 4
+# The utilisation that a group may add to a server that does not hold it yet.
+GROUP_COST_MARGIN = 0.1
+# Failed hand-offs in a row that exclude a server from the draw.
+FAILURES_TO_EXCLUDE = 2
+# Unanswered probes or connects in a row after which a server counts as lost.
+UNANSWERED_TO_EVACUATE = 3
+# The fraction of a cold server's budget in use; the rest covers random variation and what other
+# balancers send.
+COLD_BUDGET_FRACTION = 0.8
+# Above this utilisation a server gets no new logins; if no server is below it, logins are bounced.
+FULL_UTILISATION = 0.85
+# Each login earns this many resends after failures that may have a common cause, and at most
+# MAX_SAVED_RESENDS are saved; beyond that, logins are bounced.
+RESENDS_PER_LOGIN = 0.3
+MAX_SAVED_RESENDS = 10.0
+# Own logins are counted with this half-life.
+LOGIN_RATE_HALF_LIFE = 10 * MAX_REPORT_AGE
+# If probing all servers costs more than this fraction of the logins' value, a subset is probed ...
+EXPENSIVE_PROBING = 0.02
+# ... whose periodic probes may cost this fraction of the logins' value.
+SUBSET_PROBING_COST = 0.005
+# With subset probing: how many servers are queried before a hand-off; later rounds query more.
+FIRST_QUERY_SIZE = 3
+# The number of the last round; rounds are counted from 0.
+LAST_QUERY_ROUND = 2
+# A query waits for a pending probe that was sent less than this ago; a server whose probe has been
+# pending for longer is not queried.
+PENDING_PROBE_REUSE = PROBE_PERIOD // 20
+# The fraction of the soft limit that one round of queries may take. It takes at most half of the
+# time that is left, so that queries end within the time limit.
+QUERY_WAIT_FRACTION = 0.25
+# The fraction of a cold server's budget that is given to external placers, which send unevenly and
+# report late.
+EXTERNAL_COLD_FRACTION = 0.5
+# Up to this many partly admitted cold servers, all combinations of who is admitted are enumerated;
+# beyond it, this many random combinations are sampled.
+MAX_ENUMERATED_SERVERS, SAMPLED_COMBINATIONS = 6, 2000
+# The assumed number of groups; the estimate of a group's share starts from 1/EXPECTED_GROUPS.
+EXPECTED_GROUPS = 40
 
 
 class ServerRegistry:
-    """The servers as the list tells of them, and those that operators have taken out: two words, neither of
-    which stands for the other."""
+    """The servers of discovery's list and those that operators have taken out of service.
+
+    The two are independent: neither the list nor an operator overrides the other.
+    """
 
     def __init__(self) -> None:
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
-        self.version = 0  # of who is ready
-        self.out_of_service: dict[int, int] = {}  # when operators took a server out, listed or not
-        self._restored_at: dict[int, int] = {}  # when they put back one that was not listed then
+        # Incremented with each change of `ready`.
+        self.version = 0
+        # When operators took each server out of service, whether or not it is listed.
+        self.out_of_service: dict[int, int] = {}
+        # When operators restored servers that were not listed at that time.
+        self._restored_at: dict[int, int] = {}
 
     def apply(
         self, now: int, scope: Scope, lines: Iterable[ListedServer]
     ) -> tuple[list[Server], list[Server]]:
-        """Takes the list in; returns (started, left): servers new or restarted, servers draining or gone."""
-        started, left, named = [], [], set()
+        """Applies an update of the list.
+
+        Returns (started, left): the new or restarted servers, and those now draining or gone.
+        """
+        started, left, listed_ids = [], [], set()
         for line in lines:
-            named.add(line.server)
+            listed_ids.add(line.server)
             server = self.servers.get(line.server)
             if server is None:
                 if line.status is Status.GONE:
@@ -149,7 +167,7 @@
             server.status = line.status
         if scope is not Scope.DELTA:
             for server in self.servers.values():
-                if server.id not in named and server.status is not Status.GONE:
+                if server.id not in listed_ids and server.status is not Status.GONE:
                     if server.status is Status.READY:
                         left.append(server)
                     server.status = Status.GONE
@@ -167,49 +185,58 @@
             server.ready = server.status is Status.READY and server.id not in self.out_of_service
         self.ready = [server for server in self.servers.values() if server.ready]
 
-    def take_out_of_service(self, now: int, server: int) -> Server | None:
-        """It drains from now on, whatever the list tells, drops or lists anew; returns it if it was ready."""
-        self.out_of_service.setdefault(server, now)
-        left = [known for known in self.ready if known.id == server]
+    def take_out_of_service(self, now: int, server_id: int) -> Server | None:
+        """Keeps the server from being ready, whatever the list says; returns it if it was ready."""
+        self.out_of_service.setdefault(server_id, now)
+        left = [server for server in self.ready if server.id == server_id]
         self._update_ready()
         return left[0] if left else None
 
-    def restore_to_service(self, now: int, server: int) -> Server | None:
-        """Returns it if ready now. Its start is the list's or else now; what it showed before is void."""
-        out_at, known = self.out_of_service.pop(server, None), self.servers.get(server)
+    def restore_to_service(self, now: int, server_id: int) -> Server | None:
+        """Ends an operator's removal; returns the server if it is ready now.
+
+        Earlier measurements and failures are discarded. The server counts as started now, unless
+        the list has a start after its removal.
+        """
+        out_at, server = self.out_of_service.pop(server_id, None), self.servers.get(server_id)
         if out_at is None:
             return None
-        if known is None:
-            self._restored_at[server] = now
+        if server is None:
+            self._restored_at[server_id] = now
             return None
-        if known.started_at <= out_at:
-            known.started_at = now
-        known.listed_at, known.reported_at, known.count, known.utilisation = now, 0, None, None
-        known.failures = known.exclusion_level = known.excluded_until = known.unanswered = (
-            known.trial_login
-        ) = known.full_until = 0
+        if server.started_at <= out_at:
+            server.started_at = now
+        server.listed_at, server.reported_at, server.count, server.utilisation = now, 0, None, None
+        server.failures = server.exclusion_level = server.excluded_until = server.unanswered = (
+            server.trial_login
+        ) = server.full_until = 0
         self._update_ready()
-        return known if known.ready else None
+        return server if server.ready else None
 
 
 class LoadReports:
-    """Reported counts and pressures, their age, and each server's power."""
+    """Reported counts and utilisation, their age, and each server's capacity."""
 
-    def __init__(self, roster: ServerRegistry) -> None:
-        self._registry = roster
+    def __init__(self, registry: ServerRegistry) -> None:
+        self._registry = registry
         self._capacity_by_kind: dict[int, Histogram] = {}
-        self.mean_capacity = 1.0  # connections that fill a server of mean power
+        # How many connections fill a server of mean capacity.
+        self.mean_capacity = 1.0
         self.mean_utilisation = 0.0
         self._next_update_at = 0
         self._unreported_load = 0.0
-        self._available_capacity = 1.0  # of all servers that are not full
-        self.probes_subset = False  # only some servers are probed
-        self._recent_placements: list[tuple[int, Server, int]] = []  # own placements, oldest first
+        # The relative capacity of all servers that are not full.
+        self._available_capacity = 1.0
+        # Only a subset of the servers is probed.
+        self.probes_subset = False
+        # This balancer's placements, oldest first; kept with subset probing only.
+        self._recent_placements: list[tuple[int, Server, int]] = []
 
     def configure(self, balancers: int, weight_varies: bool) -> None:
         self._balancers, self._weight_varies = balancers, weight_varies
 
     def record(self, now: int, server: Server, report: Report) -> None:
+        """Applies a server's report; placements that it must include are no longer added to it."""
         server.count = report.count
         server.utilisation = report.busy if report.pressure is None else report.pressure
         server.reported_at = now
@@ -217,10 +244,10 @@
         for login in [login for login, (at, _, _) in server.unreported.items() if at <= horizon]:
             self.remove_placement(server, login)
         if server.count and server.utilisation and server.count >= 4 and server.utilisation > 0.04:
-            size = server.count / server.utilisation
-            server.capacity.add(size)
-            self._capacity_by_kind.setdefault(server.kind, Histogram()).add(size)
-        # Guards against CPU growing with the square of the fleet: weighed ten times a second at most.
+            capacity = server.count / server.utilisation
+            server.capacity.add(capacity)
+            self._capacity_by_kind.setdefault(server.kind, Histogram()).add(capacity)
+        # At most ten updates a second, so that CPU use does not grow with the square of the fleet.
         if now >= self._next_update_at:
             self._next_update_at = now + (
                 PROBE_PERIOD if self.probes_subset else PROBE_PERIOD // 10
@@ -228,114 +255,145 @@
             self._update_aggregates(now)
 
     def _update_aggregates(self, now: int) -> None:
+        """Recomputes each server's relative capacity and the means over the fleet."""
         ready = self._registry.ready
-        sizes = [size for size in map(self.capacity_of, ready) if size is not None]
-        self.mean_capacity = sum(sizes) / len(sizes) if sizes else 1.0
+        capacities = [capacity for capacity in map(self.capacity_of, ready) if capacity is not None]
+        self.mean_capacity = sum(capacities) / len(capacities) if capacities else 1.0
         weights = [server.weight for server in ready if server.weight > 0]
         mean_weight = sum(weights) / len(weights) if weights else 1.0
-        asked = power = room = 0.0
+        load = total_capacity = available_capacity = 0.0
         for server in ready:
-            size = self.capacity_of(server)
-            if size is not None:
-                server.relative_capacity = size / self.mean_capacity
+            capacity = self.capacity_of(server)
+            if capacity is not None:
+                server.relative_capacity = capacity / self.mean_capacity
             elif server.weight > 0 and not self._weight_varies:
                 server.relative_capacity = server.weight / mean_weight
             if server.utilisation is not None and self.is_fresh(now, server):
-                asked += server.utilisation * server.relative_capacity
-                power += server.relative_capacity
-                room += server.relative_capacity if server.utilisation < FULL_UTILISATION else 0.0
+                load += server.utilisation * server.relative_capacity
+                total_capacity += server.relative_capacity
+                available_capacity += (
+                    server.relative_capacity if server.utilisation < FULL_UTILISATION else 0.0
+                )
             elif self.probes_subset:
-                room += server.relative_capacity
-        self._available_capacity = max(room, 1.0)
-        self.mean_utilisation = asked / power if power else 0.0
+                available_capacity += server.relative_capacity
+        self._available_capacity = max(available_capacity, 1.0)
+        self.mean_utilisation = load / total_capacity if total_capacity else 0.0
 
     def capacity_of(self, server: Server) -> float | None:
-        size = server.capacity.mean
-        if size is None and server.kind in self._capacity_by_kind:
-            size = self._capacity_by_kind[server.kind].mean
-        return size
+        """How many connections fill the server, or one of its kind; None if that is unknown."""
+        capacity = server.capacity.mean
+        if capacity is None and server.kind in self._capacity_by_kind:
+            capacity = self._capacity_by_kind[server.kind].mean
+        return capacity
 
     def is_fresh(self, now: int, server: Server) -> bool:
-        """Ageing: a server unheard of for the age limit is dropped; a new one is given as long to answer."""
+        """Whether the last report is young enough for the draw.
+
+        A server that was listed recently has the same time to send its first report.
+        """
         return now - (server.reported_at or server.listed_at) <= (
             LOGIN_RATE_HALF_LIFE if self.probes_subset else MAX_REPORT_AGE
         )
 
     def is_recent(self, now: int, server: Server) -> bool:
-        """Whether its last report is about as recent as one of the ordinary probes."""
+        """Whether the last report is as recent as that of a server probed every period."""
         return server.reported_at > 0 and now - server.reported_at <= PROBE_PERIOD
 
     def expire_placements(self, now: int) -> None:
-        """Forgets placements that reports hold by now, where most servers are not heard of again soon."""
+        """Removes placements that reports include by now.
+
+        With subset probing, most servers send no report soon that would remove them.
+        """
         while self._recent_placements and self._recent_placements[0][0] <= now - 2 * REPORT_LAG:
             _, server, login = self._recent_placements.pop(0)
             self.remove_placement(server, login)
 
     def add_placement(
-        self, now: int, server: Server, login: int, load: float, alone: float = 0.0
+        self, now: int, server: Server, login: int, load: float, unshared: float = 0.0
     ) -> None:
-        server.unreported[login] = (now, load, alone)
+        """Adds a placement to what the server has reported.
+
+        `unshared` is the part of the load that has no counterpart at the other balancers.
+        """
+        server.unreported[login] = (now, load, unshared)
         server.unreported_load, server.unshared_load = (
             server.unreported_load + load,
-            server.unshared_load + alone,
+            server.unshared_load + unshared,
         )
-        self._unreported_load += load - alone
+        self._unreported_load += load - unshared
         if self.probes_subset:
             self._recent_placements.append((now, server, login))
 
     def remove_placement(self, server: Server, login: int) -> None:
-        _, load, alone = server.unreported.pop(login, (0, 0.0, 0.0))
+        _, load, unshared = server.unreported.pop(login, (0, 0.0, 0.0))
         server.unreported_load -= load
-        server.unshared_load -= alone
-        self._unreported_load -= load - alone
+        server.unshared_load -= unshared
+        self._unreported_load -= load - unshared
 
     def projected_utilisation(self, server: Server) -> float | None:
-        """Pressure with placements since: own ones, and those taken to be made by the other balancers.
+        """The reported utilisation plus all placements since: own ones and assumed ones of others.
 
-        Guards against a flood of returning clients (a drain, a reconnect): each balancer sees a part."""
+        Guards against a flood of returning clients after a drain or a reconnect, of which each
+        balancer sees only a part.
+        """
         if server.utilisation is None:
             return None
-        size = (
-            self.capacity_of(server) or self.mean_capacity
-        )  # Guards against a flood where no size is known yet
-        if size <= 1.0:
+        # Guards against a flood while no capacity is known yet.
+        capacity = self.capacity_of(server) or self.mean_capacity
+        if capacity <= 1.0:
             return server.utilisation
-        # One own login of many balancers' says nothing of the others; two at once say that a flood comes in.
+        # With many balancers, a single own login says nothing about the others; two at once
+        # indicate a flood.
         flood = (
             max(0.0, self._unreported_load - 1.0) if self.probes_subset else self._unreported_load
         )
-        spread = flood * min(1.0, server.relative_capacity / self._available_capacity)
-        alike = min(self._balancers, MAX_BALANCERS_IN_STEP)
-        # A report that was asked for is no fresher, and others of many balancers have placed by it too.
-        met = alike - 1 if self.probes_subset else 0
-        # Guards against refusals when another balancer restarts: its clients come here alone, and only once.
-        own = alike * server.unreported_load - (alike - 1) * server.unshared_load
-        return server.utilisation + (met + own + (self._balancers - alike) * spread) / size
+        even_share = flood * min(1.0, server.relative_capacity / self._available_capacity)
+        in_step = min(self._balancers, MAX_BALANCERS_IN_STEP)
+        # A report that was queried is no fresher than others, and with many balancers some have
+        # placed logins by it too.
+        by_same_report = in_step - 1 if self.probes_subset else 0
+        # Guards against refusals when another balancer restarts: its clients come to this balancer
+        # only, so the other balancers do not place the same load again.
+        by_in_step = in_step * server.unreported_load - (in_step - 1) * server.unshared_load
+        return (
+            server.utilisation
+            + (by_same_report + by_in_step + (self._balancers - in_step) * even_share) / capacity
+        )
 
     def normalised_count(self, server: Server, mean: float) -> float:
-        """Connections of like cost a unit of power: the design's count, for unlike servers and logins."""
+        """Connections of mean cost per unit of relative capacity.
+
+        This is the count of the draw's 1/(count + 1) for unequal servers and logins. `mean` is used
+        for servers that have reported neither utilisation nor a count.
+        """
         if server.utilisation is not None:
-            known = server.utilisation * self.mean_capacity
+            reported = server.utilisation * self.mean_capacity
         elif server.count is not None:
-            known = server.count / server.relative_capacity
+            reported = server.count / server.relative_capacity
         else:
-            known = max(mean, len(server.connections) * self._balancers / server.relative_capacity)
-        return max(0.0, known + server.unreported_load / server.relative_capacity)
+            reported = max(
+                mean, len(server.connections) * self._balancers / server.relative_capacity
+            )
+        return max(0.0, reported + server.unreported_load / server.relative_capacity)
 
     def mean_normalised_count(self, servers: list[Server]) -> float:
-        known = [
+        counts = [
             self.normalised_count(server, 0.0) for server in servers if server.count is not None
         ]
-        return sum(known) / len(known) if known else 0.0
+        return sum(counts) / len(counts) if counts else 0.0
 
 
 class FailureTracker:
-    """Failures in a row take a server out of the draw; probes or one trial login bring it back."""
+    """Excludes servers from the draw after failures in a row.
+
+    Answered probes or one trial login bring a server back.
+    """
 
-    def __init__(self, host: Host, rng: Random, counts: LoadReports) -> None:
-        self._host, self._rng, self._load_reports = host, rng, counts
+    def __init__(self, host: Host, rng: Random, load_reports: LoadReports) -> None:
+        self._host, self._rng, self._load_reports = host, rng, load_reports
 
     def is_eligible(self, now: int, server: Server) -> bool:
+        """Whether the server may take part in the draw."""
         if server.unanswered >= UNANSWERED_TO_EVACUATE - 1 and (
             not self._load_reports.probes_subset
             or server.pending_probe_at
@@ -347,6 +405,7 @@
         )
 
     def start_trial(self, server: Server, login: int) -> None:
+        """Notes that this login was drawn for the server; an excluded server gets only this one."""
         if server.failures >= FAILURES_TO_EXCLUDE:
             server.trial_login = login
 
@@ -368,7 +427,7 @@
 
     def record_success(self, server: Server, login: int) -> None:
         if server.failures >= FAILURES_TO_EXCLUDE:
-            self._host.log(f"server {server.id} back in the draw: its trial login was set up")
+            self._host.log(f"server {server.id} back in the draw: its trial login succeeded")
         if server.trial_login == login:
             server.trial_login = 0
         elif server.exclusion_level and server.failures == 0:
@@ -377,45 +436,43 @@
 
 
 class ProbeBudget:
-    """Whether this balancer can pay for probing every server, and how many it probes otherwise."""
+    """Whether this balancer can afford to probe every server, and how many it probes otherwise."""
 
     def __init__(self, now: int) -> None:
-        self._login_count, self._counted_at = 0.0, now  # logins, halved every LOGIN_RATE_HALF_LIFE
-        self._counting_since: int = (
-            now  # how long they are counted; longer, if connections stood before
-        )
-        self._last_logins_at = [
-            -LOGIN_RATE_HALF_LIFE,
-            -LOGIN_RATE_HALF_LIFE,
-        ]  # when the last two came
-        self._reported_by_second: dict[
-            int, int
-        ] = {}  # logins that others placed, by the second in which they told of them
-
-    def configure(self, fee: float, balancers: int) -> None:
-        self._probe_price, self._balancers = fee, balancers
+        # A decaying count of logins, halved every LOGIN_RATE_HALF_LIFE.
+        self._login_count, self._counted_at = 0.0, now
+        # Set further back if there were connections at the start.
+        self._counting_since: int = now
+        # When the last two logins came.
+        self._last_logins_at = [-LOGIN_RATE_HALF_LIFE, -LOGIN_RATE_HALF_LIFE]
+        # Logins that external placers reported, by the second in which they reported them.
+        self._reported_by_second: dict[int, int] = {}
+
+    def configure(self, probe_price: float, balancers: int) -> None:
+        self._probe_price, self._balancers = probe_price, balancers
 
     def record_existing_connection(self, now: int) -> None:
-        """A connection of before the start: a login of the time before, as long ago as any counts."""
+        """Counts a connection that was open at the start as an earlier login."""
         self._counting_since = now - 10 * LOGIN_RATE_HALF_LIFE
         self.record_login(now, False)
 
-    def record_login(self, now: int, came_back: bool, number: int = 1) -> None:
-        """Clients that come back bring no importance of their own, however many they are."""
+    def record_login(self, now: int, came_back: bool, count: int = 1) -> None:
+        """Counts logins; those of returning clients bring no value of their own."""
         if not came_back:
-            self._login_count, self._counted_at = self._decayed_count(now) + number, now
+            self._login_count, self._counted_at = self._decayed_count(now) + count, now
         self._last_logins_at = [self._last_logins_at[1], now]
 
-    def record_reported_logins(self, now: int, number: int) -> None:
-        self.record_login(now, False, number)
+    def record_reported_logins(self, now: int, count: int) -> None:
+        """Counts logins that external placers reported."""
+        self.record_login(now, False, count)
         second = now // SECOND
         self._reported_by_second = {
             at: logins for at, logins in self._reported_by_second.items() if at > second - 3
         }
-        self._reported_by_second[second] = self._reported_by_second.get(second, 0) + number
+        self._reported_by_second[second] = self._reported_by_second.get(second, 0) + count
 
     def peak_reported_logins(self, now: int) -> int:
-        """The most logins that others told of in one of the last seconds: a flood is seen at once."""
+        """The most logins reported in one of the last three seconds; shows a flood at once."""
         return max(
             (logins for at, logins in self._reported_by_second.items() if at > now // SECOND - 3),
             default=0,
@@ -424,31 +481,33 @@
     def export_rate(self, now: int) -> tuple[float, int]:
         return self._decayed_count(now), self._counting_since
 
-    def import_rate(self, now: int, seen: float, began: int) -> None:
+    def import_rate(self, now: int, login_count: float, counting_since: int) -> None:
         self._login_count, self._counted_at, self._counting_since = (
-            self._decayed_count(now) + float(seen),
+            self._decayed_count(now) + float(login_count),
             now,
-            min(self._counting_since, int(began)),
+            min(self._counting_since, int(counting_since)),
         )
 
     def _decayed_count(self, now: int) -> float:
         return self._login_count * 0.5 ** ((now - self._counted_at) / LOGIN_RATE_HALF_LIFE)
 
     def login_rate(self, now: int) -> float:
-        """Own logins a second; connections state at the start count as logins of the time before."""
-        # Guards against a balancer that has just started and takes the rate of logins for low.
-        counted = max(MAX_REPORT_AGE, now - self._counting_since)
+        """This balancer's logins per second, including connections that were open at the start."""
+        # Guards against a balancer that has just started and underestimates the rate of logins.
+        counted_for = max(MAX_REPORT_AGE, now - self._counting_since)
         return (
             0.69
             * self._decayed_count(now)
             * SECOND
-            / (LOGIN_RATE_HALF_LIFE * (1 - 0.5 ** (counted / LOGIN_RATE_HALF_LIFE)))
+            / (LOGIN_RATE_HALF_LIFE * (1 - 0.5 ** (counted_for / LOGIN_RATE_HALF_LIFE)))
         )
 
     def is_rate_known(self, now: int) -> bool:
-        """Whether a login has come, or none matters: before that their rate is unknown, not nil.
+        """Whether the rate of logins is known, or does not matter because probes are free.
 
-        Clients that come back from another balancer tell nothing of it, unless for long no other came."""
+        Before the first login the rate is unknown rather than zero. Clients that return from
+        another balancer do not show it, unless no other logins have come for a long time.
+        """
         return (
             self._login_count > 0
             or not self._probe_price
@@ -457,12 +516,14 @@
         )
 
     def several_logins_within(self, now: int, span: int) -> bool:
-        """Whether more than one login came within the span."""
         return now - self._last_logins_at[0] < span
 
     def requires_subset(self, now: int, servers: int) -> bool:
-        """Whether probing all, as seldom as the design allows, costs too much of what logins are worth.
-        It does, too, where more balancers than servers share them: each knows little of counts and groups."""
+        """Whether probing all servers, even at the longest allowed period, costs too much.
+
+        This is also so with more balancers than servers, because each balancer then knows little of
+        the counts and groups.
+        """
         cost = servers * self._probe_price * SECOND / MAX_REPORT_AGE
         return cost > 0 and (
             self._balancers > servers
@@ -470,21 +531,26 @@
         )
 
     def subset_size(self, now: int, servers: int) -> int:
-        """How many servers to probe in an age limit, if not all."""
-        part = (
+        """How many servers to probe within MAX_REPORT_AGE when not all are probed."""
+        affordable = (
             SUBSET_PROBING_COST * self.login_rate(now) * MAX_REPORT_AGE / SECOND / self._probe_price
             if self._probe_price
             else servers
         )
-        return max(1, min(servers, int(part)))
+        return max(1, min(servers, int(affordable)))
 
 
 class ColdBudget:
-    """This balancer's part of what a server that just started may be sent."""
+    """This balancer's part of what a cold server, one that has just started, may be sent.
 
-    def __init__(self, counts: LoadReports, means: ProbeBudget) -> None:
-        self._load_reports, self._probe_budget = counts, means
-        self.standby = False  # another process of this balancer places its logins
+    A cold server can take a growing share of its capacity. What has been sent to it is a level that
+    drains at this balancer's part of that rate.
+    """
+
+    def __init__(self, load_reports: LoadReports, probe_budget: ProbeBudget) -> None:
+        self._load_reports, self._probe_budget = load_reports, probe_budget
+        # Another process of this balancer places its logins.
+        self.standby = False
 
     def configure(self, rule: ColdRule, balancers: int) -> None:
         self._rule, self._balancer_share = rule, COLD_BUDGET_FRACTION / balancers
@@ -493,16 +559,17 @@
         return bool(server.started_at) and now - server.started_at < self._rule.ramp
 
     def _warm_share(self, now: int, server: Server) -> float:
+        """The share of its full capacity that the server has by now."""
         age = max(0, now - server.started_at) / max(1, self._rule.ramp)
         return min(1.0, self._rule.start_share + (1 - self._rule.start_share) * age)
 
     def _budget(self, now: int, server: Server) -> tuple[float, float]:
-        """What is spent, drained at the rate the server can take, and this balancer's part of a span."""
-        size = self._load_reports.capacity_of(server) or self._rule.ramp / self._rule.span
+        """Returns what is spent by now, and this balancer's part of the load of one span."""
+        capacity = self._load_reports.capacity_of(server) or self._rule.ramp / self._rule.span
         rate = (
             self._rule.multiple
             * self._warm_share(now, server)
-            * size
+            * capacity
             / max(1, self._rule.ramp)
             * self._balancer_share
         )
@@ -515,51 +582,58 @@
         server.cold_spent_at = now
 
     def admits(self, now: int, server: Server, state: LoginState, rng: Random) -> bool:
+        """Whether this login may be sent to the server; drawn once per login and server."""
         if not self.is_cold(now, server):
             return True
         self._refill(now, server)
-        chance = self.admission_probability(now, server, state)
+        probability = self.admission_probability(now, server, state)
         return (
-            chance >= 1.0
-            or chance > 0.0
-            and state.cold_draws.setdefault(server.id, rng.random()) < chance
+            probability >= 1.0
+            or probability > 0.0
+            and state.cold_draws.setdefault(server.id, rng.random()) < probability
         )
 
     def admission_probability(self, now: int, server: Server, state: LoginState) -> float:
-        """The chance that the budget lets this login take part in the draw of the server."""
+        """The probability that the budget lets this login take part in the draw of the server."""
         if self.standby or not self.is_cold(now, server):
             return float(not self.is_cold(now, server))
-        spent, part = self._budget(now, server)
-        most = max(1.0, part)
-        if spent + min(state.load, most) > most + 1e-9:
+        spent, budget = self._budget(now, server)
+        limit = max(1.0, budget)
+        if spent + min(state.load, limit) > limit + 1e-9:
             return 0.0
-        # Guards against hundreds of balancers that each round their part of a server up to a connection: less
-        # is taken as a chance, by the logins this balancer places in a span. Of those that come back all
-        # balancers may have some at once, so a span is taken to hold one at least.
+        # Guards against hundreds of balancers that each round up their part of a server to one
+        # connection: a budget below the logins that this balancer places in a span is a probability
+        # instead. All balancers may have some of the returning clients at once, so a span is
+        # assumed to hold at least one login then.
         logins = self._probe_budget.login_rate(now) * self._rule.span / SECOND
         if state.login.came_back or self._probe_budget.several_logins_within(now, self._rule.span):
             logins = max(1.0, logins)
-        return 1.0 if part >= logins else part / logins
+        return 1.0 if budget >= logins else budget / logins
 
-    def max_share(self, now: int, server: Server, span: int, even: float) -> float:
-        """The most of all logins of a span that others may send there; `even`: its share by power alone.
+    def max_share(self, now: int, server: Server, span: int, capacity_share: float) -> float:
+        """The largest share of all logins of a span that external placers may send to the server.
 
-        Guards against hundreds that place by one answer until they have the next: one's find is all's."""
+        Guards against hundreds of placers that all use the same probabilities until they get the
+        next ones. `capacity_share` is the server's share of the fleet's capacity.
+        """
         logins = (
             max(self._probe_budget.login_rate(now), self._probe_budget.peak_reported_logins(now))
             * span
             / SECOND
         )
         if server.failures >= FAILURES_TO_EXCLUDE:
-            return 1.0 / max(1.0, logins)  # one trial login, as in the draw
+            # One trial login, as in the draw.
+            return 1.0 / max(1.0, logins)
         if not self.is_cold(now, server):
             return 1.0
-        share = even * self._warm_share(now, server)
+        share = capacity_share * self._warm_share(now, server)
         if logins < 1.0:
             return share
-        spent, part = self._budget(now, server)
-        left = max(0.0, part - spent + part * span / self._rule.span) * EXTERNAL_COLD_FRACTION
-        return min(share * self._rule.multiple, left / logins)
+        spent, budget = self._budget(now, server)
+        remaining = (
+            max(0.0, budget - spent + budget * span / self._rule.span) * EXTERNAL_COLD_FRACTION
+        )
+        return min(share * self._rule.multiple, remaining / logins)
 
     def spent(self, now: int, server: Server) -> float:
         return self._budget(now, server)[0] if self.is_cold(now, server) else 0.0
@@ -571,32 +645,40 @@
 
 
 class WeightedDraw:
-    """The design's random draw, and the narrowing of who takes part in it."""
+    """Selects the candidates for a login and draws one of them by weight.
+
+    A server is a home of a group if the group's logins belong on it: as many servers as the group's
+    load needs, so that few servers pay the fixed cost of a group.
+    """
 
     def __init__(
         self,
         rng: Random,
-        roster: ServerRegistry,
-        counts: LoadReports,
+        registry: ServerRegistry,
+        load_reports: LoadReports,
         health: FailureTracker,
-        cold: ColdBudget,
+        cold_budget: ColdBudget,
     ) -> None:
         self._rng, self._registry, self._load_reports, self._failures, self._cold_budget = (
             rng,
-            roster,
-            counts,
+            registry,
+            load_reports,
             health,
-            cold,
+            cold_budget,
         )
-        self.group_load: dict[int, int] = {}  # own open connections of each group
+        # This balancer's open connections, of each group and in total.
+        self.group_load: dict[int, int] = {}
         self.total_load = 0
-        self.last_homes: dict[int, int] = {}  # where a group's last connection was opened
-        self._server_orders: dict[
-            tuple[int, bool], list[Server]
-        ] = {}  # of the ready servers, for a group
+        # The server of each group's last new connection.
+        self.last_homes: dict[int, int] = {}
+        # The ready servers in each group's order, and the registry's version they were sorted for.
+        # The flag of the key tells whether the own zone's servers come first.
+        self._server_orders: dict[tuple[int, bool], list[Server]] = {}
         self._orders_version = 0
-        self._fleet_full_until = 0  # until then a login is not asked for beyond its homes
-        self._group_logins: dict[int, float] = {}  # logins of each group, halved now and then
+        # Until then, one query round fewer is made.
+        self._fleet_full_until = 0
+        # Logins of each group and in total, halved from time to time.
+        self._group_logins: dict[int, float] = {}
         self._group_logins_total = 0.0
         self._reservations: list[tuple[Server, int]] = []
 
@@ -608,140 +690,161 @@
         message_limit: int,
         reserves: list[float],
     ) -> None:
-        self._reserves, self._grouped = (
-            reserves,
-            grouped,
-        )  # of each server, kept from each workload's logins
+        """Applies settings; `reserves` is the utilisation withheld from each workload's logins."""
+        self._reserves, self._grouped = reserves, grouped
         self._zone, self._crossing_price, self._message_limit = zone, crossing_price, message_limit
 
     def _prefers_own_zone(self, login: Login) -> bool:
-        """Whether it stays in its zone: crossings dear, room for groups state twice, no flood of returns."""
+        """Whether the login stays in this balancer's zone if possible.
+
+        So it is if crossings are expensive, the fleet has headroom to hold groups in both zones,
+        and the login is not part of a flood of returning clients.
+        """
         return (
             self._crossing_price > EXPENSIVE_ZONE_CROSSING
             and not login.came_back
             and self._load_reports.mean_utilisation < HEADROOM_UTILISATION - GROUP_COST_MARGIN
         )
 
-    def is_delayed(self, now: int, server: Server, part: float) -> bool:
-        """Whether messages there took more than this part of the shortest message limit, by a recent note."""
+    def is_delayed(self, now: int, server: Server, factor: float) -> bool:
+        """Whether messages at the server recently took over `factor` times the shortest limit."""
         return (
             now - server.message_delay_at < DELAY_VALIDITY
-            and server.message_delay > part * self._message_limit > 0
+            and server.message_delay > factor * self._message_limit > 0
         )
 
     def has_headroom(self, now: int, server: Server) -> bool:
         if now < server.full_until or self.is_delayed(now, server, 0.5):
             return False
-        pressure = self._load_reports.projected_utilisation(server)
-        return pressure is None or pressure < max(
+        utilisation = self._load_reports.projected_utilisation(server)
+        return utilisation is None or utilisation < max(
             HEADROOM_UTILISATION, self._load_reports.mean_utilisation
         )
 
     def pick(self, now: int, state: LoginState, allowed: Callable[[Server], bool]) -> Server | None:
-        able = [
+        """Draws the login's server; None if there is no candidate."""
+        admitted = [
             s
             for s in self._registry.ready
             if allowed(s) and self._cold_budget.admits(now, s, state, self._rng)
         ]
-        drawn, even = self._candidates(now, state, able)
-        if not drawn:
+        candidates, uniform = self._candidates(now, state, admitted)
+        if not candidates:
             return None
-        return self._rng.choice(drawn) if even else self._weighted_choice(drawn)
+        return self._rng.choice(candidates) if uniform else self._weighted_choice(candidates)
 
     def draw_probabilities(self, now: int, state: LoginState, span: int) -> dict[int, float]:
-        """`pick`'s answer for every server at once, nothing drawn, nothing changed; empty where it has none.
+        """The probability of each server in `pick`, without a draw or a change of state.
 
-        With a span: for all the logins that others place by it meanwhile. Their sum is under 1 where the
-        servers with room may not be sent all of them."""
+        Empty if there is no candidate. With a span, the probabilities by which external placers may
+        place all logins of that span; their sum is below 1 if the servers with headroom may not be
+        sent all of them.
+        """
         ready = self._registry.ready
-        admitted = {
+        admission = {
             server: 1.0 if span else self._cold_budget.admission_probability(now, server, state)
             for server in ready
         }
-        doubtful = [s for s, chance in admitted.items() if 0.0 < chance < 1.0]
-        found: dict[Server, float] = {}
-        every, rng = len(doubtful) <= MAX_ENUMERATED_SERVERS, Random(0)
-        for lots in (
-            product((True, False), repeat=len(doubtful))
-            if every
+        uncertain = [s for s, probability in admission.items() if 0.0 < probability < 1.0]
+        probabilities: dict[Server, float] = {}
+        enumerated, rng = len(uncertain) <= MAX_ENUMERATED_SERVERS, Random(0)
+        for combination in (
+            product((True, False), repeat=len(uncertain))
+            if enumerated
             else (
-                [rng.random() < admitted[s] for s in doubtful] for _ in range(SAMPLED_COMBINATIONS)
+                [rng.random() < admission[s] for s in uncertain]
+                for _ in range(SAMPLED_COMBINATIONS)
             )
         ):
-            part = (
-                prod(admitted[s] if lot else 1.0 - admitted[s] for s, lot in zip(doubtful, lots))
-                if every
+            combination_probability = (
+                prod(
+                    admission[s] if admitted else 1.0 - admission[s]
+                    for s, admitted in zip(uncertain, combination)
+                )
+                if enumerated
                 else 1.0 / SAMPLED_COMBINATIONS
             )
-            out = {s for s, lot in zip(doubtful, lots) if not lot}
-            drawn, even = self._candidates(
-                now, state, [s for s in ready if admitted[s] and s not in out]
+            not_admitted = {s for s, admitted in zip(uncertain, combination) if not admitted}
+            candidates, uniform = self._candidates(
+                now, state, [s for s in ready if admission[s] and s not in not_admitted]
             )
-            weights = [1.0] * len(drawn) if even else self._weights(drawn)
-            whole = sum(weights)
-            for server, weight in zip(drawn, weights):
-                found[server] = found.get(server, 0.0) + part * weight / whole
+            weights = [1.0] * len(candidates) if uniform else self._weights(candidates)
+            total_weight = sum(weights)
+            for server, weight in zip(candidates, weights):
+                probabilities[server] = (
+                    probabilities.get(server, 0.0) + combination_probability * weight / total_weight
+                )
         if span:
-            found = self._capped(now, found, span)
-        return {server.id: chance for server, chance in found.items()}
-
-    def _capped(self, now: int, found: dict[Server, float], span: int) -> dict[Server, float]:
-        """What is too much for a server goes to the others in the ratio of their chances."""
-        power = sum(server.relative_capacity for server in found)
-        bounds = {
-            server: self._cold_budget.max_share(now, server, span, server.relative_capacity / power)
-            for server in found
+            probabilities = self._capped(now, probabilities, span)
+        return {server.id: probability for server, probability in probabilities.items()}
+
+    def _capped(
+        self, now: int, probabilities: dict[Server, float], span: int
+    ) -> dict[Server, float]:
+        """Limits each server to its `max_share`; the others share the rest in proportion."""
+        capacity = sum(server.relative_capacity for server in probabilities)
+        limits = {
+            server: self._cold_budget.max_share(
+                now, server, span, server.relative_capacity / capacity
+            )
+            for server in probabilities
         }
         if (
-            all(self._cold_budget.is_cold(now, server) for server in found)
+            all(self._cold_budget.is_cold(now, server) for server in probabilities)
             and not self._load_reports.mean_utilisation
         ):
-            return found  # a fleet that starts as one, of which nothing is known: there is no better place
+            # The whole fleet has just started and has reported nothing: no server is a better
+            # choice.
+            return probabilities
         capped: dict[Server, float] = {}
         while True:
-            free = sum(chance for server, chance in found.items() if server not in capped)
-            scale = max(0.0, 1.0 - sum(capped.values())) / free if free else 0.0
-            over = [
-                s for s, chance in found.items() if s not in capped and chance * scale > bounds[s]
+            uncapped = sum(p for server, p in probabilities.items() if server not in capped)
+            scale = max(0.0, 1.0 - sum(capped.values())) / uncapped if uncapped else 0.0
+            over_limit = [
+                s for s, p in probabilities.items() if s not in capped and p * scale > limits[s]
             ]
-            if not over:
+            if not over_limit:
                 return {
-                    s: capped[s] if s in capped else chance * scale for s, chance in found.items()
+                    s: capped[s] if s in capped else p * scale for s, p in probabilities.items()
                 }
-            capped.update((server, bounds[server]) for server in over)
+            capped.update((server, limits[server]) for server in over_limit)
 
     def _candidates(
-        self, now: int, state: LoginState, able: list[Server]
+        self, now: int, state: LoginState, admitted: list[Server]
     ) -> tuple[list[Server], bool]:
-        """Who of these takes part in the draw, and whether that is even for want of counts."""
-        if not able:
+        """Returns who takes part in the draw, and whether it is uniform for lack of reports."""
+        if not admitted:
             return [], False
         tried = [attempt.server for attempt in state.attempts]
-        untried = [s for s in able if s.id not in tried] or able
-        well = [s for s in untried if self._failures.is_eligible(now, s)] or untried
-        fresh = [s for s in well if self._load_reports.is_fresh(now, s)]
+        untried = [s for s in admitted if s.id not in tried] or admitted
+        eligible = [s for s in untried if self._failures.is_eligible(now, s)] or untried
+        fresh = [s for s in eligible if self._load_reports.is_fresh(now, s)]
         if not any(server.count is not None for server in fresh):
-            # None has a count, or all would be dropped: the design's even draw over ready servers.
-            return well, True
+            # No server has a fresh count: a uniform draw over all of them.
+            return eligible, True
         fresh = [s for s in fresh if self._accepts(now, s, state)]
         if not fresh:
             return [], False
-        roomy = [s for s in fresh if self.has_headroom(now, s)]
-        near = (
-            [s for s in roomy if s.zone == self._zone]
+        with_headroom = [s for s in fresh if self.has_headroom(now, s)]
+        in_zone = (
+            [s for s in with_headroom if s.zone == self._zone]
             if self._prefers_own_zone(state.login)
             else []
         )
-        if near and self._grouped and state.login.group:
-            near = self._servers_for_group(state.login.group, near, [])
-        if near:
-            return near, False
+        if in_zone and self._grouped and state.login.group:
+            in_zone = self._servers_for_group(state.login.group, in_zone, [])
+        if in_zone:
+            return in_zone, False
         if self._grouped and state.login.group:
-            return self._servers_for_group(state.login.group, roomy, fresh), False
-        return roomy or fresh, False
+            return self._servers_for_group(state.login.group, with_headroom, fresh), False
+        return with_headroom or fresh, False
 
     def _accepts(self, now: int, server: Server, state: LoginState) -> bool:
-        # Guards against a standing overload: what is piled up on a full server spoils all its connections.
+        """Whether the server is not full for this login.
+
+        Guards against a lasting overload: what is added to a full server degrades all its
+        connections.
+        """
         return (
             now >= server.full_until
             and not self.is_delayed(now, server, 1.0)
@@ -750,33 +853,36 @@
         )
 
     def _ordered_candidates(
-        self, now: int, state: LoginState, allowed: Callable[[Server], bool], enough: int
+        self, now: int, state: LoginState, allowed: Callable[[Server], bool], max_count: int
     ) -> list[Server]:
-        """The first servers for a login where only some are probed: in its group's order.
+        """With subset probing: the first servers for the login, in its group's order.
 
-        The order comes from the ids alone, so hundreds of balancers that never speak gather a group alike,
-        each with few of its connections. A login without a group has an order of its own, at random."""
+        The order depends on ids only, so hundreds of balancers gather a group on the same servers
+        without exchanging messages, although each holds few of its connections. A login without a
+        group has a random order of its own.
+        """
         if self._orders_version != self._registry.version:
             self._orders_version = self._registry.version
             self._server_orders.clear()
         group = state.login.group if self._grouped else 0
-        near = self._prefers_own_zone(state.login)
-        order = self._server_orders.get((group, near)) if group else state.server_order
+        own_zone_first = self._prefers_own_zone(state.login)
+        order = self._server_orders.get((group, own_zone_first)) if group else state.server_order
         if not order:
             order = (
                 sorted(self._registry.ready, key=lambda s: _rank(group, s))
                 if group
                 else self._rng.sample(self._registry.ready, len(self._registry.ready))
             )
-            if near:
+            if own_zone_first:
                 order.sort(key=lambda s: s.zone != self._zone)
             if group:
-                self._server_orders[group, near] = order
+                self._server_orders[group, own_zone_first] = order
             state.server_order = order
         tried = [attempt.server for attempt in state.attempts]
-        able: list[Server] = []
-        rest: list[Server] = []
-        # Guards against CPU that grows with the fleet for each login: the walk ends with the first few.
+        candidates: list[Server] = []
+        fallback: list[Server] = []
+        # Stops at the first `max_count`, so that the CPU use of a login does not grow with the
+        # fleet.
         for server in order:
             if (
                 server.ready
@@ -787,16 +893,19 @@
                     not server.started_at or self._cold_budget.admits(now, server, state, self._rng)
                 )
             ):
-                doubted = server.failures or server.unanswered
-                if server.id in tried or (doubted and not self._failures.is_eligible(now, server)):
-                    rest.append(server)
+                has_failed = server.failures or server.unanswered
+                if server.id in tried or (
+                    has_failed and not self._failures.is_eligible(now, server)
+                ):
+                    fallback.append(server)
                     continue
-                able.append(server)
-                if len(able) >= enough:
+                candidates.append(server)
+                if len(candidates) >= max_count:
                     break
-        return able or rest
+        return candidates or fallback
 
     def record_group_login(self, group: int) -> None:
+        """Counts a login for the estimate of its group's share; old logins decay."""
         self._group_logins[group] = self._group_logins.get(group, 0.0) + 1.0
         self._group_logins_total += 1.0
         if self._group_logins_total > 10 * EXPECTED_GROUPS:
@@ -806,74 +915,85 @@
             self._group_logins_total = sum(self._group_logins.values())
 
     def _estimated_home_count(self, group: int) -> int:
-        """How many servers a group's load fills, by what this balancer has seen of it.
+        """How many servers the group's load fills, estimated from this balancer's logins.
 
-        One of hundreds sees little, so the share it sees is drawn towards that of a group among a few."""
+        One of hundreds of balancers sees few logins, so the observed share is smoothed towards that
+        of one of EXPECTED_GROUPS equal groups.
+        """
         share = (self._group_logins.get(group, 0.0) + 1.0) / (
             self._group_logins_total + EXPECTED_GROUPS
         )
-        filled = min(1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION))
-        return 1 + int(share * filled * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
+        utilised = min(1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION))
+        return 1 + int(share * utilised * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
 
     def query_or_pick(
         self, now: int, state: LoginState, allowed: Callable[[Server], bool]
     ) -> tuple[list[Server], Server | None]:
-        """Where only some servers are probed: those to ask before this hand-off, or else the one drawn.
+        """With subset probing: returns the servers to query before this hand-off, or the one drawn.
 
-        A group's logins are drawn among its homes with room, then among its homes not full. Then comes the
-        next server of its order that has room for the group's own cost too. Guards against groups that
-        scatter until every server pays for every group."""
+        ([], None) means that no server can take the login. A group's login goes to one of its homes
+        with headroom, else to one of its homes that is not full, else to the next server of the
+        group's order that also has room for the group's own cost. Guards against groups that spread
+        until every server pays the cost of every group.
+        """
         self._load_reports.expire_placements(now)
         group = state.login.group if self._grouped else 0
-        number = self._estimated_home_count(group) if group else FIRST_QUERY_SIZE
-        rounds = 1 if now < self._fleet_full_until else MAX_QUERY_ROUNDS
+        home_count = self._estimated_home_count(group) if group else FIRST_QUERY_SIZE
+        max_round = 1 if now < self._fleet_full_until else LAST_QUERY_ROUND
         while True:
-            # A few of the homes first, then all of them, then further servers in order.
+            # Round 0 queries a few of the homes, round 1 all of them, later rounds further servers.
             further = FIRST_QUERY_SIZE << state.query_round if state.query_round > 1 else 0
             if further or not state.candidates:
-                state.candidates = self._ordered_candidates(now, state, allowed, number + further)
-            able = [s for s in state.candidates if s.ready]  # a drain may have come
-            homes = able[:number]
+                state.candidates = self._ordered_candidates(
+                    now, state, allowed, home_count + further
+                )
+            # A server may have begun to drain since the candidates were chosen.
+            candidates = [s for s in state.candidates if s.ready]
+            homes = candidates[:home_count]
             state.home_sample = state.home_sample or self._rng.sample(
                 homes, min(len(homes), FIRST_QUERY_SIZE)
             )
-            first = able if state.query_round else state.home_sample
-            unheard = [
+            considered = candidates if state.query_round else state.home_sample
+            to_query = [
                 s
-                for s in first
+                for s in considered
                 if not self._load_reports.is_recent(now, s)
                 and (not s.pending_probe_at or now - s.pending_probe_at < PENDING_PROBE_REUSE)
             ]
-            if unheard and state.queried_rounds < state.query_round + 1:
+            if to_query and state.queried_rounds < state.query_round + 1:
                 state.queried_rounds = state.query_round + 1
-                return unheard, None
-            known = [
+                return to_query, None
+            accepting = [
                 s
-                for s in first
+                for s in considered
                 if self._load_reports.is_recent(now, s)
                 and self._accepts(now, s, state)
-                and s in able
+                and s in candidates
             ]
-            known_homes = [s for s in known if s in homes]
-            roomy = [s for s in known_homes if self.has_headroom(now, s)]
-            if roomy or (known_homes and state.query_round):
+            accepting_homes = [s for s in accepting if s in homes]
+            with_headroom = [s for s in accepting_homes if self.has_headroom(now, s)]
+            if with_headroom or (accepting_homes and state.query_round):
                 return [], self._weighted_choice(
-                    [s for s in roomy if group in s.groups] or roomy or known_homes
+                    [s for s in with_headroom if group in s.groups]
+                    or with_headroom
+                    or accepting_homes
                 )
-            for server in known if state.query_round else []:
+            for server in accepting if state.query_round else []:
                 if (
                     not group
                     or (self._load_reports.projected_utilisation(server) or 0.0)
                     < HEADROOM_UTILISATION - GROUP_COST_MARGIN
                 ):
                     return [], server
-            if state.query_round >= rounds:
-                if able and not any(self._load_reports.is_recent(now, s) for s in first):
-                    return [], self._rng.choice(able)  # none has answered: the design's even draw
-                # Guards against probes and CPU spent on a full fleet for each of a flood of logins.
+            if state.query_round >= max_round:
+                if candidates and not any(self._load_reports.is_recent(now, s) for s in considered):
+                    # No server has answered: a uniform draw.
+                    return [], self._rng.choice(candidates)
+                # Guards against probes and CPU spent on each login of a flood while the fleet is
+                # full.
                 self._fleet_full_until = (
                     now + PROBE_PERIOD
-                    if state.query_round == MAX_QUERY_ROUNDS
+                    if state.query_round == LAST_QUERY_ROUND
                     else self._fleet_full_until
                 )
                 return [], None
@@ -887,55 +1007,65 @@
         )
 
     def _weights(self, servers: list[Server]) -> list[float]:
-        """The design's 1/(count + 1), the counts by power."""
-        unread = any(s.count is None and s.utilisation is None for s in servers)
-        mean = self._load_reports.mean_normalised_count(self._registry.ready) if unread else 0.0
+        """1/(count + 1) for each server, with counts normalised by capacity."""
+        some_unreported = any(s.count is None and s.utilisation is None for s in servers)
+        mean = (
+            self._load_reports.mean_normalised_count(self._registry.ready)
+            if some_unreported
+            else 0.0
+        )
         return [
             s.relative_capacity / (self._load_reports.normalised_count(s, mean) + 1.0)
             for s in servers
         ]
 
     def _servers_for_group(
-        self, group: int, roomy: list[Server], fresh: list[Server]
+        self, group: int, with_headroom: list[Server], fresh: list[Server]
     ) -> list[Server]:
-        """The servers that should hold a group: so many as its load needs, those that hold most of it first.
-
-        Then the group's own order: it comes from the ids alone, so balancers that never speak choose alike.
-        A server that does not hold the group yet needs room for the group's own cost too. Guards against
-        groups that scatter over a full fleet, where every server comes to pay for every group."""
+        """The servers for a group's login: its homes with headroom, if there are any.
+
+        Otherwise as much capacity again of other servers with headroom, those that hold most of the
+        group first and then in the group's order, which is the same at every balancer. Otherwise
+        homes that are not full. A server that does not hold the group yet needs room for the
+        group's own cost too. Guards against groups that spread over a full fleet until every server
+        pays the cost of every group.
+        """
         homes = self._home_servers(group)
-        chosen = [s for s in roomy if s in homes]
-        if not chosen:
-            spare = self._with_room_for_group(
-                group, [s for s in roomy if s not in homes], HEADROOM_UTILISATION
+        selected = [s for s in with_headroom if s in homes]
+        if not selected:
+            others = self._with_room_for_group(
+                group, [s for s in with_headroom if s not in homes], HEADROOM_UTILISATION
             )
-            spare.sort(key=lambda s: (-s.groups.get(group, 0), _rank(group, s)))
-            chosen = _enough(spare, sum(s.relative_capacity for s in homes))
+            others.sort(key=lambda s: (-s.groups.get(group, 0), _rank(group, s)))
+            selected = _first_with_capacity(others, sum(s.relative_capacity for s in homes))
         return (
-            chosen
+            selected
             or [s for s in fresh if s in homes]
             or self._with_room_for_group(group, fresh, FULL_UTILISATION)
         )
 
     def _home_servers(self, group: int) -> list[Server]:
-        """As many servers as the group's load needs, those that hold most of it first, room or not."""
+        """As many servers as the group's load needs, with or without headroom.
+
+        Those that hold most of the group come first, then the server of its last new connection.
+        """
         share = self.group_load.get(group, 0) / self.total_load if self.total_load else 0.0
-        need = (
+        required = (
             share
             * GROUP_CAPACITY_FACTOR
             * sum(server.relative_capacity for server in self._registry.ready)
         )
-        last = self.last_homes.get(group)
-        return _enough(
+        last_home = self.last_homes.get(group)
+        return _first_with_capacity(
             sorted(
                 self._registry.ready,
-                key=lambda s: (-s.groups.get(group, 0), s.id != last, _rank(group, s)),
+                key=lambda s: (-s.groups.get(group, 0), s.id != last_home, _rank(group, s)),
             ),
-            need,
+            required,
         )
 
     def _with_room_for_group(self, group: int, servers: list[Server], limit: float) -> list[Server]:
-        """Servers with room for the login, and for the group's own cost where they don't hold it."""
+        """Servers below the limit, with a margin for the group's cost if they do not hold it."""
         return [
             s
             for s in servers
@@ -944,23 +1074,27 @@
         ]
 
     def count_connection(self, state: LoginState, server: Server | None, sign: int) -> None:
+        """Counts an opened (+1) or ended (-1) connection in its group."""
         if sign > 0 and server is not None and state.login.group:
             self.last_homes[state.login.group] = server.id
         self._add_group_load(state.login.group, server, sign)
 
-    def _add_group_load(self, group: int, server: Server | None, number: int) -> None:
-        self.total_load += number
+    def _add_group_load(self, group: int, server: Server | None, change: int) -> None:
+        self.total_load += change
         for counts in (
             (self.group_load, server.groups if server is not None else {}) if group else ()
         ):
-            load = counts.get(group, 0) + number
+            load = counts.get(group, 0) + change
             if load > 0:
                 counts[group] = load
             else:
                 counts.pop(group, None)
 
     def reserve(self, server: Server, group: int) -> None:
-        """One of another process stands for its return. Guards against groups that scatter meanwhile."""
+        """Counts a connection of the predecessor process until its client returns to this one.
+
+        Guards against groups that spread in the meantime.
+        """
         self._add_group_load(group, server, 1)
         self._reservations.append((server, group))
 
@@ -970,25 +1104,28 @@
             self._add_group_load(group, server, -1)
 
 
-def _enough(servers: list[Server], need: float) -> list[Server]:
-    """The first servers that make up this much power, one at least."""
-    for number, server in enumerate(servers, 1):
-        need -= server.relative_capacity
-        if need <= 0:
-            return servers[:number]
+def _first_with_capacity(servers: list[Server], required: float) -> list[Server]:
+    """The first servers that together have the required relative capacity; at least one."""
+    for count, server in enumerate(servers, 1):
+        required -= server.relative_capacity
+        if required <= 0:
+            return servers[:count]
     return servers
 
 
 def _rank(group: int, server: Server) -> int:
-    """The group's own order of servers, alike at every balancer; its high bits mix all of both ids."""
+    """The sort key of the group's server order, the same at every balancer.
+
+    The high bits depend on all bits of both ids.
+    """
     return (group ^ server.id_hash) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
 
 
 class RetryPolicy:
-    """When a login may be sent again, for how long a hand-off may take, and which last answer is honest."""
+    """Whether and where a login may be sent again, and for how long a hand-off may take."""
 
-    def __init__(self, roster: ServerRegistry) -> None:
-        self._registry, self._resend_tokens = roster, MAX_SAVED_RESENDS
+    def __init__(self, registry: ServerRegistry) -> None:
+        self._registry, self._resend_tokens = registry, MAX_SAVED_RESENDS
 
     def configure(self, max_hand_offs: int) -> None:
         self._max_hand_offs = max_hand_offs
@@ -997,28 +1134,36 @@
         return [a for a in state.attempts if a.outcome is None or not a.outcome.proves_not_run]
 
     def may_send(self, now: int, state: LoginState) -> bool:
+        """Whether the login may be handed off now; takes a resend token if that needs one."""
         if len(state.attempts) >= self._max_hand_offs or now >= state.login.time_limit_at:
             return False
         if not state.attempts:
             self._resend_tokens = min(MAX_SAVED_RESENDS, self._resend_tokens + RESENDS_PER_LOGIN)
         elif state.attempts[-1].outcome not in (Outcome.FULL, Outcome.NOT_CONNECTED):
-            # Guards against resends that keep a shared store behind all set-ups jammed by themselves.
+            # Guards against resends that keep a store shared by all connection set-ups overloaded.
             if self._resend_tokens < 1.0:
                 return False
             self._resend_tokens -= 1.0
         if state.workload.effect is Effect.REPEATABLE:
             return True
-        ran, remembered = self._may_have_run(state), state.workload.dedup_window
-        # A once-only login that may have run must never run again; a tagged one only while it is remembered.
+        may_have_run, dedup_window = self._may_have_run(state), state.workload.dedup_window
+        # Never send a once-only login that may have run again, and a tagged one only while the
+        # servers still recognise the repeat.
         return (
-            not ran or state.workload.effect is Effect.TAGGED and now < ran[0].sent_at + remembered
+            not may_have_run
+            or state.workload.effect is Effect.TAGGED
+            and now < may_have_run[0].sent_at + dedup_window
         )
 
     def server_filter(self, state: LoginState) -> Callable[[Server], bool]:
-        ran = self._may_have_run(state) if state.workload.effect is Effect.TAGGED else []
-        if not ran or state.workload.reach is Reach.ALL:
+        """Returns a predicate for the servers that the login may be sent to.
+
+        A tagged login that may have run goes only where its repeat is recognised.
+        """
+        may_have_run = self._may_have_run(state) if state.workload.effect is Effect.TAGGED else []
+        if not may_have_run or state.workload.reach is Reach.ALL:
             return lambda server: True
-        first = self._registry.servers.get(ran[0].server)
+        first = self._registry.servers.get(may_have_run[0].server)
         if first is None:
             return lambda server: False
         if state.workload.reach is Reach.ZONE:
@@ -1026,95 +1171,119 @@
         return lambda server: server.cell == first.cell
 
     def may_bounce(self, state: LoginState) -> bool:
+        """Whether the client may safely try again, so that a bounce is a correct final answer."""
         if state.workload.effect is Effect.REPEATABLE or not self._may_have_run(state):
             return True
         return state.workload.effect is Effect.TAGGED and state.workload.reach is Reach.ALL
 
     def cut_at(self, now: int, state: LoginState) -> int:
-        """Early enough to try elsewhere within the soft limit; the last hand-off has all that is left."""
+        """When to give up the next hand-off.
+
+        Early enough to try another server within the soft limit; the last hand-off has all the
+        remaining time.
+        """
         limit = state.login.time_limit_at
-        left = self._max_hand_offs - len(state.attempts)
-        if left <= 1 or self._resend_tokens < MAX_SAVED_RESENDS / 2:
+        remaining_hand_offs = self._max_hand_offs - len(state.attempts)
+        if remaining_hand_offs <= 1 or self._resend_tokens < MAX_SAVED_RESENDS / 2:
             return limit
-        return min(limit, now + max(state.workload.soft_limit // 2, (limit - now) // left))
+        return min(
+            limit, now + max(state.workload.soft_limit // 2, (limit - now) // remaining_hand_offs)
+        )
 
 
 class ConnectionMoves:
-    """The exception to kept placements: off a lost or draining server, and off a hot one in bounded steps."""
+    """Moves open connections away from lost, draining and overloaded servers.
+
+    All other connections stay where they are.
+    """
 
     def __init__(
         self,
         host: Host,
         rng: Random,
-        counts: LoadReports,
+        load_reports: LoadReports,
         group_load: dict[int, int],
         after: Callable[[int, Callable[[int], None]], None],
     ) -> None:
-        self._host, self._rng, self._load_reports = host, rng, counts
+        self._host, self._rng, self._load_reports = host, rng, load_reports
         self._group_load, self._after = group_load, after
 
-    def evacuate(self, server: Server, why: str, over: int = 0) -> None:
-        """At once, or evenly over a time. Guards against a flood where nothing forces one."""
+    def evacuate(self, server: Server, reason: str, duration: int = 0) -> None:
+        """Moves all connections away, at once or spread evenly over a duration.
+
+        Spreading guards against a flood of returning clients where nothing requires speed.
+        """
         if server.connections:
             self._host.log(
-                f"server {server.id} {why}: moving {len(server.connections)} connections"
+                f"server {server.id} {reason}: moving {len(server.connections)} connections"
             )
-        for number, login in enumerate(list(server.connections)):
-            if over and number:
+        for index, login in enumerate(list(server.connections)):
+            if duration and index:
                 self._after(
-                    over * number // len(server.connections),
+                    duration * index // len(server.connections),
                     lambda _, login=login: self._host.move(login),
                 )
             else:
                 self._host.move(login)
 
     def shed_load(self, now: int, server: Server) -> None:
-        """ConnectionMoves this balancer's part of what a hot server has too much, then rests until reports show it."""
-        pressure, mean = server.utilisation, self._load_reports.mean_utilisation
-        if pressure is None or now < server.next_move_at or not server.connections:
+        """Moves this balancer's part of an overloaded server's excess load.
+
+        The next move waits until reports show this one.
+        """
+        utilisation, mean = server.utilisation, self._load_reports.mean_utilisation
+        if utilisation is None or now < server.next_move_at or not server.connections:
             return
-        # Past all it can do a server serves none of its connections well: it sheds in a full fleet too.
-        if pressure <= max(
+        # A server far beyond its limit serves none of its connections well, so it sheds load even
+        # in a full fleet.
+        if utilisation <= max(
             OVERLOAD_UTILISATION, min(OVERLOAD_OVER_MEAN * mean, FULL_UTILISATION + 0.1)
         ):
             return
         target = max(HEADROOM_UTILISATION, min(mean, OVERLOAD_UTILISATION))
-        part = (1.0 if pressure > 1.0 else MOVE_FRACTION) * (pressure - target) / pressure
-        # Remnants of groups that live elsewhere go first: each takes the group's cost along.
-        own = sorted(
+        fraction = (
+            (1.0 if utilisation > 1.0 else MOVE_FRACTION) * (utilisation - target) / utilisation
+        )
+        # Connections of groups that are mostly elsewhere go first: the last one also frees the
+        # group's fixed cost.
+        connections = sorted(
             server.connections.values(),
             key=lambda state: (self._remnant_size(server, state), -state.load),
         )
-        excess = part * sum(state.load for state in own)
-        if self._rng.random() * own[-1].load > excess:
+        excess = fraction * sum(state.load for state in connections)
+        if self._rng.random() * connections[-1].load > excess:
             return
         moved = 0
-        for state in own:
+        for state in connections:
             if excess <= 0:
                 break
-            if state.load <= 2 * excess or state is own[-1]:
+            if state.load <= 2 * excess or state is connections[-1]:
                 excess -= state.load
                 self._host.move(state.login.login)
                 moved += 1
         server.next_move_at = now + MOVE_PAUSE
-        self._host.log(f"server {server.id} hot at {pressure:.2f}: moved {moved} of {len(own)}")
+        self._host.log(
+            f"server {server.id} hot at {utilisation:.2f}: moved {moved} of {len(connections)}"
+        )
 
     def _remnant_size(self, server: Server, state: LoginState) -> int:
-        """How many of a connection's group stand here, if most stand elsewhere; else a large number."""
+        """The group's connections on this server if most are elsewhere; else a large number."""
         group = state.login.group
-        here, all_of_it = server.groups.get(group, 0), self._group_load.get(group, 0)
-        return here if group and 2 * here < all_of_it else 1_000_000
+        on_server, total = server.groups.get(group, 0), self._group_load.get(group, 0)
+        return on_server if group and 2 * on_server < total else 1_000_000
 
 
 class ListWatch:
-    """How long to wait before the list is asked for, where it must be: spread out."""
+    """The delay before a failed list watch is started again: exponential, with jitter."""
 
     def __init__(self, rng: Random, ask_within: int) -> None:
         self._rng = rng
         self._max_delay = ask_within // 4
-        self.failures = 0  # in a row
+        # Failures in a row.
+        self.failures = 0
 
     def record_failure(self) -> int:
+        """Counts a failure; returns the delay before the next attempt."""
         self.failures += 1
         return int(
             min(self._max_delay, PROBE_PERIOD << min(self.failures - 1, 4))
@@ -1123,27 +1292,28 @@
 
 
 class ProbeScheduler:
-    """Which servers are probed and when; and which logins wait for an answer."""
+    """Decides which servers are probed and when, and which logins wait for an answer."""
 
     def __init__(
         self,
         host: Host,
         rng: Random,
-        roster: ServerRegistry,
-        counts: LoadReports,
-        means: ProbeBudget,
-        cold: ColdBudget,
+        registry: ServerRegistry,
+        load_reports: LoadReports,
+        probe_budget: ProbeBudget,
+        cold_budget: ColdBudget,
         after: Callable[[int, Callable[[int], None]], None],
     ) -> None:
         self._host, self._rng, self._after, self._allowed = host, rng, after, False
         self._registry, self._load_reports, self._probe_budget, self._cold_budget = (
-            roster,
-            counts,
-            means,
-            cold,
+            registry,
+            load_reports,
+            probe_budget,
+            cold_budget,
         )
-        self._subset_decision: bool | None = None  # whether only some servers are probed
-        self._subset: list[Server] = []  # those, if so
+        # Whether only a subset is probed (None: not decided yet), and that subset.
+        self._subset_decision: bool | None = None
+        self._subset: list[Server] = []
 
     def configure(self, allowed: bool) -> None:
         if allowed and not self._allowed and self._registry.ready:
@@ -1151,70 +1321,81 @@
         self._allowed, self._subset_decision = allowed, self._subset_decision if allowed else None
 
     def servers_started(self, first_list: bool, servers: list[Server]) -> None:
+        """Starts probing new or restarted servers."""
         if not self._allowed:
             return
         if first_list:
-            # Connections state at the start, which tell the rate of logins, come right after the first list.
+            # Deferred, because connections that were open at the start are reported right after the
+            # first list and show the rate of logins.
             self._after(0, self._review)
         elif not self._load_reports.probes_subset:
             self._start_probing(servers)
 
     def _review(self, now: int) -> None:
-        """Once an age limit, from the first login on: whether to probe all servers or some, and which."""
+        """Decides whether to probe all servers or a subset, and renews the subset.
+
+        Repeated every MAX_REPORT_AGE once the rate of logins is known.
+        """
         if not self._allowed:
             return
         ready = self._registry.ready
-        some_only = self._probe_budget.requires_subset(now, len(ready))
-        if some_only != self._subset_decision:
+        use_subset = self._probe_budget.requires_subset(now, len(ready))
+        if use_subset != self._subset_decision:
             if self._subset_decision is not None:
-                self._host.log(f"probing {'some' if some_only else 'all'} of {len(ready)} servers")
-            self._subset_decision = self._load_reports.probes_subset = some_only
-            if not some_only:
+                self._host.log(f"probing {'some' if use_subset else 'all'} of {len(ready)} servers")
+            self._subset_decision = self._load_reports.probes_subset = use_subset
+            if not use_subset:
                 self._start_probing(ready)
-        if some_only:
+        if use_subset:
             self._rotate_subset(now)
         wait = (
             MAX_REPORT_AGE
-            if self._probe_budget.is_rate_known(now) or some_only
+            if self._probe_budget.is_rate_known(now) or use_subset
             else PROBE_PERIOD // 10
         )
         self._after(int(wait * self._rng.uniform(0.9, 1.1)), self._review)
 
     def _start_probing(self, servers: list[Server]) -> None:
+        """Starts periodic probes at random phases; earlier ones of these servers end."""
         for server in servers:
             server.probe_generation += 1
             self._schedule(server, server.probe_generation, int(self._rng.random() * PROBE_PERIOD))
 
-    def _schedule(self, server: Server, turn: int, wait: int) -> None:
+    def _schedule(self, server: Server, generation: int, wait: int) -> None:
         def due(now: int) -> None:
             if (
                 server.ready
-                and server.probe_generation == turn
+                and server.probe_generation == generation
                 and not self._load_reports.probes_subset
             ):
                 self.probe(now, server)
-                calm = (
+                low_utilisation = (
                     server.utilisation is not None
                     and server.utilisation < LOW_UTILISATION
                     and not server.unanswered
                     and not self._cold_budget.is_cold(now, server)
                 )
-                self._schedule(server, turn, RELAXED_PROBE_PERIOD if calm else PROBE_PERIOD)
+                self._schedule(
+                    server, generation, RELAXED_PROBE_PERIOD if low_utilisation else PROBE_PERIOD
+                )
 
         self._after(wait, due)
 
     def _rotate_subset(self, now: int) -> None:
-        """Exchanges one of the servers probed for another at random, often for one that holds own ones."""
+        """Replaces one random server of the subset and probes all of the subset.
+
+        Half of the new ones are drawn among the servers that hold own connections.
+        """
         size = self._probe_budget.subset_size(now, len(self._registry.ready))
-        kept = [server for server in self._subset if server.ready]
-        self._rng.shuffle(kept)
-        self._subset = kept[: size - 1]
+        remaining = [server for server in self._subset if server.ready]
+        self._rng.shuffle(remaining)
+        self._subset = remaining[: size - 1]
         others = [server for server in self._registry.ready if server not in self._subset]
         while others and len(self._subset) < size:
             holders = [server for server in others if server.connections]
-            chosen = self._rng.choice(holders if holders and self._rng.random() < 0.5 else others)
-            self._subset.append(chosen)
-            others.remove(chosen)
+            added = self._rng.choice(holders if holders and self._rng.random() < 0.5 else others)
+            self._subset.append(added)
+            others.remove(added)
         for server in self._subset:
             self._after(
                 int(self._rng.random() * MAX_REPORT_AGE),
@@ -1234,56 +1415,53 @@
         wait: int,
         place: Callable[[int, LoginState], None],
     ) -> None:
-        """Asks servers for their counts before a hand-off; who has not answered soon is passed over."""
-        turn = state.query_id = state.query_id + 1
+        """Queries servers before a hand-off; calls `place` after `wait` if answers are missing."""
+        query_id = state.query_id = state.query_id + 1
         state.pending_answers = len(servers)
         for server in servers:
-            server.waiting_logins.append((state, turn))
+            server.waiting_logins.append((state, query_id))
             if not server.pending_probe_at:
                 self.probe(now, server)
 
-        def late(at: int) -> None:
-            if state.pending_answers and state.query_id == turn:
+        def timed_out(at: int) -> None:
+            if state.pending_answers and state.query_id == query_id:
                 state.pending_answers = 0
                 place(at, state)
 
-        self._after(wait, late)
+        self._after(wait, timed_out)
 
     def completed_queries(self, server: Server) -> list[LoginState]:
-        """Takes note of an answer; returns the logins that have waited for it as their last."""
-        askers, server.waiting_logins = server.waiting_logins, []
-        done = []
-        for state, turn in askers:
-            if state.pending_answers and state.query_id == turn:
+        """Counts a server's answer; returns the logins that have no further answers outstanding."""
+        waiting, server.waiting_logins = server.waiting_logins, []
+        completed = []
+        for state, query_id in waiting:
+            if state.pending_answers and state.query_id == query_id:
                 state.pending_answers -= 1
                 if not state.pending_answers:
-                    done.append(state)
-        return done
+                    completed.append(state)
+        return completed
 
 
 class Balancer:
-    """One balancer's decisions. One method for each thing that can happen."""
+    """The decisions of one balancer: one method for each event."""
 
     def __init__(self, host: Host, rng: Random, *, now: int, **settings: Any) -> None:
         self._host, self._rng = host, rng
-        self._list_received = False  # whether a list has come
-        self._server_by_subject: dict[
-            int, int
-        ] = {}  # the holder of a client's connection, where packets pass
+        self._list_received = False
+        # The server of each subject's connection; used where the balancer forwards packets.
+        self._server_by_subject: dict[int, int] = {}
         self._active_logins: dict[int, LoginState] = {}
-        self._ended_load: dict[
-            int, float
-        ] = {}  # load of own connections that ended while standing by
-        self._has_predecessor = (
-            False  # clients of another process of this balancer come back to this one
-        )
-        self._cut_times: list[
-            int
-        ] = []  # when own connections were cut off or moved, whose clients come back
+        # By server, the load of own connections that ended during standby.
+        self._ended_load: dict[int, float] = {}
+        # Clients of another process of this balancer return to this one.
+        self._has_predecessor = False
+        # When own connections broke or were moved, whose clients are expected to return.
+        self._cut_times: list[int] = []
         self._cost_sum, self._cost_count = 0.0, 0
         self._timers: dict[int, Callable[[int], None]] = {}
         self._next_mark = 1
-        self._next_external_id = 0  # numbers placements told by others, below all logins
+        # Ids of external placements; negative, so that they differ from all logins.
+        self._next_external_id = 0
         self._registry = ServerRegistry()
         self._load_reports = LoadReports(self._registry)
         self._failures = FailureTracker(host, rng, self._load_reports)
@@ -1329,7 +1507,11 @@
         memory: int,
         crossing_price: float,
     ) -> None:
-        """The settings, at the start or anew. What is known, state or timed stays; a workload's number too."""
+        """Applies settings, at the start or after a reload.
+
+        Servers, measurements, logins, connections and timers stay as they are, and a workload keeps
+        its number.
+        """
         self._workloads, self._cancel_allowed, self._remembers_subjects = (
             workloads,
             cancel_allowed,
@@ -1339,13 +1521,15 @@
         self._load_reports.configure(balancers, weight_varies)
         self._probe_budget.configure(probe_price if probes_allowed else 0.0, balancers)
         self._cold_budget.configure(cold, balancers)
-        most = max(workload.importance for workload in workloads)
+        max_importance = max(workload.importance for workload in workloads)
         reserves = [
-            IMPORTANCE_RESERVE * (1 - w.importance / most) if per_work and most else 0.0
+            IMPORTANCE_RESERVE * (1 - w.importance / max_importance)
+            if per_work and max_importance
+            else 0.0
             for w in workloads
         ]
-        shortest = min((w.message_limit for w in workloads if w.message_limit), default=0)
-        self._draw.configure(grouped, zone, crossing_price, shortest, reserves)
+        message_limit = min((w.message_limit for w in workloads if w.message_limit), default=0)
+        self._draw.configure(grouped, zone, crossing_price, message_limit, reserves)
         self._retry_policy.configure(max_hand_offs)
         self._probes_allowed = probes_allowed
         self._probe_scheduler.configure(probes_allowed and not self._cold_budget.standby)
@@ -1358,85 +1542,107 @@
         )
 
     def login_arrived(self, now: int, login: Login) -> None:
+        """A client's login has come; the host is told where it goes, or to reject it."""
         state = LoginState(login, self._relative_load(login.cost), self._workloads[login.workload])
         self._active_logins[login.login] = state
         self._probe_budget.record_login(now, login.came_back)
         self._draw.record_group_login(login.group)
-        # Those who come back beyond the own connections cut or moved lately were another balancer's.
-        cut = [at for at in self._cut_times if now - at < MAX_REPORT_AGE]
-        alone = self._has_predecessor or self._load_reports.mean_utilisation < HEADROOM_UTILISATION
-        state.from_other_balancer = login.came_back and not cut and alone
-        self._cut_times = cut[login.came_back :]
+        # A returning client that is not accounted for by a recently broken or moved own connection
+        # comes from another balancer. Its load then counts once, as no other balancer places it; in
+        # a full fleet all load is counted as usual.
+        recent_cuts = [at for at in self._cut_times if now - at < MAX_REPORT_AGE]
+        may_count_once = (
+            self._has_predecessor or self._load_reports.mean_utilisation < HEADROOM_UTILISATION
+        )
+        state.from_other_balancer = login.came_back and not recent_cuts and may_count_once
+        self._cut_times = recent_cuts[login.came_back :]
         self._place(now, state)
 
-    def connection_resumed(self, now: int, login: Login, server: int) -> None:
+    def connection_resumed(self, now: int, login: Login, server_id: int) -> None:
+        """A connection that was open before this process started is open here now."""
         state = LoginState(login, self._relative_load(login.cost), self._workloads[login.workload])
         self._probe_budget.record_existing_connection(now)
         self._draw.record_group_login(login.group)
-        attempt = Attempt(server, now)
+        attempt = Attempt(server_id, now)
         state.attempts.append(attempt)
         self._active_logins[login.login] = state
-        self._connection_opened(state, server)
+        self._connection_opened(state, server_id)
 
-    def hand_off_started(self, now: int, login: int, attempt: int, server: int, delay: int) -> None:
-        known = self._registry.servers.get(server)
-        if known is not None:
-            self._failures.record_success(known, login)
+    def hand_off_started(
+        self, now: int, login: int, attempt: int, server_id: int, delay: int
+    ) -> None:
+        """A hand-off has become an open connection."""
+        server = self._registry.servers.get(server_id)
+        if server is not None:
+            self._failures.record_success(server, login)
         state = self._active_logins.get(login)
         if state is not None and not state.is_open:
-            self._connection_opened(state, server)
+            self._connection_opened(state, server_id)
 
     def measurement_received(
-        self, now: int, login: int, attempt: int, server: int, kind: MeasurementKind, value: float
+        self,
+        now: int,
+        login: int,
+        attempt: int,
+        server_id: int,
+        kind: MeasurementKind,
+        value: float,
     ) -> None:
+        """A measurement has come on an open connection."""
         state = self._active_logins.get(login)
-        if kind is MeasurementKind.DELAY and server in self._registry.servers:
-            known = self._registry.servers[server]
-            if not self._draw.is_delayed(now, known, EVACUATION_DELAY_FACTOR):
-                known.delayed_since = now
-            known.message_delay, known.message_delay_at = value, now
+        if kind is MeasurementKind.DELAY and server_id in self._registry.servers:
+            server = self._registry.servers[server_id]
+            if not self._draw.is_delayed(now, server, EVACUATION_DELAY_FACTOR):
+                server.delayed_since = now
+            server.message_delay, server.message_delay_at = value, now
             holders = [s for s in self._registry.ready if s.connections]
-            late = [s for s in holders if self._draw.is_delayed(now, s, EVACUATION_DELAY_FACTOR)]
-            # Guards against a way that is bad for this balancer alone: a server says that it has room, its
-            # messages stay late. Where nearly all are late, or the fleet is full, there is nowhere to go.
+            delayed = [s for s in holders if self._draw.is_delayed(now, s, EVACUATION_DELAY_FACTOR)]
+            # Guards against a network path that is slow for this balancer only: the server reports
+            # headroom, yet its messages stay delayed. If nearly all servers are delayed, or the
+            # fleet is full, no other server is better.
             if (
-                known in late
-                and len(late) <= MAX_DELAYED_FRACTION * len(holders)
+                server in delayed
+                and len(delayed) <= MAX_DELAYED_FRACTION * len(holders)
                 and self._load_reports.mean_utilisation < HEADROOM_UTILISATION
-                and known.reported_at - known.delayed_since >= REPORT_LAG
-                and (known.utilisation or 0.0) < HEADROOM_UTILISATION
+                and server.reported_at - server.delayed_since >= REPORT_LAG
+                and (server.utilisation or 0.0) < HEADROOM_UTILISATION
             ):
-                self._moves.evacuate(known, "late for this balancer alone")
-            if self._load_reports.probes_subset and not self._load_reports.is_recent(now, known):
-                self._probe_scheduler.probe(now, known)
+                self._moves.evacuate(server, "delays messages of this balancer only")
+            if self._load_reports.probes_subset and not self._load_reports.is_recent(now, server):
+                self._probe_scheduler.probe(now, server)
         elif state is not None and kind is MeasurementKind.LOAD:
             state.load = self._relative_load(value)
 
-    def message_unanswered(self, now: int, server: int) -> None:
-        """A line on an open connection has brought nothing back: its server is not left to the next probe."""
-        if (known := self._registry.servers.get(server)) is not None:
-            known.delayed_since = now  # it tells of that connection alone: no others leave for it
-            if not known.pending_probe_at and not self._load_reports.is_recent(now, known):
-                self._probe_scheduler.probe(now, known)
+    def message_unanswered(self, now: int, server_id: int) -> None:
+        """A message on an open connection has had no reply; the server is probed at once."""
+        if (server := self._registry.servers.get(server_id)) is not None:
+            # Concerns one connection only, so it does not count towards evacuating the server.
+            server.delayed_since = now
+            if not server.pending_probe_at and not self._load_reports.is_recent(now, server):
+                self._probe_scheduler.probe(now, server)
 
     def hand_off_ended(
         self,
         now: int,
         login: int,
         closed: bool,
-        server: int,
+        server_id: int,
         outcome: Outcome,
         attempt: int,
         delay: int,
         report: Report | None,
     ) -> None:
-        known = self._registry.servers.get(server)
+        """A hand-off has ended without a connection, or, with `closed`, the whole login has ended.
+
+        A login that has become a connection ends with it.
+        """
+        server = self._registry.servers.get(server_id)
         state = self._active_logins.get(login)
-        if known is not None:
+        if server is not None:
             if report is not None:
-                self._load_reports.record(now, known, report)
+                self._load_reports.record(now, server, report)
             if state is not None and not state.is_open:
-                self._record_outcome(now, known, login, outcome)
+                self._record_outcome(now, server, login, outcome)
         if state is None:
             return
         if attempt < len(state.attempts):
@@ -1446,12 +1652,13 @@
                 self._cut_times.append(now)
             self._forget(state)
             return
-        if known is not None:
-            self._load_reports.remove_placement(known, login)
+        if server is not None:
+            self._load_reports.remove_placement(server, login)
         if state.attempts[-1].outcome is not None:
             self._place(now, state)
 
     def login_dropped(self, now: int, login: int) -> None:
+        """The client has gone before its login was answered."""
         if (state := self._active_logins.get(login)) is not None:
             if (
                 self._cancel_allowed
@@ -1463,41 +1670,43 @@
             self._forget(state)
 
     def probe_answered(
-        self, now: int, server: int, delay: int, outcome: Outcome, report: Report | None
+        self, now: int, server_id: int, delay: int, outcome: Outcome, report: Report | None
     ) -> None:
-        if (known := self._registry.servers.get(server)) is None:
+        """A probe has ended, with or without an answer."""
+        if (server := self._registry.servers.get(server_id)) is None:
             return
-        known.pending_probe_at = 0
+        server.pending_probe_at = 0
         if outcome is Outcome.FULFILLED:
-            quiet_for = now - max(known.reported_at, known.listed_at)
+            unreported_for = now - max(server.reported_at, server.listed_at)
             if (
-                known.unanswered > int(self._load_reports.probes_subset)
-                and quiet_for > MAX_REPORT_AGE
+                server.unanswered > int(self._load_reports.probes_subset)
+                and unreported_for > MAX_REPORT_AGE
             ):
-                # Guards against pushing over a server that came back cold before the list says so.
-                known.started_at = max(known.started_at, now)
-                self._host.log(f"server {server} answers again: taken as just started")
-            known.unanswered, known.reported_at = 0, now
+                # Guards against overloading a server that has restarted before the list says so.
+                server.started_at = max(server.started_at, now)
+                self._host.log(f"server {server_id} answers again: taken as just started")
+            server.unanswered, server.reported_at = 0, now
             if report is not None:
-                self._load_reports.record(now, known, report)
-                self._moves.shed_load(now, known)
+                self._load_reports.record(now, server, report)
+                self._moves.shed_load(now, server)
         elif outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
-            known.unanswered += 1
-            if known.unanswered < UNANSWERED_TO_EVACUATE and known.ready:
-                self._probe_scheduler.probe(now, known)
-            # Guards against emptying a server that is only too busy to answer: that one is given longer.
-            elif known.unanswered == (
+            server.unanswered += 1
+            if server.unanswered < UNANSWERED_TO_EVACUATE and server.ready:
+                self._probe_scheduler.probe(now, server)
+            # A server that may only be too busy to answer gets twice as many probes.
+            elif server.unanswered == (
                 UNANSWERED_TO_EVACUATE
-                if (known.utilisation or 0.0) < OVERLOAD_UTILISATION
+                if (server.utilisation or 0.0) < OVERLOAD_UTILISATION
                 else 2 * UNANSWERED_TO_EVACUATE
             ):
-                self._moves.evacuate(known, "silent")
-        for state in self._probe_scheduler.completed_queries(known):
+                self._moves.evacuate(server, "silent")
+        for state in self._probe_scheduler.completed_queries(server):
             self._place(now, state)
 
     def servers_listed(
         self, now: int, scope: Scope, revision: int, lines: Iterable[ListedServer]
     ) -> None:
+        """An update of the server list has come, or the list watch has failed."""
         if scope is Scope.FAILED:
             if self._list_watch is not None:
                 self._after(
@@ -1515,19 +1724,29 @@
         self._probe_scheduler.servers_started(not self._list_received, started)
         self._list_received = True
 
-    def take_out_of_service(self, now: int, server: int) -> None:
-        """Operators take it out, listed or not: it drains until `restore_to_service`, whatever the list says."""
-        if (left := self._registry.take_out_of_service(now, server)) is not None:
-            self._server_leaves(now, left, "is taken out by hand", PROBE_PERIOD)
-        self._host.close_idle(server)  # its work is to end, probes with it
+    def take_out_of_service(self, now: int, server_id: int) -> None:
+        """An operator removes the server, listed or not.
 
-    def restore_to_service(self, now: int, server: int) -> None:
-        if (known := self._registry.restore_to_service(now, server)) is not None:
-            self._host.log(f"server {server} is put back by hand: taken as just started")
-            self._probe_scheduler.servers_started(False, [known])
+        It drains until `restore_to_service`, whatever the list says.
+        """
+        if (left := self._registry.take_out_of_service(now, server_id)) is not None:
+            self._server_leaves(now, left, "taken out of service by an operator", PROBE_PERIOD)
+        # The server is to become idle, so it is not probed either.
+        self._host.close_idle(server_id)
+
+    def restore_to_service(self, now: int, server_id: int) -> None:
+        """An operator ends the removal of the server."""
+        if (server := self._registry.restore_to_service(now, server_id)) is not None:
+            self._host.log(
+                f"server {server_id} restored to service by an operator: taken as just started"
+            )
+            self._probe_scheduler.servers_started(False, [server])
 
     def known_and_excluded_servers(self, now: int) -> tuple[int, int]:
-        """How many servers are listed, and how many of them are out by operators' word or this balancer's."""
+        """Returns how many servers are listed, and how many of them get no logins.
+
+        The latter are out of service by an operator or excluded from this balancer's draw.
+        """
         listed = [
             server for server in self._registry.servers.values() if server.status is not Status.GONE
         ]
@@ -1540,7 +1759,7 @@
         )
 
     def export_learned_state(self, now: int) -> dict[str, Any]:
-        """What another process of this balancer goes on from, as plain JSON; see `import_learned_state`."""
+        """Returns the state for another process of this balancer, as plain JSON values."""
         return {
             "servers": [
                 [
@@ -1565,79 +1784,98 @@
         }
 
     def import_learned_state(self, now: int, learned: dict[str, Any]) -> None:
-        """Goes on from what another process has learned, which places no logins now."""
-        for number, size, started_at, spent, fails, bars, barred_until in learned["servers"]:
-            if (server := self._registry.servers.get(number)) is None:
+        """Takes over the state of another process, which no longer places logins."""
+        for (
+            server_id,
+            capacity,
+            started_at,
+            cold_spent,
+            failures,
+            exclusion_level,
+            excluded_until,
+        ) in learned["servers"]:
+            if (server := self._registry.servers.get(server_id)) is None:
                 continue
-            if size is not None and server.capacity.mean is None:
-                server.capacity.add(float(size))
+            if capacity is not None and server.capacity.mean is None:
+                server.capacity.add(float(capacity))
             server.started_at = max(server.started_at, int(started_at))
-            self._cold_budget.spend(now, server, float(spent))
-            if fails > server.failures:
+            self._cold_budget.spend(now, server, float(cold_spent))
+            if failures > server.failures:
                 server.failures, server.exclusion_level, server.excluded_until = (
-                    int(fails),
-                    int(bars),
-                    int(barred_until),
+                    int(failures),
+                    int(exclusion_level),
+                    int(excluded_until),
                 )
         for group, home in learned["homes"]:
             self._draw.last_homes.setdefault(int(group), int(home))
-        for number, group in learned["open"]:
-            if number in self._registry.servers:
-                self._draw.reserve(self._registry.servers[number], int(group))
+        for server_id, group in learned["open"]:
+            if server_id in self._registry.servers:
+                self._draw.reserve(self._registry.servers[server_id], int(group))
         self._probe_budget.import_rate(now, *learned["rate"])
         self._has_predecessor = True
 
-    def connection_ended_elsewhere(self, now: int, server: int, load: float) -> None:
-        """Own ones of another process; reports may hold them yet. Guards against clients that count twice."""
-        if (known := self._registry.servers.get(server)) is not None:
+    def connection_ended_elsewhere(self, now: int, server_id: int, load: float) -> None:
+        """Connections of another process of this balancer have ended.
+
+        Their load is subtracted until reports show that, so that returning clients do not count
+        twice.
+        """
+        if (server := self._registry.servers.get(server_id)) is not None:
             self._next_external_id -= 1
-            self._load_reports.add_placement(now, known, self._next_external_id, -load, -load)
+            self._load_reports.add_placement(now, server, self._next_external_id, -load, -load)
 
-    def other_processes_ended(self) -> None:  # no other process of this balancer lives any longer
+    def other_processes_ended(self) -> None:
+        """No other process of this balancer is running any longer."""
         self._draw.release_reservations()
         self._has_predecessor = False
 
-    def set_standby(self, wanted: bool) -> None:
-        """Whether another process of this balancer places its logins, with the probes and the cold budget."""
-        self._cold_budget.standby = wanted
-        self._probe_scheduler.configure(self._probes_allowed and not wanted)
+    def set_standby(self, standby: bool) -> None:
+        """Whether another process of this balancer places its logins.
 
-    def draw_probabilities(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
-        """Each server's chance in the draw of a login of this workload that came now; empty: it is refused.
-
-        Changes nothing. With a span (ns): the chances by which others may place all logins of that span; what
-        is left to 1 is to be refused."""
-        asked = self._workloads[workload]
-        login = Login(0, workload, 0, 0, now + asked.time_limit, None, 0)
-        return self._draw.draw_probabilities(now, LoginState(login, 1.0, asked), span)
-
-    def placed_by_others(self, now: int, server: int, number: int, failed: int) -> None:
-        """So many logins were placed there by our chances since this was last told; so many of them failed.
+        That process then sends the probes and uses the cold budget.
+        """
+        self._cold_budget.standby = standby
+        self._probe_scheduler.configure(self._probes_allowed and not standby)
 
-        They count as own placements do until a report holds them."""
-        known = self._registry.servers.get(server)
-        self._probe_budget.record_reported_logins(now, number)
-        if known is None or not number:
+    def draw_probabilities(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
+        """Each server's probability in the draw of a login of this workload that came now.
+
+        Empty if the login would be rejected; changes no state. With a span (ns), the probabilities
+        by which external placers may place all logins of that span; the remainder to 1 is to be
+        rejected.
+        """
+        settings = self._workloads[workload]
+        login = Login(0, workload, 0, 0, now + settings.time_limit, None, 0)
+        return self._draw.draw_probabilities(now, LoginState(login, 1.0, settings), span)
+
+    def placed_by_others(self, now: int, server_id: int, count: int, failed: int) -> None:
+        """External placers have sent logins to the server since their last report.
+
+        The logins count like own placements until a report of the server includes them.
+        """
+        server = self._registry.servers.get(server_id)
+        self._probe_budget.record_reported_logins(now, count)
+        if server is None or not count:
             return
         self._next_external_id -= 1
-        self._load_reports.add_placement(now, known, self._next_external_id, float(number))
-        self._cold_budget.spend(now, known, float(max(1, number)))
-        if failed >= number:
-            self._failures.record_failure(now, known, 0, Outcome.ERROR)
+        self._load_reports.add_placement(now, server, self._next_external_id, float(count))
+        self._cold_budget.spend(now, server, float(max(1, count)))
+        if failed >= count:
+            self._failures.record_failure(now, server, 0, Outcome.ERROR)
         else:
-            self._failures.record_success(known, 0)
+            self._failures.record_success(server, 0)
 
     def peer_message_received(self, now: int, peer: int, content: bytes) -> None:
-        """Nothing is said between balancers yet, so nothing is heard."""
+        """Ignored: the decisions do not exchange messages with other balancers."""
 
     def timer_due(self, now: int, mark: int) -> None:
+        """A timer that was set with this mark is due."""
         self._timers.pop(mark, lambda at: None)(now)
 
-    def _server_leaves(self, now: int, server: Server, why: str, over: int = 0) -> None:
-        self._cut_times += [now] * int(
-            server.count or 0
-        )  # other balancers' clients there come back alike
-        self._moves.evacuate(server, why, over)
+    def _server_leaves(self, now: int, server: Server, reason: str, duration: int = 0) -> None:
+        # The clients of other balancers there return too, to any balancer.
+        self._cut_times += [now] * int(server.count or 0)
+        self._moves.evacuate(server, reason, duration)
 
     def _after(self, wait: int, action: Callable[[int], None]) -> None:
         mark = self._next_mark
@@ -1646,7 +1884,7 @@
         self._host.set_timer(wait, mark)
 
     def _relative_load(self, cost: float | None) -> float:
-        """A login's cost in connections of mean cost; 1 where nothing is told."""
+        """A login's cost relative to the mean cost; 1 if it is unknown."""
         if not cost:
             return 1.0
         self._cost_sum += cost
@@ -1654,20 +1892,21 @@
         return cost * self._cost_count / self._cost_sum
 
     def _place(self, now: int, state: LoginState) -> None:
+        """Hands the login off, queries servers first, or rejects it."""
         if not self._retry_policy.may_send(now, state):
             self._reject(state)
             return
         server = self._connection_holder(now, state)
         if server is None and self._load_reports.probes_subset:
-            to_ask, server = self._draw.query_or_pick(
+            to_query, server = self._draw.query_or_pick(
                 now, state, self._retry_policy.server_filter(state)
             )
-            if to_ask:
+            if to_query:
                 wait = min(
                     int(QUERY_WAIT_FRACTION * state.workload.soft_limit),
                     (state.login.time_limit_at - now) // 2,
                 )
-                self._probe_scheduler.query_for(now, state, to_ask, wait, self._place)
+                self._probe_scheduler.query_for(now, state, to_query, wait, self._place)
                 return
         elif server is None:
             server = self._draw.pick(now, state, self._retry_policy.server_filter(state))
@@ -1686,12 +1925,14 @@
         self._host.hand_off(login, server.id, cut_at)
 
     def _connection_holder(self, now: int, state: LoginState) -> Server | None:
-        """The server that holds a connection whose packets now come this way, if known and ready."""
+        """The server of the open connection whose packets now arrive here, if known and ready."""
         if not state.login.mid_flow or state.attempts:
             return None
         server = self._registry.servers.get(self._server_by_subject.get(state.login.subject, 0))
-        ready = server and server.ready and self._cold_budget.admits(now, server, state, self._rng)
-        return server if ready else None
+        is_usable = (
+            server and server.ready and self._cold_budget.admits(now, server, state, self._rng)
+        )
+        return server if is_usable else None
 
     def _record_outcome(self, now: int, server: Server, login: int, outcome: Outcome) -> None:
         if outcome is Outcome.FULL:
@@ -1701,34 +1942,36 @@
         elif server.trial_login == login:
             server.trial_login = 0
 
-    def _connection_opened(self, state: LoginState, server: int) -> None:
+    def _connection_opened(self, state: LoginState, server_id: int) -> None:
         state.is_open = True
-        known = self._registry.servers.get(server)
-        self._draw.count_connection(state, known, 1)
-        if known is not None:
-            known.connections[state.login.login] = state
+        server = self._registry.servers.get(server_id)
+        self._draw.count_connection(state, server, 1)
+        if server is not None:
+            server.connections[state.login.login] = state
             if self._remembers_subjects and state.login.subject:
-                self._server_by_subject[state.login.subject] = server
+                self._server_by_subject[state.login.subject] = server_id
 
     def _reject(self, state: LoginState) -> None:
         login = state.login.login
         self._forget(state)
         if self._retry_policy.may_bounce(state):
-            # The client is told when to come back, spread out; it is never state to keep it away.
+            # A random retry time spreads the clients that come again. The answer itself is never
+            # delayed to slow a client down.
             retry_in = int(self._max_retry_after * self._rng.uniform(0.25, 1.0))
             self._host.bounce(login, retry_in)
         else:
             self._host.terminate(login)
 
     def _forget(self, state: LoginState) -> None:
+        """Removes all state of a login or connection that has ended."""
         login = state.login.login
         self._active_logins.pop(login, None)
         state.pending_answers = 0
         if state.is_open:
-            at = state.attempts[-1].server
+            server_id = state.attempts[-1].server
             if self._cold_budget.standby:
-                self._ended_load[at] = self._ended_load.get(at, 0.0) + state.load
-            self._draw.count_connection(state, self._registry.servers.get(at), -1)
+                self._ended_load[server_id] = self._ended_load.get(server_id, 0.0) + state.load
+            self._draw.count_connection(state, self._registry.servers.get(server_id), -1)
         for attempt in state.attempts[-1:]:
             server = self._registry.servers.get(attempt.server)
             if server is not None:
