--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -26,7 +26,7 @@
 from corklift.control.weights import PublishedWeights, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
+from corklift.net.limits import MS, SECOND, Counters, Printer, raise_descriptor_limit
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.upkeep import Probes, Watch
@@ -180,7 +180,7 @@
             for entry in content.entries
             if entry.name in self._places and self._places[entry.name].address != entry.address
         }
-        if content.whole:
+        if content.is_full:
             gone |= self._states.keys() - named
         for entry in content.entries:
             self._states[entry.name] = entry.status
@@ -391,7 +391,7 @@
     try:
         config = read(path)
         wanted = config.rpc.connections + config.net.probes + STANDARD_FILES
-        allowed = allow_sockets(wanted)
+        allowed = raise_descriptor_limit(wanted)
         program = Program(config, path)
         if allowed < wanted:
             program.event_log.write(
