--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -16,7 +16,7 @@
 from corklift.interface import ColdRule, Workload
 from corklift.net.limits import Limits
 from corklift.rpc.core import MS, SECOND, RpcLimits
-from corklift.toml_tables import Table, fault
+from corklift.toml_tables import Table, locate_error
 
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
@@ -296,7 +296,7 @@
     try:
         return ControlConfig(msgspec.toml.decode(content, type=ControlTable))
     except msgspec.ValidationError as error:
-        key, text = fault(error)
+        key, text = locate_error(error)
         raise ControlConfigError(f"config: {key}: {text}") from None
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
         raise ControlConfigError(f"config: not TOML: {error}") from None
--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from corklift.interface import Scope, Status
-from corklift.net.parsers import Entry, Listing
+from corklift.net.parsers import Listing, ServerEntry
 from corklift.net.scheduler import Scheduler, Task
 from corklift.recovery.core import Quiet, Recovery, Terms
 from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
@@ -88,7 +88,7 @@
         stored_list = self._core.facts.get(LIST)
         if self._full_list is None and stored_list is not None:
             entries = tuple(
-                Entry(
+                ServerEntry(
                     server.name,
                     (server.host, server.port),
                     server.zone,
@@ -128,7 +128,7 @@
         checked = self._apply_known_drains(now, content, True)
         known = (
             {}
-            if content.whole or self._full_list is None
+            if content.is_full or self._full_list is None
             else {entry.name: entry for entry in self._full_list.entries}
         )
         known |= {entry.name: entry for entry in content.entries}
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -27,7 +27,7 @@
 from corklift.control.weights import PublishedWeights, WeightPublisher
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
+from corklift.net.limits import MS, SECOND, Counters, Printer, raise_descriptor_limit
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.upkeep import Probes, Watch
@@ -189,7 +189,7 @@
             for entry in content.entries
             if entry.name in self._servers and self._servers[entry.name].address != entry.address
         }
-        if content.whole:
+        if content.is_full:
             gone |= self._statuses.keys() - listed_names
         for entry in content.entries:
             self._statuses[entry.name] = entry.status
@@ -415,7 +415,7 @@
     try:
         config = load_config(path)
         needed = config.rpc_limits.connections + config.net_limits.probes + RESERVED_DESCRIPTORS
-        available = allow_sockets(needed)
+        available = raise_descriptor_limit(needed)
         program = Program(config, path)
         if available < needed:
             program.event_log.write(
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -7,7 +7,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import ColdRule, Outcome, Report, Scope, Status, Workload
-from corklift.net.parsers import HttpCall, Malformed, TooLong
+from corklift.net.parsers import HttpRequest, Malformed, MessageTooLongError
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 
@@ -41,10 +41,10 @@
                 elif not stream.broken:
                     stream.write(step.encode())
             got = b""
-            while not stream.ended and not stream.broken:
+            while not stream.peer_closed and not stream.broken:
                 self.wait({stream.fd: READ})
                 stream.receive()
-                got += stream.inbox.take(len(stream.inbox))
+                got += stream.receive_buffer.read(len(stream.receive_buffer))
             stream.close()
             head, _, body = got.partition(b"\r\n\r\n")
             self.answers[name] = (
@@ -77,24 +77,28 @@
     rng, seen = Random(1), set()
     for content in whole:
         for _ in range(50):
-            call, at = HttpCall(1000), 0
+            call, at = HttpRequest(1000), 0
             while not call.done:
                 step = rng.randrange(1, 9)
                 call.feed(content[at : at + step])
                 at += step
             seen.add(
-                (call.method, call.path, json.dumps(call.table()) if call.method == "POST" else "")
+                (
+                    call.method,
+                    call.path,
+                    json.dumps(call.json_object()) if call.method == "POST" else "",
+                )
             )
     assert seen == {("POST", "/admin/cordon", '{"member": "s1"}'), ("GET", "/admin/stats", "")}
     for bad, kind in (
         (b"GET / HTTP/2\r\n\r\n", Malformed),
         (b"OPEN 1 2 c=x\r\n\r\n", Malformed),
         (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Malformed),
-        (b"x" * 20000, TooLong),
-        (b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", TooLong),
+        (b"x" * 20000, MessageTooLongError),
+        (b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n", MessageTooLongError),
     ):
         with pytest.raises(kind):
-            HttpCall(1000).feed(bad)
+            HttpRequest(1000).feed(bad)
 
 
 def test_each_call_has_its_answer_and_one_that_is_wrong_changes_nothing():
@@ -240,7 +244,7 @@
     assert wire.ask(post("/admin/uncordon", {"member": "s1"}))[0] == 200
     wire.change(wire.entry("s1"))
     wire.run(1500)
-    assert wire.process.facade._balancer._roster.servers.keys() == wire.process.facade._ready
+    assert wire.process.facade._balancer._registry.servers.keys() == wire.process.facade._ready
     wire.lines.clear()
     for number in range(12):
         wire.client(f"b{number}", OPEN)
@@ -310,10 +314,10 @@
         if listed_late:
             scene.listed(1, scope=Scope.DELTA, started_at=started)
         balancer = scene.balancer
-        known = balancer._roster.servers[1]
+        known = balancer._registry.servers[1]
         assert known.status is Status.READY and known.count is None
         for at in range(0, 12_000, 500):
-            assert balancer._cold.is_cold(scene.now, known) is (at < cold_for), at
+            assert balancer._cold_budget.is_cold(scene.now, known) is (at < cold_for), at
             scene.run(500)
         assert balancer.known_and_excluded_servers(scene.now) == (2, 0)
 
--- a/tests/test_overlap.py
+++ b/tests/test_overlap.py
@@ -17,7 +17,7 @@
 
 from corklift.interface import ColdRule, Outcome, Report
 from corklift.net.kin import Kin
-from corklift.net.limits import BadConfig
+from corklift.net.limits import ConfigError
 from corklift.service import inherited
 from corklift.succession import Life, Stage, Succession, Unreadable, Word, decode, encode
 
@@ -110,7 +110,9 @@
         made.auto = {1: Report(20, 0.5)}
         made.listed(1, started_at=made.now)
         for _ in range(40):
-            made.balancer._counts.take(made.now, made.balancer._roster.servers[1], Report(20, 0.5))
+            made.balancer._load_reports.record(
+                made.now, made.balancer._registry.servers[1], Report(20, 0.5)
+            )
         return made
 
     alone = scene()
@@ -163,7 +165,7 @@
     assert (
         draw.total_load == 0
         and not draw.group_load
-        and not any(s.groups for s in new.balancer._roster.ready)
+        and not any(s.groups for s in new.balancer._registry.ready)
     )
 
 
@@ -171,7 +173,7 @@
     plain = socket.socket()
     read_end, write_end = os.pipe()
     for text in ("x", "-1", "99999", str(read_end), str(plain.fileno())):
-        with pytest.raises(BadConfig, match="BALANCER_LISTEN_FD"):
+        with pytest.raises(ConfigError, match="BALANCER_LISTEN_FD"):
             inherited(text)
     plain.getsockname()  # and what is no such socket is left as it was
     os.close(read_end)
