--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -190,8 +190,8 @@
     help="As in the balancer's file.",
 )
 def store_init(path: str, boot: str) -> None:
+    from corklift.recovery.driver import boot_of
     from corklift.recovery.facts import ENDED, Fact, encoded
-    from corklift.recovery.part import boot_of
     from corklift.store.form import Refused
     from corklift.store.keeper import Folders
     from corklift.store.log import InUse, NotKept, Store
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple, Protocol
 
 from corklift.interface import ColdRule
-from corklift.recovery.door import Door, come_back
+from corklift.recovery.admission import Door, come_back
 from corklift.recovery.facts import (
     BINDING_SHARED,
     COUNT,
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -167,7 +167,7 @@
                 assert peers is not None
                 made.append(Peers(process, peers, tell))
             else:
-                from corklift.recovery.part import MESSAGE, Return
+                from corklift.recovery.driver import MESSAGE, Return
 
                 made.append(
                     Return(
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -10,8 +10,8 @@
 from corklift.lab.power import Day, play
 from corklift.recovery import core as recovery_core
 from corklift.recovery import facts as recovery_facts
+from corklift.recovery.admission import Door, come_back
 from corklift.recovery.core import Outcome, Recovery, Step, Terms
-from corklift.recovery.door import Door, come_back
 from corklift.recovery.facts import (
     COUNT,
     DRAIN,
