--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -46,7 +46,7 @@
     net.run(3)
     found: list[float] = []
     for victim in net.rng.sample(net.seats, 3):
-        name, life, began = victim.name, victim.core.me.life, net.now
+        name, life, began = victim.name, victim.core.me.instance_id, net.now
         victim.kill()
         net.run(30)
         known = net.dead_at.get((name, life), {})
--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 from corklift.membership.core import Members, Pace
-from corklift.membership.messages import Message, Standing, Word
+from corklift.membership.messages import MemberRecord, MemberState, Message
 
 PERIOD = 1_000_000_000
 EPOCH = 1_000 * PERIOD
@@ -65,14 +65,14 @@
         to, life, ask = self.calls.pop(call)
         self.world.flying.append(("answer", self.number, life, to, ask, message))
 
-    def changed(self, word: Word, was: Standing | None) -> None:
+    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
         world = self.world
-        if word.standing == Standing.LEFT and (word.name, word.life) not in world.gone:
-            world.wrong = f"m{self.number} holds {word.name} for gone, which never said so"
-        held = world.ranks.get((self.number, self.life, word.name))
-        if held is not None and word.rank < held:
-            world.wrong = f"m{self.number} went back on {word.name}: {held} to {word.rank}"
-        world.ranks[self.number, self.life, word.name] = word.rank
+        if record.state == MemberState.LEFT and (record.name, record.instance_id) not in world.gone:
+            world.wrong = f"m{self.number} holds {record.name} for gone, which never said so"
+        held = world.ranks.get((self.number, self.life, record.name))
+        if held is not None and record.rank < held:
+            world.wrong = f"m{self.number} went back on {record.name}: {held} to {record.rank}"
+        world.ranks[self.number, self.life, record.name] = record.rank
 
     def counted(self, number: int) -> None:
         self.used = number
@@ -161,7 +161,7 @@
             self.left["leave"] -= 1
             seat = self.seats[number]
             seat.left = True
-            self.gone.add((f"m{number}", seat.core.me.life))
+            self.gone.add((f"m{number}", seat.core.me.instance_id))
             seat.core.leave(self.now)
         self._check()
 
@@ -227,13 +227,13 @@
                     seat.core.me,
                     sorted(seat.core.table.items()),
                     sorted(
-                        (name, held.due - self.now, sorted(held.by))
+                        (name, held.due - self.now, sorted(held.reporters))
                         for name, held in seat.core._suspicions.items()
                     ),
                     seat.core._slow,
                     seat.core._probe
                     and (
-                        seat.core._probe.word.name,
+                        seat.core._probe.record.name,
                         seat.core._probe.ends - self.now,
                         seat.core._probe.acked,
                         seat.core._probe.relays,
--- a/corklift/lab/peer_days.py
+++ b/corklift/lab/peer_days.py
@@ -12,7 +12,7 @@
 
 from corklift.lab.peers import Net, Seat, Shape
 from corklift.membership.core import Members
-from corklift.membership.messages import Standing, Word
+from corklift.membership.messages import MemberRecord, MemberState
 
 FAULTS = (
     "kill",
@@ -60,19 +60,21 @@
         self.faults = faults
         self.doubled = self.moved = False
 
-    def _heard(self, seat: Seat, word: Word) -> None:
+    def _heard(self, seat: Seat, record: MemberRecord) -> None:
         if (
-            word.standing != Standing.LEFT
-            and (word.name, word.life) in self.gone
-            and word.standing == Standing.ALIVE
+            record.state != MemberState.LEFT
+            and (record.name, record.instance_id) in self.gone
+            and record.state == MemberState.ALIVE
         ):
-            left = self.net.dead_at.get((word.name, -word.life), {})
+            left = self.net.dead_at.get((record.name, -record.instance_id), {})
             if seat.number in left and left[seat.number] == seat.life:
                 self._broken(
-                    f"{seat.name} held {word.name} for living after it was told that it left"
+                    f"{seat.name} held {record.name} for living after it was told that it left"
                 )
-        if word.standing == Standing.LEFT:
-            self.net.dead_at.setdefault((word.name, -word.life), {})[seat.number] = seat.life
+        if record.state == MemberState.LEFT:
+            self.net.dead_at.setdefault((record.name, -record.instance_id), {})[seat.number] = (
+                seat.life
+            )
 
     def _broken(self, what: str) -> None:
         self.problems.append(f"{self.net.now / self.net.shape.period - 1000:.2f}: {what}")
@@ -106,21 +108,23 @@
         digests = set()
         for seat in living:
             core = seat.core
-            held = {word.name for word in core.table.values() if word.standing == Standing.ALIVE}
+            held = {
+                record.name for record in core.table.values() if record.state == MemberState.ALIVE
+            }
             if held != names - {seat.name}:
                 self._broken(
                     f"{seat.name} holds {sorted(held)} for living, where {sorted(names - {seat.name})} live"
                 )
             for name, life in self.killed.items():
-                word = core.table.get(name)
+                record = core.table.get(name)
                 if (
                     name not in names
-                    and word is not None
-                    and word.life == life
-                    and word.standing < Standing.DEAD
+                    and record is not None
+                    and record.instance_id == life
+                    and record.state < MemberState.DEAD
                 ):
                     self._broken(
-                        f"{seat.name} holds {name} for {Standing(word.standing).name}, which was killed"
+                        f"{seat.name} holds {name} for {MemberState(record.state).name}, which was killed"
                     )
             if seat.uses < len(living):
                 self._broken(f"{seat.name} counts {seat.uses} where {len(living)} place")
@@ -143,7 +147,7 @@
         seat = self._some()
         if seat is not None:
             self.net.refuses = self.rng.random() < 0.5
-            self.killed[seat.name] = seat.core.me.life
+            self.killed[seat.name] = seat.core.me.instance_id
             seat.kill()
 
     def _restart(self) -> None:
@@ -213,7 +217,7 @@
     def _leave(self) -> None:
         seat = self._some()
         if seat is not None and not seat.stopped:
-            self.gone.add((seat.name, seat.core.me.life))
+            self.gone.add((seat.name, seat.core.me.instance_id))
             seat.leave()
 
     def _flap(self) -> None:
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -13,7 +13,7 @@
 
 from corklift.lab.clock import MS, SECOND
 from corklift.membership.core import Members, Pace
-from corklift.membership.messages import Message, Standing, Word, decode, encode
+from corklift.membership.messages import MemberRecord, MemberState, Message, decode, encode
 
 REFUSED_AFTER = MS  # a connect to a port where nobody listens ends
 HEADS = 60  # bytes of HTTP/2 and gRPC beside a message, measured on loopback with the driver
@@ -148,10 +148,10 @@
     def reply(self, call: int, message: Message) -> None:
         self.calls.pop(call)(message)
 
-    def changed(self, word: Word, was: Standing | None) -> None:
-        if word.standing == Standing.DEAD:
-            self.net.called_dead(self, word)
-        self.net.heard(self, word)
+    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
+        if record.state == MemberState.DEAD:
+            self.net.called_dead(self, record)
+        self.net.heard(self, record)
 
     def counted(self, number: int) -> None:
         self.uses = number
@@ -193,7 +193,7 @@
             0  # ns times members, in which a count in use was under the number that placed
         )
         self.too_low_first = ""
-        self.heard: Callable[[Seat, Word], None] = lambda seat, word: None
+        self.heard: Callable[[Seat, MemberRecord], None] = lambda seat, record: None
 
     def at(self, when: int, act: Callable[[], Any]) -> None:
         self._number += 1
@@ -246,12 +246,14 @@
 
         self.after(periods, go_on)
 
-    def called_dead(self, by: Seat, word: Word) -> None:
-        seat = self.by_address.get(word.address)
-        if seat is not None and seat.core.me.life == word.life and not seat.left:
-            self.deaths.append((self.now, by.name, word.name))
+    def called_dead(self, by: Seat, record: MemberRecord) -> None:
+        seat = self.by_address.get(record.address)
+        if seat is not None and seat.core.me.instance_id == record.instance_id and not seat.left:
+            self.deaths.append((self.now, by.name, record.name))
         else:
-            self.dead_at.setdefault((word.name, word.life), {}).setdefault(by.number, self.now)
+            self.dead_at.setdefault((record.name, record.instance_id), {}).setdefault(
+                by.number, self.now
+            )
 
     # Connections, and whether the counts in use are under the number that really places
 
--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -25,7 +25,7 @@
 from corklift.membership.messages import (
     ACK,
     JOIN,
-    MOST_WORDS,
+    MAX_RECORDS,
     NACK,
     PING,
     REACH,
@@ -33,12 +33,12 @@
     SELF,
     SYNC,
     UNKNOWN,
+    MemberRecord,
+    MemberState,
     Message,
-    Standing,
-    Word,
 )
 
-ALIVE, SUSPECT, DEAD, LEFT = Standing
+ALIVE, SUSPECT, DEAD, LEFT = MemberState
 
 
 class Pace(NamedTuple):
@@ -53,7 +53,7 @@
     slowness: int = (
         8  # times its usual spans that a member goes by, at most, when it is slow itself
     )
-    words: int = 8  # that ride on a message
+    records_per_message: int = 8  # that ride on a message
     told: int = 3  # times log2 of the fleet that a word is passed on by each
     page: int = 32  # words of a page, where two tables differ
     page_every: float = 1.0  # periods between two pages that are asked for
@@ -72,7 +72,7 @@
     def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None: ...
     def reply(self, call: int, message: Message) -> None: ...
     def changed(
-        self, word: Word, was: Standing | None
+        self, record: MemberRecord, was: MemberState | None
     ) -> None: ...  # what this member holds of another
     def counted(self, number: int) -> None: ...  # balancers that may be placing, this one too
     def refused(self, why: str) -> None: ...  # another process has this name
@@ -85,7 +85,7 @@
 
     kind: str
     name: str = ""
-    life: int = 0
+    instance_id: int = 0
     address: str = ""
     began: int = 0
     done: Callable[[int, Message | None], None] | None = (
@@ -97,7 +97,7 @@
 class _Probe:
     """Of one period."""
 
-    word: Word
+    record: MemberRecord
     ends: int
     relays_at: int
     acked: bool = False
@@ -110,7 +110,7 @@
 class _Suspicion:
     began: int
     due: int
-    by: set[str] = field(default_factory=set)
+    reporters: set[str] = field(default_factory=set)
 
 
 class Members:
@@ -130,8 +130,8 @@
     ) -> None:
         """`join`: addresses to join by; `expected`: balancers that there may be before any is known by name."""
         self._host, self._rng, self._pace = host, rng, pace
-        self.me = Word(name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version)
-        self.table: dict[str, Word] = {}  # of the others
+        self.me = MemberRecord(name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version)
+        self.table: dict[str, MemberRecord] = {}  # of the others
         self._names: list[str] = []  # of the table, in order
         self._digest = self._mark(self.me)
         self._fresh: dict[
@@ -169,11 +169,13 @@
 
     # What the host tells
 
-    def resume(self, incarnation: int, turn: int, expected: int) -> None:
+    def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
         """Before the start: what an earlier process of this name came to, and how many balancers there were then, by the disk. Words of
         before are thereby old from the first message on, and not only once somebody tells of them."""
-        if (incarnation, turn) > (self.me.incarnation, self.me.turn):
-            self._raise(max(incarnation, self.me.incarnation), max(turn, self.me.turn))
+        if (incarnation, restart_count) > (self.me.incarnation, self.me.restart_count):
+            self._raise(
+                max(incarnation, self.me.incarnation), max(restart_count, self.me.restart_count)
+            )
         self.count.expects(expected)
 
     def start(self) -> None:
@@ -210,8 +212,9 @@
         if asked is None or self.refused:
             return
         self._hear(now, message)
-        if message.sender.life != self.me.life and now - asked.began <= self._pace.period * (
-            1 + self._slow
+        if (
+            message.sender.instance_id != self.me.instance_id
+            and now - asked.began <= self._pace.period * (1 + self._slow)
         ):
             self._doubts_until = 0
         if asked.done is not None:
@@ -220,9 +223,13 @@
             if self.count.told(asked.began, now, message.sender.name, message.window, message.low):
                 self._recount()
         probe = self._probe
-        if probe is not None and asked.name == probe.word.name and asked.life == probe.word.life:
-            if message.kind == ACK and message.sender.life == (
-                asked.life if asked.kind == PING else message.sender.life
+        if (
+            probe is not None
+            and asked.name == probe.record.name
+            and asked.instance_id == probe.record.instance_id
+        ):
+            if message.kind == ACK and message.sender.instance_id == (
+                asked.instance_id if asked.kind == PING else message.sender.instance_id
             ):
                 if not probe.acked:
                     probe.acked = True
@@ -232,10 +239,10 @@
         if (
             asked.kind == PING
             and message.kind in (ACK, NACK)
-            and asked.life
-            and message.sender.life != asked.life
+            and asked.instance_id
+            and message.sender.instance_id != asked.instance_id
         ):
-            self._gone(now, asked.name, asked.life)  # another process has its address now
+            self._gone(now, asked.name, asked.instance_id)  # another process has its address now
 
     def unanswered(self, now: int, ask: int) -> None:
         """By its time, or because the call failed."""
@@ -250,7 +257,7 @@
         if self.refused:
             self._host.reply(call, self._message(now, NACK, why="not of the fleet"))
             return
-        if message.sender.life == self.me.life:
+        if message.sender.instance_id == self.me.instance_id:
             self._host.reply(call, self._message(now, SELF))
             return
         if message.kind == JOIN:
@@ -258,8 +265,8 @@
             return
         self._hear(now, message)
         if (
-            message.to_life
-            and message.to_life != self.me.life
+            message.target_instance_id
+            and message.target_instance_id != self.me.instance_id
             or message.to
             and message.to != self.me.name
         ):
@@ -268,7 +275,7 @@
             self._host.reply(call, self._message(now, ACK, about=message.sender.name))
         elif message.kind == SYNC:
             page, cursor = self._page(message.cursor)
-            self._host.reply(call, self._message(now, ACK, words=page, cursor=cursor))
+            self._host.reply(call, self._message(now, ACK, records=page, cursor=cursor))
         elif message.kind == REACH and message.subject is not None:
             self._reach(now, call, message.subject, message.wait)
         else:
@@ -292,9 +299,9 @@
     def forget(self, now: int, name: str) -> bool:
         """Operators say that this member is gone for good; whether it was held for dead. One that lives denies it."""
         held = self.table.get(name)
-        if held is None or held.standing != DEAD:
+        if held is None or held.state != DEAD:
             return False
-        self._take(now, _with(held, standing=LEFT, by="operators"))
+        self._take(now, _with(held, state=LEFT, reporter="operators"))
         return True
 
     def leave(self, now: int) -> list[tuple[int, str]]:
@@ -304,10 +311,10 @@
             return []
         self._leaving = True
         self._digest ^= self._mark(self.me)
-        self.me = _with(self.me, standing=LEFT)
+        self.me = _with(self.me, state=LEFT)
         self._digest ^= self._mark(self.me)
         told = self._rng.sample(self.living, min(len(self.living), self._pace.relays + 1))
-        return [(self._ask(now, PING, word), word.name) for word in told]
+        return [(self._ask(now, PING, record), record.name) for record in told]
 
     # What the host may ask
 
@@ -320,9 +327,9 @@
         return self._introduced or not self._unheard and not self.joined
 
     @property
-    def living(self) -> list[Word]:
+    def living(self) -> list[MemberRecord]:
         """The others that are not held for dead or gone."""
-        return [word for word in self.table.values() if word.standing <= SUSPECT]
+        return [record for record in self.table.values() if record.state <= SUSPECT]
 
     # Messages
 
@@ -331,9 +338,9 @@
         now: int,
         kind: str,
         *,
-        to: Word | None = None,
+        to: MemberRecord | None = None,
         about: str = "",
-        words: tuple[Word, ...] = (),
+        records: tuple[MemberRecord, ...] = (),
         **more: object,
     ) -> Message:
         window, low = self.count.own_low(now)
@@ -341,23 +348,25 @@
             kind,
             self.me,
             to.name if to else "",
-            to.life if to else 0,
-            words or self._news(about or (to.name if to else "")),
+            to.instance_id if to else 0,
+            records or self._news(about or (to.name if to else "")),
             self._digest,
             window,
             low,
-            **more,
-        )  # type: ignore[arg-type]
+            **more,  # type: ignore[arg-type]
+        )
 
-    def _news(self, about: str) -> tuple[Word, ...]:
+    def _news(self, about: str) -> tuple[MemberRecord, ...]:
         """The words that were passed on least; first what is held of the one that is spoken to, if that is bad.
 
         Guards against a member called dead that hears of it last (Lifeguard's buddy system)."""
         held = self.table.get(about)
-        chosen = [held] if held is not None and held.standing != ALIVE else []
+        chosen = [held] if held is not None and held.state != ALIVE else []
         most = self._pace.told * max(1, ceil(log2(len(self.table) + 2)))
         for name in nsmallest(
-            self._pace.words - len(chosen), self._fresh, key=lambda name: self._fresh[name][0]
+            self._pace.records_per_message - len(chosen),
+            self._fresh,
+            key=lambda name: self._fresh[name][0],
         ):
             if name != about:
                 chosen.append(self.table[name])
@@ -366,7 +375,7 @@
                 del self._fresh[name]
         return tuple(chosen)
 
-    def _page(self, cursor: str) -> tuple[tuple[Word, ...], str]:
+    def _page(self, cursor: str) -> tuple[tuple[MemberRecord, ...], str]:
         at = bisect_right(self._names, cursor)
         names = self._names[at : at + self._pace.page]
         return tuple(self.table[name] for name in names), names[-1] if at + self._pace.page < len(
@@ -377,23 +386,25 @@
         self,
         now: int,
         kind: str,
-        to: Word,
+        to: MemberRecord,
         *,
         address: str = "",
         span: int = 0,
         done: Callable[[int, Message | None], None] | None = None,
         name: str = "",
-        life: int = 0,
+        instance_id: int = 0,
         **more: object,
     ) -> int:
         ask, self._next_ask = self._next_ask, self._next_ask + 1
         address = address or to.address
-        self._asks[ask] = _Ask(kind, name or to.name, life or to.life, address, now, done)
+        self._asks[ask] = _Ask(
+            kind, name or to.name, instance_id or to.instance_id, address, now, done
+        )
         self._host.ask(
             ask,
             address,
             to.name,
-            self._message(now, kind, to=to if to.life else None, **more),  # type: ignore[arg-type]
+            self._message(now, kind, to=to if to.instance_id else None, **more),  # type: ignore[arg-type]
             now + (span or self._pace.period * (1 + self._slow)),
         )
         return ask
@@ -401,12 +412,12 @@
     def _hear(self, now: int, message: Message) -> None:
         sender = message.sender
         self._take(now, sender)
-        for word in message.words[:MOST_WORDS]:
-            self._take(now, word)
-        if message.digest == self._digest and sender.standing == ALIVE:
+        for record in message.records[:MAX_RECORDS]:
+            self._take(now, record)
+        if message.digest == self._digest and sender.state == ALIVE:
             # Guards against a start that waits for a page which nobody sends, as news has made both alike.
             self._paged_through = True
-        elif not self._leaving and now >= self._page_at and sender.standing == ALIVE:
+        elif not self._leaving and now >= self._page_at and sender.state == ALIVE:
             # A page a period, from where the last one ended: what differs comes round without a burst.
             span = self._pace.page_every * self._pace.period * self._rng.uniform(0.75, 1.25)
             self._page_at = now + int(span if self._introduced else span / 8)
@@ -424,97 +435,105 @@
     # Words
 
     @staticmethod
-    def _mark(word: Word) -> int:
-        if word.standing == SUSPECT:
-            word = _with(word, standing=ALIVE)  # a suspicion settles by itself
+    def _mark(record: MemberRecord) -> int:
+        if record.state == SUSPECT:
+            record = _with(record, state=ALIVE)  # a suspicion settles by itself
         return xxh3_64_intdigest(
-            f"{word.name} {word.life} {word.incarnation} {int(word.standing)}".encode()
+            f"{record.name} {record.instance_id} {record.incarnation} {int(record.state)}".encode()
         )
 
-    def _take(self, now: int, word: Word) -> None:
+    def _take(self, now: int, record: MemberRecord) -> None:
         """One word about a member. Whatever order words come in, all members come to hold the same."""
-        if word.name == self.me.name:
-            self._about_me(now, word)
+        if record.name == self.me.name:
+            self._about_me(now, record)
             return
-        held = self.table.get(word.name)
-        if held is not None and word.rank <= held.rank:
-            if word.standing == held.standing == SUSPECT and word.rank == held.rank:
-                self._shared(now, word)
+        held = self.table.get(record.name)
+        if held is not None and record.rank <= held.rank:
+            if record.state == held.state == SUSPECT and record.rank == held.rank:
+                self._shared(now, record)
             return
         if held is None:
-            if len(self.table) >= self._pace.members or word.standing > LEFT:
+            if len(self.table) >= self._pace.members or record.state > LEFT:
                 return
-            insort(self._names, word.name)
-            if word.standing <= SUSPECT:
-                self._round.insert(self._rng.randrange(len(self._round) + 1), word.name)
+            insort(self._names, record.name)
+            if record.state <= SUSPECT:
+                self._round.insert(self._rng.randrange(len(self._round) + 1), record.name)
         else:
             self._digest ^= self._mark(held)
-        self.table[word.name] = word
-        self._digest ^= self._mark(word)
-        self._fresh[word.name] = [0]
-        was = Standing(held.standing) if held is not None else None
-        if word.standing == SUSPECT:
-            self._suspicions[word.name] = _Suspicion(now, 0)
-            self._shared(now, word)
+        self.table[record.name] = record
+        self._digest ^= self._mark(record)
+        self._fresh[record.name] = [0]
+        was = MemberState(held.state) if held is not None else None
+        if record.state == SUSPECT:
+            self._suspicions[record.name] = _Suspicion(now, 0)
+            self._shared(now, record)
         else:
-            self._suspicions.pop(word.name, None)
-        if word.standing != was or held is not None and held.life != word.life:
+            self._suspicions.pop(record.name, None)
+        if record.state != was or held is not None and held.instance_id != record.instance_id:
             if (
-                word.standing <= SUSPECT
+                record.state <= SUSPECT
                 and was is not None
                 and was >= DEAD
-                and word.name not in self._round
+                and record.name not in self._round
             ):
-                self._round.append(word.name)
+                self._round.append(record.name)
             (
                 self.count.lives
-                if word.standing <= SUSPECT
+                if record.state <= SUSPECT
                 else self.count.vanished
-                if word.standing == DEAD
+                if record.state == DEAD
                 else self.count.left
-            )(now, word.name)
-            self._host.changed(word, was)
+            )(now, record.name)
+            self._host.changed(record, was)
             self._recount()
 
-    def _about_me(self, now: int, word: Word) -> None:
+    def _about_me(self, now: int, record: MemberRecord) -> None:
         mine = self.me
-        if word.life == mine.life:
+        if record.instance_id == mine.instance_id:
             if (
-                word.standing != ALIVE
-                and word.incarnation >= mine.incarnation
+                record.state != ALIVE
+                and record.incarnation >= mine.incarnation
                 and not self._leaving
             ):
                 self._host.log(
-                    f"denied that this balancer is {Standing(min(word.standing, LEFT)).name.lower()}"
+                    f"denied that this balancer is {MemberState(min(record.state, LEFT)).name.lower()}"
                 )
                 self._slow = min(self._pace.slowness - 1, self._slow + 1)
-                self._raise(word.incarnation + 1, mine.turn)
+                self._raise(record.incarnation + 1, mine.restart_count)
             return
-        if word.standing >= DEAD:  # an earlier process of this name
-            if word.incarnation >= mine.incarnation:
-                self._raise(word.incarnation + 1, max(mine.turn, word.turn + 1))
-        elif (word.turn, word.life) > (mine.turn, mine.life):
-            if word.incarnation >= mine.incarnation:
+        if record.state >= DEAD:  # an earlier process of this name
+            if record.incarnation >= mine.incarnation:
+                self._raise(
+                    record.incarnation + 1, max(mine.restart_count, record.restart_count + 1)
+                )
+        elif (record.restart_count, record.instance_id) > (mine.restart_count, mine.instance_id):
+            if record.incarnation >= mine.incarnation:
                 self._raise(
-                    word.incarnation + 1, mine.turn
+                    record.incarnation + 1, mine.restart_count
                 )  # the later of the two hears it, and looks
         elif not self._verifying:
             self._verifying = True
 
             def verified(at: int, answer: Message | None) -> None:
                 self._verifying = False
-                if answer is not None and answer.kind == ACK and answer.sender.life == word.life:
+                if (
+                    answer is not None
+                    and answer.kind == ACK
+                    and answer.sender.instance_id == record.instance_id
+                ):
                     self._refused(
-                        f"the name {self.me.name} is in use by an earlier process at {word.address}"
+                        f"the name {self.me.name} is in use by an earlier process at {record.address}"
+                    )
+                elif record.incarnation >= self.me.incarnation:
+                    self._raise(
+                        record.incarnation + 1, max(self.me.restart_count, record.restart_count + 1)
                     )
-                elif word.incarnation >= self.me.incarnation:
-                    self._raise(word.incarnation + 1, max(self.me.turn, word.turn + 1))
 
-            self._ask(now, PING, word, done=verified)
+            self._ask(now, PING, record, done=verified)
 
-    def _raise(self, incarnation: int, turn: int) -> None:
+    def _raise(self, incarnation: int, restart_count: int) -> None:
         self._digest ^= self._mark(self.me)
-        self.me = _with(self.me, incarnation=incarnation, turn=turn)
+        self.me = _with(self.me, incarnation=incarnation, restart_count=restart_count)
         self._digest ^= self._mark(self.me)
 
     def _refused(self, why: str) -> None:
@@ -523,37 +542,37 @@
             self.refused = self._leaving = True
             self._host.refused(why)
 
-    def _gone(self, now: int, name: str, life: int) -> None:
+    def _gone(self, now: int, name: str, instance_id: int) -> None:
         held = self.table.get(name)
-        if held is not None and held.life == life and held.standing <= SUSPECT:
-            self._take(now, _with(held, standing=DEAD, by=self.me.name))
+        if held is not None and held.instance_id == instance_id and held.state <= SUSPECT:
+            self._take(now, _with(held, state=DEAD, reporter=self.me.name))
 
     # Suspicion
 
-    def _shared(self, now: int, word: Word) -> None:
+    def _shared(self, now: int, record: MemberRecord) -> None:
         """One more suspects it: the more do, the less the others wait for its denial."""
-        suspicion = self._suspicions.get(word.name)
-        if suspicion is None or word.by in suspicion.by:
+        suspicion = self._suspicions.get(record.name)
+        if suspicion is None or record.reporter in suspicion.reporters:
             return
-        if len(suspicion.by) <= self._pace.shared_by:
-            suspicion.by.add(word.by)
-            if len(suspicion.by) > 1:
-                self._fresh[word.name] = [0]
+        if len(suspicion.reporters) <= self._pace.shared_by:
+            suspicion.reporters.add(record.reporter)
+            if len(suspicion.reporters) > 1:
+                self._fresh[record.name] = [0]
         fleet = len(self.table) + 1
         least = self._pace.least * max(1.0, log10(fleet)) * self._pace.period
         needed = min(self._pace.shared_by, fleet - 2)
-        part = log10(len(suspicion.by)) / log10(needed + 1) if needed > 0 else 1.0
+        part = log10(len(suspicion.reporters)) / log10(needed + 1) if needed > 0 else 1.0
         span = max(least, least * self._pace.longest - least * (self._pace.longest - 1) * part)
         suspicion.due = suspicion.began + int(span)
 
-    def _suspect(self, now: int, word: Word) -> None:
-        held = self.table.get(word.name)
-        if held is not None and held.life == word.life and held.standing <= SUSPECT:
-            suspected = _with(held, standing=SUSPECT, by=self.me.name)
-            if held.standing == SUSPECT:
+    def _suspect(self, now: int, record: MemberRecord) -> None:
+        held = self.table.get(record.name)
+        if held is not None and held.instance_id == record.instance_id and held.state <= SUSPECT:
+            suspected = _with(held, state=SUSPECT, reporter=self.me.name)
+            if held.state == SUSPECT:
                 self._shared(now, suspected)
-                if self._fresh.get(word.name) == [0]:
-                    self.table[word.name] = suspected  # passed on as said by this one too
+                if self._fresh.get(record.name) == [0]:
+                    self.table[record.name] = suspected  # passed on as said by this one too
             else:
                 self._take(now, suspected)
 
@@ -563,7 +582,7 @@
                 return
             self._doubts_until = 0
         for name in [name for name, held in self._suspicions.items() if now >= held.due]:
-            self._take(now, _with(self.table[name], standing=DEAD, by=self.me.name))
+            self._take(now, _with(self.table[name], state=DEAD, reporter=self.me.name))
 
     def _noticed(self, now: int) -> None:
         """A call that comes late shows that this process was stopped, starved or asleep: it doubts itself first.
@@ -601,54 +620,60 @@
                 self._slow = min(
                     self._pace.slowness - 1, self._slow + (missed if probe.relays else 1)
                 )
-                self._suspect(now, probe.word)
+                self._suspect(now, probe.record)
         if self._probe is None and now >= self._next_probe:
             span = self._pace.period * (1 + self._slow)
             self._next_probe = now + span
-            word = self._next_in_round()
-            if word is not None:
-                self._probe = _Probe(word, now + span, now + int(span * self._pace.answer))
-                self._ask(now, PING, word, span=span)
+            record = self._next_in_round()
+            if record is not None:
+                self._probe = _Probe(record, now + span, now + int(span * self._pace.answer))
+                self._ask(now, PING, record, span=span)
 
-    def _next_in_round(self) -> Word | None:
+    def _next_in_round(self) -> MemberRecord | None:
         for _ in range(2):
             while self._round:
-                word = self.table.get(self._round.pop())
-                if word is not None and word.standing <= SUSPECT:
-                    return word
-            self._round = [word.name for word in self.living]
+                record = self.table.get(self._round.pop())
+                if record is not None and record.state <= SUSPECT:
+                    return record
+            self._round = [record.name for record in self.living]
             self._rng.shuffle(self._round)
         return None
 
     def _ask_relays(self, now: int, probe: _Probe) -> None:
         others = [
-            word for word in self.living if word.name != probe.word.name and word.standing == ALIVE
+            record
+            for record in self.living
+            if record.name != probe.record.name and record.state == ALIVE
         ]
         chosen = self._rng.sample(others, min(self._pace.relays, len(others)))
         probe.relays = len(chosen)
         probe.relays_at = probe.ends
-        for word in chosen:
+        for record in chosen:
             span = probe.ends - now
             self._ask(
                 now,
                 REACH,
-                word,
+                record,
                 span=span,
-                subject=probe.word,
+                subject=probe.record,
                 wait=int(span * 0.7),
-                name=probe.word.name,
-                life=probe.word.life,
+                name=probe.record.name,
+                instance_id=probe.record.instance_id,
             )
 
-    def _reach(self, now: int, call: int, subject: Word, wait: int) -> None:
+    def _reach(self, now: int, call: int, subject: MemberRecord, wait: int) -> None:
         def tried(at: int, answer: Message | None) -> None:
-            fine = answer is not None and answer.kind == ACK and answer.sender.life == subject.life
+            fine = (
+                answer is not None
+                and answer.kind == ACK
+                and answer.sender.instance_id == subject.instance_id
+            )
             self._host.reply(
                 call,
                 self._message(
                     at,
                     ACK if fine else NACK,
-                    words=(answer.sender,) if fine and answer is not None else (),
+                    records=(answer.sender,) if fine and answer is not None else (),
                 ),
             )
 
@@ -656,7 +681,7 @@
         self._ask(
             now,
             PING,
-            known if known is not None and known.life == subject.life else subject,
+            known if known is not None and known.instance_id == subject.instance_id else subject,
             span=max(1, min(wait, self._pace.slowness * self._pace.period)),
             done=tried,
         )
@@ -687,7 +712,7 @@
                 self._paged_through = answer.digest == self._digest
                 self._host.log(f"joined by {answer.sender.name} at {address}")
 
-        self._ask(now, JOIN, Word("", address, 0, 0, 0, ALIVE), address=address, done=done)
+        self._ask(now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, done=done)
 
     def _introduce(self, now: int) -> None:
         """Tells of itself to all that it knows of, a few at a time."""
@@ -695,43 +720,47 @@
         def done(at: int, answer: Message | None) -> None:
             self._greeting -= 1
 
-        alike = self._paged_through or all(word.standing > SUSPECT for word in self.table.values())
-        left = [word for word in self.living if word.name not in self._greeted]
-        for word in left[: self._pace.words]:
-            self._greeted.add(word.name)
+        alike = self._paged_through or all(record.state > SUSPECT for record in self.table.values())
+        left = [record for record in self.living if record.name not in self._greeted]
+        for record in left[: self._pace.records_per_message]:
+            self._greeted.add(record.name)
             self._greeting += 1
-            self._ask(now, PING, word, done=done)
+            self._ask(now, PING, record, done=done)
         self._introduced = alike and not left and not self._greeting
 
     def _let_in(self, now: int, call: int, message: Message) -> None:
         """One that starts or comes back. Its name is its own unless a process that answers has it."""
-        word = message.sender
-        held = self.me if word.name == self.me.name else self.table.get(word.name)
+        record = message.sender
+        held = self.me if record.name == self.me.name else self.table.get(record.name)
 
         def refuse(address: str) -> None:
-            why = f"the name {word.name} is in use by an earlier process at {address}"
+            why = f"the name {record.name} is in use by an earlier process at {address}"
             self._host.reply(call, self._message(now, REFUSED, why=why))
 
         def let_in(at: int) -> None:
             self._hear(at, message)
-            known = self.table.get(word.name)
+            known = self.table.get(record.name)
             page = tuple(
                 self._rng.sample(list(self.table.values()), min(len(self.table), self._pace.page))
             )
-            about = () if known is None or known.life == word.life else (known,)
-            self._host.reply(call, self._message(at, ACK, words=about + page))
+            about = () if known is None or known.instance_id == record.instance_id else (known,)
+            self._host.reply(call, self._message(at, ACK, records=about + page))
 
-        if held is None or held.life == word.life or held.standing >= DEAD:
+        if held is None or held.instance_id == record.instance_id or held.state >= DEAD:
             let_in(now)
         elif held is self.me:
             refuse(self.me.address)
         else:
 
             def looked(at: int, answer: Message | None) -> None:
-                if answer is not None and answer.kind == ACK and answer.sender.life == held.life:
+                if (
+                    answer is not None
+                    and answer.kind == ACK
+                    and answer.sender.instance_id == held.instance_id
+                ):
                     refuse(held.address)
                 else:
-                    self._gone(at, held.name, held.life)
+                    self._gone(at, held.name, held.instance_id)
                     let_in(at)
 
             self._ask(
@@ -751,8 +780,8 @@
         self._retry_at = now + int(
             self._pace.retry_every * self._pace.period * self._rng.uniform(0.5, 1.5)
         )
-        dead = [word for word in self.table.values() if word.standing == DEAD]
-        here = {word.address for word in self.table.values()} | {self.me.address}
+        dead = [record for record in self.table.values() if record.state == DEAD]
+        here = {record.address for record in self.table.values()} | {self.me.address}
         unknown = [address for address in self._join if address not in here] if self.joined else []
         if dead and (not unknown or self._rng.random() < 0.5):
             self._ask(now, PING, self._rng.choice(dead))
@@ -767,6 +796,6 @@
             self._host.counted(self._counted)
 
 
-def _with(word: Word, **changes: object) -> Word:
-    held = {name: getattr(word, name) for name in word.__struct_fields__}
-    return Word(**(held | changes))  # type: ignore[arg-type]
+def _with(record: MemberRecord, **changes: object) -> MemberRecord:
+    held = {name: getattr(record, name) for name in record.__struct_fields__}
+    return MemberRecord(**(held | changes))  # type: ignore[arg-type]
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -12,10 +12,10 @@
 
 PING, REACH, JOIN, SYNC = "ping", "reach", "join", "sync"  # what is asked
 ACK, NACK, SELF, REFUSED, UNKNOWN = "ack", "nack", "self", "refused", "unknown"  # what is answered
-MOST_WORDS = 64  # of a message that is read; the rest of it is left
+MAX_RECORDS = 64  # of a message that is read; the rest of it is left
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """In the order in which, of two words about one incarnation, the later one holds."""
 
     ALIVE = 0
@@ -24,37 +24,37 @@
     LEFT = 3  # it said so itself, or operators said it for one that can't
 
 
-class Word(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is said of one member."""
 
     name: str
     address: str  # IPv4:PORT where it takes peers' calls
-    life: int  # drawn by each process at its start
-    turn: int  # how many processes had this name before, as far as it was told
+    instance_id: int  # drawn by each process at its start
+    restart_count: int  # how many processes had this name before, as far as it was told
     incarnation: int  # raised by the member alone, to deny what was said of it
-    standing: int  # Standing; a plain number, so that a newer peer's further one can be read
+    state: int  # Standing; a plain number, so that a newer peer's further one can be read
     zone: str = ""
     version: str = ""
-    by: str = ""  # who suspects it
+    reporter: str = ""  # who suspects it
 
     @property
     def rank(self) -> tuple[int, int, int]:
         """Of two words about one name the higher one holds, in whatever order they come."""
-        return self.incarnation, self.life, self.standing
+        return self.incarnation, self.instance_id, self.state
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
     """A call or its answer. Carries who sends it and in which incarnation."""
 
     kind: str
-    sender: Word
+    sender: MemberRecord
     to: str = ""  # the name that is meant; empty: whoever is there
-    to_life: int = 0  # the process that is meant; 0: any
-    words: tuple[Word, ...] = ()
+    target_instance_id: int = 0  # the process that is meant; 0: any
+    records: tuple[MemberRecord, ...] = ()
     digest: int = 0  # of all that the sender holds for settled
     window: int = 0  # ns up to now ...
     low: int = 0  # ... in which the sender held this many connections at the least
-    subject: Word | None = None  # whom to reach
+    subject: MemberRecord | None = None  # whom to reach
     wait: int = 0  # ns the caller waits for that
     cursor: str = ""  # the name after which a page begins
     why: str = ""
@@ -76,11 +76,15 @@
         message = _DECODER.decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise Unreadable(str(problem)) from None
-    for word in (message.sender, *message.words, *((message.subject,) if message.subject else ())):
+    for record in (
+        message.sender,
+        *message.records,
+        *((message.subject,) if message.subject else ()),
+    ):
         if (
-            not 0 < len(word.name) <= 100
-            or len(word.address) > 21
-            or len(word.zone) + len(word.version) + len(word.by) > 300
+            not 0 < len(record.name) <= 100
+            or len(record.address) > 21
+            or len(record.zone) + len(record.version) + len(record.reporter) > 300
         ):
-            raise Unreadable(f"a word about {word.name[:40]!r}")
+            raise Unreadable(f"a word about {record.name[:40]!r}")
     return message
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -16,7 +16,14 @@
 
 import corklift
 from corklift.membership.core import Members, Pace
-from corklift.membership.messages import Message, Standing, Unreadable, Word, decode, encode
+from corklift.membership.messages import (
+    MemberRecord,
+    MemberState,
+    Message,
+    Unreadable,
+    decode,
+    encode,
+)
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import WRITE, Scheduler, Task
 from corklift.net.stream import Stream
@@ -192,9 +199,9 @@
         if not waits:
             process.relay.take_clients(False)
 
-    def resume(self, incarnation: int, turn: int, expected: int) -> None:
+    def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
         """What the disk says of before is known, or is not waited for."""
-        self.core.resume(incarnation, turn, expected)
+        self.core.resume(incarnation, restart_count, expected)
         self._waits = False
 
     def call(self, name: str, path: str, request: bytes, until: int) -> bytes:
@@ -203,11 +210,11 @@
         Raises:
             RpcError: how it ended, if not well.
         """
-        word = self.core.table.get(name)
-        if word is None:
+        record = self.core.table.get(name)
+        if record is None:
             raise RpcError(Code.NOT_FOUND, f"{name[:60]!r} is not known")
         return self._links.unary(
-            self._given.via.get(name) or self._given.via.get(word.address) or word.address,
+            self._given.via.get(name) or self._given.via.get(record.address) or record.address,
             path,
             request,
             until,
@@ -302,16 +309,16 @@
             held[1].append(message)
             self._scheduler.wake(held[0])
 
-    def changed(self, word: Word, was: Standing | None) -> None:
+    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
         self._tell(
             "member",
-            member=word.name,
-            address=word.address,
-            life=f"{word.life:x}",
-            incarnation=word.incarnation,
-            standing=_standing(word),
+            member=record.name,
+            address=record.address,
+            life=f"{record.instance_id:x}",
+            incarnation=record.incarnation,
+            standing=_standing(record),
             was=was.name.lower() if was is not None else "unknown",
-            by=word.by,
+            by=record.reporter,
         )
 
     def counted(self, number: int) -> None:
@@ -356,14 +363,14 @@
         core = self.core
         rows = [
             {
-                "name": word.name,
-                "address": word.address,
-                "standing": _standing(word),
-                "incarnation": word.incarnation,
-                "zone": word.zone,
-                "version": word.version,
+                "name": record.name,
+                "address": record.address,
+                "standing": _standing(record),
+                "incarnation": record.incarnation,
+                "zone": record.zone,
+                "version": record.version,
             }
-            for word in [core.me, *core.table.values()]
+            for record in [core.me, *core.table.values()]
         ]
         return msgspec.json.encode(
             {
@@ -384,11 +391,11 @@
         return b""
 
 
-def _standing(word: Word) -> str:
+def _standing(record: MemberRecord) -> str:
     return (
-        Standing(word.standing).name.lower()
-        if word.standing in list(Standing)
-        else f"unknown ({word.standing})"
+        MemberState(record.state).name.lower()
+        if record.state in list(MemberState)
+        else f"unknown ({record.state})"
     )
 
 
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -14,7 +14,7 @@
 from corklift import service
 from corklift.interface import Status
 from corklift.membership import core, count
-from corklift.membership.messages import Standing
+from corklift.membership.messages import MemberState
 from corklift.membership.peers import Peers
 from corklift.net import relay
 from corklift.net.facade import Facade
@@ -36,14 +36,14 @@
 
 def never_denies() -> None:
     """It hears that it is suspected and says nothing."""
-    core.Members._about_me = lambda self, now, word: None  # type: ignore[method-assign]
+    core.Members._about_me = lambda self, now, record: None  # type: ignore[method-assign]
 
 
 def calls_dead_at_once() -> None:
     """No suspicion: one call without an answer is a death."""
 
-    def suspect(self: Any, now: int, word: Any) -> None:
-        self._gone(now, word.name, word.life)
+    def suspect(self: Any, now: int, record: Any) -> None:
+        self._gone(now, record.name, record.instance_id)
 
     core.Members._suspect = suspect  # type: ignore[method-assign]
     core.Members._ask_relays = lambda self, now, probe: None  # type: ignore[method-assign]
@@ -56,7 +56,7 @@
     def probing(self: Any, now: int) -> None:
         plain(self, now)
         if self.me.name and self._next_ask % 40 >= 36 and self.living:
-            self._gone(now, self.living[0].name, self.living[0].life)
+            self._gone(now, self.living[0].name, self.living[0].instance_id)
 
     core.Members._keep_probing = probing  # type: ignore[method-assign]
 
@@ -64,13 +64,19 @@
 def says_others_left() -> None:
     """A death is told as a leaving on purpose."""
 
-    def gone(self: Any, now: int, name: str, life: int) -> None:
+    def gone(self: Any, now: int, name: str, instance_id: int) -> None:
         held = self.table.get(name)
-        if held is not None and held.life == life and held.standing <= Standing.SUSPECT:
-            self._take(now, core._with(held, standing=Standing.LEFT))
+        if (
+            held is not None
+            and held.instance_id == instance_id
+            and held.state <= MemberState.SUSPECT
+        ):
+            self._take(now, core._with(held, state=MemberState.LEFT))
 
     core.Members._gone = gone  # type: ignore[method-assign]
-    core.Members._suspect = lambda self, now, word: gone(self, now, word.name, word.life)  # type: ignore[method-assign]
+    core.Members._suspect = lambda self, now, record: gone(  # type: ignore[method-assign]
+        self, now, record.name, record.instance_id
+    )
 
 
 def never_probes() -> None:
@@ -82,9 +88,9 @@
 
 
 def _deaf(plain: Any) -> Any:
-    def take(self: Any, now: int, word: Any) -> None:
-        if word.standing not in (Standing.DEAD, Standing.LEFT):
-            plain(self, now, word)
+    def take(self: Any, now: int, record: Any) -> None:
+        if record.state not in (MemberState.DEAD, MemberState.LEFT):
+            plain(self, now, record)
 
     return take
 
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from corklift.membership.messages import PING, UNKNOWN, Message, Word, decode, encode
+from corklift.membership.messages import PING, UNKNOWN, MemberRecord, Message, decode, encode
 from corklift.membership.peers import CALL, question
 from corklift.net.limits import MS
 from corklift.rig.checker import judge
@@ -255,10 +255,10 @@
 def test_a_newer_peer_and_one_that_speaks_nonsense():
     def conduct(rig):
         address = (rig.hosts["b1"], PEERS)
-        newer = Message("dance", Word("b9", "127.0.0.1:1", 5, 0, 1, 0, "", "9.0"))
+        newer = Message("dance", MemberRecord("b9", "127.0.0.1:1", 5, 0, 1, 0, "", "9.0"))
         answer = decode(question(address, CALL, encode(newer)))
         assert answer.kind == UNKNOWN and answer.sender.name == "b1"
-        for content in (b"", b"\xff" * 50, encode(Message(PING, Word("", "", 0, 0, 0, 0)))):
+        for content in (b"", b"\xff" * 50, encode(Message(PING, MemberRecord("", "", 0, 0, 0, 0)))):
             with pytest.raises(RpcError, match="INVALID_ARGUMENT"):
                 question(address, CALL, content)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,10 +14,10 @@
     ACK,
     PING,
     UNKNOWN,
+    MemberRecord,
+    MemberState,
     Message,
-    Standing,
     Unreadable,
-    Word,
     decode,
     encode,
 )
@@ -41,9 +41,9 @@
 
 
 class NeverDenies(Members):
-    def _about_me(self, now, word):
-        if word.life != self.me.life:
-            super()._about_me(now, word)
+    def _about_me(self, now, record):
+        if record.instance_id != self.me.instance_id:
+            super()._about_me(now, record)
 
 
 class ForgetsDeath(Members):
@@ -52,11 +52,15 @@
 
 
 class TakesAnyWord(Members):
-    def _take(self, now, word):
-        held = self.table.get(word.name)
-        if held is not None and word.standing < held.standing and word.life == held.life:
-            word = _with(word, incarnation=held.incarnation + 1)
-        super()._take(now, word)
+    def _take(self, now, record):
+        held = self.table.get(record.name)
+        if (
+            held is not None
+            and record.state < held.state
+            and record.instance_id == held.instance_id
+        ):
+            record = _with(record, incarnation=held.incarnation + 1)
+        super()._take(now, record)
 
 
 class LetsAllIn(Members):
@@ -83,7 +87,7 @@
     net = settled(12)
     net.keep_looking()
     lost = net.seats[5]
-    life = lost.core.me.life
+    life = lost.core.me.instance_id
     lost.kill()
     net.run(30)
     assert set(net.dead_at[lost.name, life]) == {seat.number for seat in net.seats} - {5}
@@ -154,7 +158,7 @@
 def test_a_balancer_that_was_stopped_counts_all_again_before_it_places():
     net = settled(4)
     core = net.seats[0].core
-    core._take(net.now, _with(core.table["b3"], standing=Standing.DEAD))
+    core._take(net.now, _with(core.table["b3"], state=MemberState.DEAD))
     core.count._room = 0
     core._recount()
     assert net.seats[0].uses == 3
@@ -163,22 +167,22 @@
 
 
 def test_words_of_newer_and_broken_peers():
-    word = Word("b9", "10.0.0.9:1", 7, 0, 1, 0)
-    newer = encode(Message("ping", word, "b1"))
-    assert decode(newer).sender == word
+    record = MemberRecord("b9", "10.0.0.9:1", 7, 0, 1, 0)
+    newer = encode(Message("ping", record, "b1"))
+    assert decode(newer).sender == record
     longer = bytes([newer[0] + 1]) + newer[1:] + b"\xa3new"  # an array with one field more
-    assert decode(longer).sender == word
+    assert decode(longer).sender == record
     net = settled(3)
     answers = {}
     net.seats[0].calls[99] = lambda answer: answers.setdefault(99, answer)
-    net.seats[0].core.called(net.now, 99, Message("dance", word))
+    net.seats[0].core.called(net.now, 99, Message("dance", record))
     assert answers[99].kind == UNKNOWN and "dance" in answers[99].why
     for bad in (
         b"",
         b"\xff" * 30,
         newer[:-4],
         b"\x93\x01\x02\x03",
-        encode(Message(PING, _with(word, name=""))),
+        encode(Message(PING, _with(record, name=""))),
     ):
         with pytest.raises(Unreadable):
             decode(bad)
