--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,7 +21,7 @@
 from corklift.lab.counted import Way, fallen
 from corklift.lab.peer_days import Day, Found
 from corklift.lab.peers import Net, Shape
-from corklift.membership.core import Pace
+from corklift.membership.core import MembershipConfig
 from corklift.rig.fleet import Rig
 from corklift.rig.fleet import Shape as RigShape
 from corklift.rig.links import SOUND, Fault
@@ -46,7 +46,7 @@
     net.run(3)
     found: list[float] = []
     for victim in net.rng.sample(net.seats, 3):
-        name, life, began = victim.name, victim.core.me.instance_id, net.now
+        name, life, began = victim.name, victim.core.own_record.instance_id, net.now
         victim.kill()
         net.run(30)
         known = net.dead_at.get((name, life), {})
@@ -66,7 +66,10 @@
         a, b = rng.sample(range(members), 2)
         net.cut.add((a, b))
     for at in range(members // 2):
-        net.after(3 + 2 * at, lambda: net.stop(rng.choice(net.seats), Pace().least / 2))
+        net.after(
+            3 + 2 * at,
+            lambda: net.stop(rng.choice(net.seats), MembershipConfig().min_suspicion / 2),
+        )
     net.run(60)
     return len(net.deaths)
 
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -60,11 +60,11 @@
 
 
 def _ask_peer(address: tuple[str, int], path: str, request: bytes) -> bytes:
-    from corklift.membership.peers import question
+    from corklift.membership.peers import call_peer
     from corklift.rpc.core import RpcError
 
     try:
-        return bytes(question(address, path, request))
+        return bytes(call_peer(address, path, request))
     except RpcError as problem:
         raise click.ClickException(f"{address[0]}:{address[1]}: {problem}") from None
 
--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.membership.core import Members, Pace
+from corklift.membership.core import Membership, MembershipConfig
 from corklift.membership.messages import MemberRecord, MemberState, Message
 
 PERIOD = 1_000_000_000
@@ -46,7 +46,7 @@
         self.core = world.make(
             self,
             Random(self.number * 100 + self.life),
-            Pace(PERIOD),
+            MembershipConfig(PERIOD),
             world.now,
             name=f"m{self.number}",
             address=f"m{self.number}",
@@ -58,14 +58,18 @@
 
     # Host
 
-    def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None:
-        self.world.flying.append(("ask", self.number, self.life, int(address[1:]), ask, message))
+    def send_request(
+        self, request_id: int, address: str, name: str, message: Message, until: int
+    ) -> None:
+        self.world.flying.append(
+            ("ask", self.number, self.life, int(address[1:]), request_id, message)
+        )
 
-    def reply(self, call: int, message: Message) -> None:
-        to, life, ask = self.calls.pop(call)
+    def send_reply(self, call_id: int, message: Message) -> None:
+        to, life, ask = self.calls.pop(call_id)
         self.world.flying.append(("answer", self.number, life, to, ask, message))
 
-    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
         world = self.world
         if record.state == MemberState.LEFT and (record.name, record.instance_id) not in world.gone:
             world.wrong = f"m{self.number} holds {record.name} for gone, which never said so"
@@ -74,11 +78,11 @@
             world.wrong = f"m{self.number} went back on {record.name}: {held} to {record.rank}"
         world.ranks[self.number, self.life, record.name] = record.rank
 
-    def counted(self, number: int) -> None:
-        self.used = number
+    def count_changed(self, count: int) -> None:
+        self.used = count
 
-    def refused(self, why: str) -> None:
-        self.world.wrong = f"m{self.number} was refused, alone under its name: {why}"
+    def name_rejected(self, reason: str) -> None:
+        self.world.wrong = f"m{self.number} was refused, alone under its name: {reason}"
 
     def log(self, text: str) -> None:
         pass
@@ -87,7 +91,7 @@
 class Small:
     """Three cores and what flies between them."""
 
-    def __init__(self, shape: Fleet, make: Callable[..., Any] = Members) -> None:
+    def __init__(self, shape: Fleet, make: Callable[..., Any] = Membership) -> None:
         self.shape, self.make, self.now = shape, make, EPOCH
         self.flying: list[tuple[str, int, int, int, int, Message]] = []
         self.wrong: str | None = None
@@ -109,9 +113,9 @@
             for seat in self.seats:
                 for other in self.seats:
                     if other is not seat:
-                        seat.core._take(self.now, other.core.me)
-                seat.core._fresh.clear()
-                seat.core.joined = seat.core._introduced = True
+                        seat.core._merge_record(self.now, other.core.own_record)
+                seat.core._gossip_queue.clear()
+                seat.core.joined = seat.core._announced = True
 
     def enabled(self) -> list[str]:
         labels = [
@@ -141,11 +145,11 @@
             if kind == "lose":
                 self.left["lose"] -= 1
                 if what == "ask" and self.seats[by].life == life and self.seats[by].alive:
-                    self.seats[by].core.unanswered(self.now, ask)
+                    self.seats[by].core.request_failed(self.now, ask)
             elif what == "ask":
                 self._call(by, life, to, ask, message)
             elif self.seats[to].alive and self.seats[to].life == life:
-                self.seats[to].core.answered(self.now, ask, message)
+                self.seats[to].core.reply_received(self.now, ask, message)
         elif kind == "tick":
             self._tick(self.seats[number], 0)
         elif kind == "stop":
@@ -161,7 +165,7 @@
             self.left["leave"] -= 1
             seat = self.seats[number]
             seat.left = True
-            self.gone.add((f"m{number}", seat.core.me.instance_id))
+            self.gone.add((f"m{number}", seat.core.own_record.instance_id))
             seat.core.leave(self.now)
         self._check()
 
@@ -176,11 +180,11 @@
         seat = self.seats[to]
         if not seat.alive:
             if self.seats[by].alive and self.seats[by].life == life:
-                self.seats[by].core.unanswered(self.now, ask)
+                self.seats[by].core.request_failed(self.now, ask)
             return
         call, seat.next_call = seat.next_call, seat.next_call + 1
         seat.calls[call] = by, life, ask
-        seat.core.called(self.now, call, message)
+        seat.core.request_received(self.now, call, message)
 
     def _tick(self, seat: _Host, late: int) -> None:
         self.now = max(self.now, seat.due) + late
@@ -197,16 +201,16 @@
             if not seat.alive:
                 continue
             key = seat.number, seat.life
-            if seat.core.me.incarnation < self.raised.get(key, 0):
+            if seat.core.own_record.incarnation < self.raised.get(key, 0):
                 self.wrong = f"m{seat.number} lowered its incarnation"
-            self.raised[key] = seat.core.me.incarnation
+            self.raised[key] = seat.core.own_record.incarnation
             # One that comes back after it left opens its door once the others were told of it.
             coming = sum(
                 other.alive and not other.left and not other.core.admitted for other in self.seats
             )
             if (
                 not seat.left
-                and not seat.core.refused
+                and not seat.core.rejected
                 and seat.core.admitted
                 and seat.used < placing - coming
             ):
@@ -224,24 +228,24 @@
                     seat.life,
                     seat.due - self.now,
                     seat.used,
-                    seat.core.me,
+                    seat.core.own_record,
                     sorted(seat.core.table.items()),
                     sorted(
-                        (name, held.due - self.now, sorted(held.reporters))
+                        (name, held.expires_at - self.now, sorted(held.reporters))
                         for name, held in seat.core._suspicions.items()
                     ),
-                    seat.core._slow,
+                    seat.core._slowdown,
                     seat.core._probe
                     and (
                         seat.core._probe.record.name,
-                        seat.core._probe.ends - self.now,
+                        seat.core._probe.ends_at - self.now,
                         seat.core._probe.acked,
-                        seat.core._probe.relays,
-                        seat.core._probe.nacks,
+                        seat.core._probe.relay_count,
+                        seat.core._probe.nack_count,
                     ),
-                    sorted(seat.core._fresh.items()),
-                    seat.core._round,
-                    sorted(seat.core._asks),
+                    sorted(seat.core._gossip_queue.items()),
+                    seat.core._probe_round,
+                    sorted(seat.core._requests),
                 )
                 for seat in self.seats
             ],
--- a/corklift/lab/peer_days.py
+++ b/corklift/lab/peer_days.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from corklift.lab.peers import Net, Seat, Shape
-from corklift.membership.core import Members
+from corklift.membership.core import Membership
 from corklift.membership.messages import MemberRecord, MemberState
 
 FAULTS = (
@@ -44,7 +44,7 @@
     """One history."""
 
     def __init__(
-        self, seed: int, make: Callable[..., Any] = Members, faults: tuple[str, ...] = FAULTS
+        self, seed: int, make: Callable[..., Any] = Membership, faults: tuple[str, ...] = FAULTS
     ) -> None:
         self.seed, self.rng = seed, Random(seed)
         self.net = Net(
@@ -147,7 +147,7 @@
         seat = self._some()
         if seat is not None:
             self.net.refuses = self.rng.random() < 0.5
-            self.killed[seat.name] = seat.core.me.instance_id
+            self.killed[seat.name] = seat.core.own_record.instance_id
             seat.kill()
 
     def _restart(self) -> None:
@@ -217,7 +217,7 @@
     def _leave(self) -> None:
         seat = self._some()
         if seat is not None and not seat.stopped:
-            self.gone.add((seat.name, seat.core.me.instance_id))
+            self.gone.add((seat.name, seat.core.own_record.instance_id))
             seat.leave()
 
     def _flap(self) -> None:
@@ -238,5 +238,5 @@
             more.start(name=seat.name)
 
 
-def play(seed: int, make: Callable[..., Any] = Members) -> Found:
+def play(seed: int, make: Callable[..., Any] = Membership) -> Found:
     return Day(seed, make).play()
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple
 
 from corklift.lab.clock import MS, SECOND
-from corklift.membership.core import Members, Pace
+from corklift.membership.core import Membership, MembershipConfig
 from corklift.membership.messages import MemberRecord, MemberState, Message, decode, encode
 
 REFUSED_AFTER = MS  # a connect to a port where nobody listens ends
@@ -60,7 +60,7 @@
         self.core = net.make(
             self,
             net.rng,
-            Pace(net.shape.period),
+            MembershipConfig(net.shape.period),
             net.now,
             name=self.name,
             address=self.address,
@@ -91,7 +91,7 @@
 
     def hold(self, connections: int) -> None:
         self.held = connections
-        self.core.holds(self.net.now, connections)
+        self.core.set_connections(self.net.now, connections)
 
     def kill(self) -> None:
         self.alive, self.held = False, 0
@@ -109,7 +109,9 @@
 
     # Host
 
-    def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None:
+    def send_request(
+        self, request_id: int, address: str, name: str, message: Message, until: int
+    ) -> None:
         net, life = self.net, self.life
         self._sent(message)
 
@@ -117,14 +119,14 @@
             self.run(life, act)
 
         net.at(
-            until, lambda: ends(lambda: self.core.unanswered(net.now, ask))
+            until, lambda: ends(lambda: self.core.request_failed(net.now, request_id))
         )  # of no effect once it was answered
         to = net.by_address.get(address)
         if to is None:
             if net.refuses:
                 net.at(
                     net.now + REFUSED_AFTER,
-                    lambda: ends(lambda: self.core.unanswered(net.now, ask)),
+                    lambda: ends(lambda: self.core.request_failed(net.now, request_id)),
                 )
             return
         their_life = to.life
@@ -134,30 +136,32 @@
             if net.passes(to, self):
                 net.at(
                     net.now + net.delay(),
-                    lambda: ends(lambda: self.core.answered(net.now, ask, net.carried(answer))),
+                    lambda: ends(
+                        lambda: self.core.reply_received(net.now, request_id, net.carried(answer))
+                    ),
                 )
 
         def arrive() -> None:
             call, to.next_call = to.next_call, to.next_call + 1
             to.calls[call] = reply
-            to.core.called(net.now, call, net.carried(message))
+            to.core.request_received(net.now, call, net.carried(message))
 
         if net.passes(self, to):
             net.at(net.now + net.delay(), lambda: to.run(their_life, arrive))
 
-    def reply(self, call: int, message: Message) -> None:
-        self.calls.pop(call)(message)
+    def send_reply(self, call_id: int, message: Message) -> None:
+        self.calls.pop(call_id)(message)
 
-    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
         if record.state == MemberState.DEAD:
             self.net.called_dead(self, record)
         self.net.heard(self, record)
 
-    def counted(self, number: int) -> None:
-        self.uses = number
+    def count_changed(self, count: int) -> None:
+        self.uses = count
 
-    def refused(self, why: str) -> None:
-        self.refusals.append(why)
+    def name_rejected(self, reason: str) -> None:
+        self.refusals.append(reason)
         life = self.life
         self.net.at(self.net.now, lambda: self.run(life, self.leave))
 
@@ -173,7 +177,7 @@
 class Net:
     """Processes and what lies between them."""
 
-    def __init__(self, shape: Shape, seed: int, make: Callable[..., Any] = Members) -> None:
+    def __init__(self, shape: Shape, seed: int, make: Callable[..., Any] = Membership) -> None:
         self.shape, self.rng, self.make = shape, Random(seed), make
         self.now = 1_000 * SECOND
         self._queue: list[tuple[int, int, Callable[[], Any]]] = []
@@ -225,9 +229,9 @@
             for seat in self.seats:
                 for other in self.seats:
                     if other is not seat:
-                        seat.core._take(self.now, other.core.me)
-                seat.core._fresh.clear()
-                seat.core.joined = seat.core._introduced = True
+                        seat.core._merge_record(self.now, other.core.own_record)
+                seat.core._gossip_queue.clear()
+                seat.core.joined = seat.core._announced = True
 
     def stop(self, seat: Seat, periods: float) -> None:
         """SIGSTOP; after that it goes on: with its timers first, or with what came meanwhile."""
@@ -248,7 +252,11 @@
 
     def called_dead(self, by: Seat, record: MemberRecord) -> None:
         seat = self.by_address.get(record.address)
-        if seat is not None and seat.core.me.instance_id == record.instance_id and not seat.left:
+        if (
+            seat is not None
+            and seat.core.own_record.instance_id == record.instance_id
+            and not seat.left
+        ):
             self.deaths.append((self.now, by.name, record.name))
         else:
             self.dead_at.setdefault((record.name, record.instance_id), {}).setdefault(
@@ -275,7 +283,7 @@
                     for server in range(shape.servers):  # each holds a part of all
                         part = held // shape.servers + (server < held % shape.servers)
                         if rng.random() < 1 / LOOK:
-                            seat.core.reported(
+                            seat.core.server_reported(
                                 self.now,
                                 f"s{server}",
                                 part,
--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -21,7 +21,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from corklift.membership.count import Count
+from corklift.membership.count import BalancerCount
 from corklift.membership.messages import (
     ACK,
     JOIN,
@@ -41,54 +41,62 @@
 ALIVE, SUSPECT, DEAD, LEFT = MemberState
 
 
-class Pace(NamedTuple):
+class MembershipConfig(NamedTuple):
     """Times as ratios to the probe period, and counts; the period alone is in ns."""
 
     period: int = 1_000_000_000
-    answer: float = 0.3  # of a period, for a direct answer; then others are asked to try
+    ack_timeout: float = 0.3  # of a period, for a direct answer; then others are request to try
     relays: int = 3  # how many others
-    least: float = 4.0  # periods of suspicion, times the fleet's log10, once enough others share it
-    longest: float = 6.0  # times as long where nobody else does
-    shared_by: int = 3  # others, for the least
-    slowness: int = (
+    min_suspicion: float = (
+        4.0  # periods of suspicion, times the fleet's log10, once enough others share it
+    )
+    max_suspicion_factor: float = 6.0  # times as long where nobody else does
+    confirmations: int = 3  # others, for the least
+    max_slowdown: int = (
         8  # times its usual spans that a member goes by, at most, when it is slow itself
     )
     records_per_message: int = 8  # that ride on a message
-    told: int = 3  # times log2 of the fleet that a word is passed on by each
-    page: int = 32  # words of a page, where two tables differ
-    page_every: float = 1.0  # periods between two pages that are asked for
-    retry_every: float = (
+    retransmit_factor: int = 3  # times log2 of the fleet that a word is passed on by each
+    page_size: int = 32  # words of a page, where two tables differ
+    page_interval: float = 1.0  # periods between two pages that are request for
+    retry_interval: float = (
         4.0  # periods between tries of a member held for dead, or an address nobody is known at
     )
-    join_first: float = 0.25  # of a period, spread, before a second try to join; doubled up to ...
-    join_most: float = 4.0  # ... periods
-    gap: float = 0.5  # of a period: a tick this late shows that this process was stopped
-    members: int = 4096  # of a table; further ones are not taken in
+    min_join_backoff: float = (
+        0.25  # of a period, spread, before a second try to join; doubled up to ...
+    )
+    max_join_backoff: float = 4.0  # ... periods
+    pause_threshold: float = (
+        0.5  # of a period: a tick this late shows that this process was stopped
+    )
+    max_members: int = 4096  # of a table; further ones are not taken in
 
 
 class Host(Protocol):
     """What a member may do."""
 
-    def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None: ...
-    def reply(self, call: int, message: Message) -> None: ...
-    def changed(
+    def send_request(
+        self, request_id: int, address: str, name: str, message: Message, until: int
+    ) -> None: ...
+    def send_reply(self, call_id: int, message: Message) -> None: ...
+    def member_changed(
         self, record: MemberRecord, was: MemberState | None
     ) -> None: ...  # what this member holds of another
-    def counted(self, number: int) -> None: ...  # balancers that may be placing, this one too
-    def refused(self, why: str) -> None: ...  # another process has this name
+    def count_changed(self, count: int) -> None: ...  # balancers that may be placing, this one too
+    def name_rejected(self, reason: str) -> None: ...  # another process has this name
     def log(self, text: str) -> None: ...
 
 
 @dataclass(slots=True)
-class _Ask:
+class _Request:
     """A call under way."""
 
     kind: str
     name: str = ""
     instance_id: int = 0
     address: str = ""
-    began: int = 0
-    done: Callable[[int, Message | None], None] | None = (
+    sent_at: int = 0
+    callback: Callable[[int, Message | None], None] | None = (
         None  # for the few that go on in their own way
     )
 
@@ -98,27 +106,27 @@
     """Of one period."""
 
     record: MemberRecord
-    ends: int
+    ends_at: int
     relays_at: int
     acked: bool = False
-    relays: int = 0
-    nacks: int = 0
+    relay_count: int = 0
+    nack_count: int = 0
     void: bool = False  # this process was stopped meanwhile
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    began: int
-    due: int
+    started_at: int
+    expires_at: int
     reporters: set[str] = field(default_factory=set)
 
 
-class Members:
+class Membership:
     def __init__(
         self,
         host: Host,
         rng: Random,
-        pace: Pace,
+        config: MembershipConfig,
         now: int,
         *,
         name: str,
@@ -129,192 +137,217 @@
         version: str = "",
     ) -> None:
         """`join`: addresses to join by; `expected`: balancers that there may be before any is known by name."""
-        self._host, self._rng, self._pace = host, rng, pace
-        self.me = MemberRecord(name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version)
+        self._host, self._rng, self._config = host, rng, config
+        self.own_record = MemberRecord(
+            name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version
+        )
         self.table: dict[str, MemberRecord] = {}  # of the others
         self._names: list[str] = []  # of the table, in order
-        self._digest = self._mark(self.me)
-        self._fresh: dict[
+        self._digest = self._hash_record(self.own_record)
+        self._gossip_queue: dict[
             str, list[int]
         ] = {}  # names whose word is passed on, and how often it was
         self._suspicions: dict[str, _Suspicion] = {}
-        self._asks: dict[int, _Ask] = {}
-        self._next_ask = 1
-        self._round: list[
+        self._requests: dict[int, _Request] = {}
+        self._next_request_id = 1
+        self._probe_round: list[
             str
         ] = []  # whom to probe yet, in a random order that is drawn anew when it ends
         self._probe: _Probe | None = None
-        self._next_probe = now + int(rng.random() * pace.period)
-        self._slow = 0  # how slow this process holds itself to be
-        self._doubts_until = (
+        self._next_probe_at = now + int(rng.random() * config.period)
+        self._slowdown = 0  # how slow this process holds itself to be
+        self._no_deaths_until = (
             0  # it was stopped: nobody is called dead till an answer shows that it hears
         )
-        self._join = [at for at in join if at != address]
-        rng.shuffle(self._join)
-        self._join_at, self._join_tries = now, 0
-        self.joined = not self._join
-        self._unheard = set(self._join)  # addresses to join by that have not been tried to the end
-        self._introduced = self.joined
-        self._greeted: set[str] = set()  # members that were told of this one, or did not answer
-        self._greeting = 0  # calls for that under way
-        self._paged_through = False  # all that a peer holds has come once
-        self._page_at = self._retry_at = now
-        self._cursor = ""  # how far pages went
-        self._verifying = False
+        self._join_addresses = [at for at in join if at != address]
+        rng.shuffle(self._join_addresses)
+        self._next_join_at, self._join_attempts = now, 0
+        self.joined = not self._join_addresses
+        self._untried_addresses = set(
+            self._join_addresses
+        )  # addresses to join by that have not been tried to the end
+        self._announced = self.joined
+        self._announced_to: set[str] = (
+            set()
+        )  # members that were told of this one, or did not answer
+        self._pending_announcements = 0  # calls for that under way
+        self._table_synced = False  # all that a peer holds has come once
+        self._next_sync_at = self._next_retry_at = now
+        self._sync_cursor = ""  # how far pages went
+        self._verifying_name = False
         self._leaving = False
-        self.refused = False  # another process has its name
-        self._expects = now  # when it asked to be called again
-        self.count = Count(expected, pace.period, now)
-        self._counted = 0
+        self.rejected = False  # another process has its name
+        self._expected_tick_at = now  # when it request to be called again
+        self.count = BalancerCount(expected, config.period, now)
+        self._reported_count = 0
 
     # What the host tells
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
         """Before the start: what an earlier process of this name came to, and how many balancers there were then, by the disk. Words of
         before are thereby old from the first message on, and not only once somebody tells of them."""
-        if (incarnation, restart_count) > (self.me.incarnation, self.me.restart_count):
-            self._raise(
-                max(incarnation, self.me.incarnation), max(restart_count, self.me.restart_count)
+        if (incarnation, restart_count) > (
+            self.own_record.incarnation,
+            self.own_record.restart_count,
+        ):
+            self._raise_incarnation(
+                max(incarnation, self.own_record.incarnation),
+                max(restart_count, self.own_record.restart_count),
             )
-        self.count.expects(expected)
+        self.count.raise_expected(expected)
 
     def start(self) -> None:
-        self._recount()
+        self._update_count()
 
     def tick(self, now: int) -> int:
         """Does what is due; returns when the next is."""
-        self._noticed(now)
+        self._detect_pause(now)
         if self._leaving:
-            self._expects = now + self._pace.period
-            return self._expects
+            self._expected_tick_at = now + self._config.period
+            return self._expected_tick_at
         self._keep_joining(now)
-        if self.joined and not self._introduced:
-            self._introduce(now)
+        if self.joined and not self._announced:
+            self._announce(now)
         self._keep_probing(now)
-        self._end_suspicions(now)
-        self._retry(now)
-        due = [self._next_probe]
+        self._expire_suspicions(now)
+        self._retry_dead(now)
+        due = [self._next_probe_at]
         if self._probe is not None:
-            due = [self._probe.ends] + (
-                [self._probe.relays_at] if not self._probe.relays and not self._probe.acked else []
+            due = [self._probe.ends_at] + (
+                [self._probe.relays_at]
+                if not self._probe.relay_count and not self._probe.acked
+                else []
             )
         if not self.joined:
-            due.append(self._join_at)
-        elif not self._introduced:
-            due.append(now + self._pace.period // 4)
-        due += [held.due for held in self._suspicions.values()] if not self._doubts_until else []
-        self._expects = max(now + 1, min(due))
-        return self._expects
-
-    def answered(self, now: int, ask: int, message: Message) -> None:
-        self._noticed(now)
-        asked = self._asks.pop(ask, None)
-        if asked is None or self.refused:
+            due.append(self._next_join_at)
+        elif not self._announced:
+            due.append(now + self._config.period // 4)
+        due += (
+            [suspicion.expires_at for suspicion in self._suspicions.values()]
+            if not self._no_deaths_until
+            else []
+        )
+        self._expected_tick_at = max(now + 1, min(due))
+        return self._expected_tick_at
+
+    def reply_received(self, now: int, request_id: int, message: Message) -> None:
+        self._detect_pause(now)
+        request = self._requests.pop(request_id, None)
+        if request is None or self.rejected:
             return
-        self._hear(now, message)
+        self._merge_message(now, message)
         if (
-            message.sender.instance_id != self.me.instance_id
-            and now - asked.began <= self._pace.period * (1 + self._slow)
+            message.sender.instance_id != self.own_record.instance_id
+            and now - request.sent_at <= self._config.period * (1 + self._slowdown)
         ):
-            self._doubts_until = 0
-        if asked.done is not None:
-            asked.done(now, message)
-        if asked.kind == PING and message.kind == ACK:
-            if self.count.told(asked.began, now, message.sender.name, message.window, message.low):
-                self._recount()
+            self._no_deaths_until = 0
+        if request.callback is not None:
+            request.callback(now, message)
+        if request.kind == PING and message.kind == ACK:
+            if self.count.member_replied(
+                request.sent_at, now, message.sender.name, message.window, message.min_connections
+            ):
+                self._update_count()
         probe = self._probe
         if (
             probe is not None
-            and asked.name == probe.record.name
-            and asked.instance_id == probe.record.instance_id
+            and request.name == probe.record.name
+            and request.instance_id == probe.record.instance_id
         ):
             if message.kind == ACK and message.sender.instance_id == (
-                asked.instance_id if asked.kind == PING else message.sender.instance_id
+                request.instance_id if request.kind == PING else message.sender.instance_id
             ):
                 if not probe.acked:
                     probe.acked = True
-                    self._slow = max(0, self._slow - 1)
+                    self._slowdown = max(0, self._slowdown - 1)
             elif message.kind == NACK:
-                probe.nacks += 1
+                probe.nack_count += 1
         if (
-            asked.kind == PING
+            request.kind == PING
             and message.kind in (ACK, NACK)
-            and asked.instance_id
-            and message.sender.instance_id != asked.instance_id
+            and request.instance_id
+            and message.sender.instance_id != request.instance_id
         ):
-            self._gone(now, asked.name, asked.instance_id)  # another process has its address now
+            self._declare_dead(
+                now, request.name, request.instance_id
+            )  # another process has its address now
 
-    def unanswered(self, now: int, ask: int) -> None:
+    def request_failed(self, now: int, request_id: int) -> None:
         """By its time, or because the call failed."""
-        self._noticed(now)
-        asked = self._asks.pop(ask, None)
-        if asked is not None and asked.done is not None:
-            asked.done(now, None)
+        self._detect_pause(now)
+        request = self._requests.pop(request_id, None)
+        if request is not None and request.callback is not None:
+            request.callback(now, None)
 
-    def called(self, now: int, call: int, message: Message) -> None:
+    def request_received(self, now: int, call_id: int, message: Message) -> None:
         """A peer's call has come; it is answered once, now or later."""
-        self._noticed(now)
-        if self.refused:
-            self._host.reply(call, self._message(now, NACK, why="not of the fleet"))
+        self._detect_pause(now)
+        if self.rejected:
+            self._host.send_reply(call_id, self._message(now, NACK, reason="not of the fleet"))
             return
-        if message.sender.instance_id == self.me.instance_id:
-            self._host.reply(call, self._message(now, SELF))
+        if message.sender.instance_id == self.own_record.instance_id:
+            self._host.send_reply(call_id, self._message(now, SELF))
             return
         if message.kind == JOIN:
-            self._let_in(now, call, message)
+            self._admit(now, call_id, message)
             return
-        self._hear(now, message)
+        self._merge_message(now, message)
         if (
             message.target_instance_id
-            and message.target_instance_id != self.me.instance_id
-            or message.to
-            and message.to != self.me.name
+            and message.target_instance_id != self.own_record.instance_id
+            or message.target_name
+            and message.target_name != self.own_record.name
         ):
-            self._host.reply(call, self._message(now, NACK, why="not the process that is meant"))
+            self._host.send_reply(
+                call_id, self._message(now, NACK, reason="not the process that is meant")
+            )
         elif message.kind == PING:
-            self._host.reply(call, self._message(now, ACK, about=message.sender.name))
+            self._host.send_reply(call_id, self._message(now, ACK, about=message.sender.name))
         elif message.kind == SYNC:
-            page, cursor = self._page(message.cursor)
-            self._host.reply(call, self._message(now, ACK, records=page, cursor=cursor))
+            page, cursor = self._sync_page(message.cursor)
+            self._host.send_reply(call_id, self._message(now, ACK, records=page, cursor=cursor))
         elif message.kind == REACH and message.subject is not None:
-            self._reach(now, call, message.subject, message.wait)
+            self._relay_probe(now, call_id, message.subject, message.timeout)
         else:
-            self._host.reply(
-                call, self._message(now, UNKNOWN, why=f"{message.kind[:40]!r} is not known here")
+            self._host.send_reply(
+                call_id,
+                self._message(now, UNKNOWN, reason=f"{message.kind[:40]!r} is not known here"),
             )
 
-    def woke(self, now: int) -> None:
+    def detect_pause(self, now: int) -> None:
         """Something is about to be placed: a process that was stopped sees that first, and counts for placing whoever may be."""
-        self._noticed(now)
+        self._detect_pause(now)
 
-    def holds(self, now: int, connections: int) -> None:
+    def set_connections(self, now: int, connections: int) -> None:
         """So many connections stand at servers through this balancer."""
-        self.count.holds(now, connections)
+        self.count.set_connections(now, connections)
 
-    def reported(self, now: int, server: str, connections: float, listed: set[str]) -> None:
+    def server_reported(self, now: int, server: str, connections: float, listed: set[str]) -> None:
         """A server told how many connections it holds, whoever placed them; `listed`: all servers that may hold some."""
-        if self.count.reported(now, server, connections, listed):
-            self._recount()
+        if self.count.server_reported(now, server, connections, listed):
+            self._update_count()
 
     def forget(self, now: int, name: str) -> bool:
         """Operators say that this member is gone for good; whether it was held for dead. One that lives denies it."""
         held = self.table.get(name)
         if held is None or held.state != DEAD:
             return False
-        self._take(now, _with(held, state=LEFT, reporter="operators"))
+        self._merge_record(now, updated_record(held, state=LEFT, reporter="operators"))
         return True
 
     def leave(self, now: int) -> list[tuple[int, str]]:
         """It places nothing any more: this is told to a few, who tell the others."""
-        self._noticed(now)
-        if self.refused:
+        self._detect_pause(now)
+        if self.rejected:
             return []
         self._leaving = True
-        self._digest ^= self._mark(self.me)
-        self.me = _with(self.me, state=LEFT)
-        self._digest ^= self._mark(self.me)
-        told = self._rng.sample(self.living, min(len(self.living), self._pace.relays + 1))
-        return [(self._ask(now, PING, record), record.name) for record in told]
+        self._digest ^= self._hash_record(self.own_record)
+        self.own_record = updated_record(self.own_record, state=LEFT)
+        self._digest ^= self._hash_record(self.own_record)
+        told = self._rng.sample(
+            self.live_members, min(len(self.live_members), self._config.relays + 1)
+        )
+        return [(self._request(now, PING, record), record.name) for record in told]
 
     # What the host may ask
 
@@ -324,10 +357,10 @@
 
         Guards against a second process of one name that places until it is refused, and against members that divide a cold
         server's budget by a count which does not hold this one yet. Costs a start a period or so."""
-        return self._introduced or not self._unheard and not self.joined
+        return self._announced or not self._untried_addresses and not self.joined
 
     @property
-    def living(self) -> list[MemberRecord]:
+    def live_members(self) -> list[MemberRecord]:
         """The others that are not held for dead or gone."""
         return [record for record in self.table.values() if record.state <= SUSPECT]
 
@@ -343,46 +376,46 @@
         records: tuple[MemberRecord, ...] = (),
         **more: object,
     ) -> Message:
-        window, low = self.count.own_low(now)
+        window, min_connections = self.count.own_minimum(now)
         return Message(
             kind,
-            self.me,
+            self.own_record,
             to.name if to else "",
             to.instance_id if to else 0,
-            records or self._news(about or (to.name if to else "")),
+            records or self._gossip_for(about or (to.name if to else "")),
             self._digest,
             window,
-            low,
+            min_connections,
             **more,  # type: ignore[arg-type]
         )
 
-    def _news(self, about: str) -> tuple[MemberRecord, ...]:
+    def _gossip_for(self, about: str) -> tuple[MemberRecord, ...]:
         """The words that were passed on least; first what is held of the one that is spoken to, if that is bad.
 
         Guards against a member called dead that hears of it last (Lifeguard's buddy system)."""
         held = self.table.get(about)
         chosen = [held] if held is not None and held.state != ALIVE else []
-        most = self._pace.told * max(1, ceil(log2(len(self.table) + 2)))
+        max_sends = self._config.retransmit_factor * max(1, ceil(log2(len(self.table) + 2)))
         for name in nsmallest(
-            self._pace.records_per_message - len(chosen),
-            self._fresh,
-            key=lambda name: self._fresh[name][0],
+            self._config.records_per_message - len(chosen),
+            self._gossip_queue,
+            key=lambda name: self._gossip_queue[name][0],
         ):
             if name != about:
                 chosen.append(self.table[name])
-            self._fresh[name][0] += 1
-            if self._fresh[name][0] >= most:
-                del self._fresh[name]
+            self._gossip_queue[name][0] += 1
+            if self._gossip_queue[name][0] >= max_sends:
+                del self._gossip_queue[name]
         return tuple(chosen)
 
-    def _page(self, cursor: str) -> tuple[tuple[MemberRecord, ...], str]:
+    def _sync_page(self, cursor: str) -> tuple[tuple[MemberRecord, ...], str]:
         at = bisect_right(self._names, cursor)
-        names = self._names[at : at + self._pace.page]
-        return tuple(self.table[name] for name in names), names[-1] if at + self._pace.page < len(
-            self._names
-        ) else ""
+        names = self._names[at : at + self._config.page_size]
+        return tuple(self.table[name] for name in names), names[
+            -1
+        ] if at + self._config.page_size < len(self._names) else ""
 
-    def _ask(
+    def _request(
         self,
         now: int,
         kind: str,
@@ -395,78 +428,79 @@
         instance_id: int = 0,
         **more: object,
     ) -> int:
-        ask, self._next_ask = self._next_ask, self._next_ask + 1
+        request_id, self._next_request_id = self._next_request_id, self._next_request_id + 1
         address = address or to.address
-        self._asks[ask] = _Ask(
+        self._requests[request_id] = _Request(
             kind, name or to.name, instance_id or to.instance_id, address, now, done
         )
-        self._host.ask(
-            ask,
+        self._host.send_request(
+            request_id,
             address,
             to.name,
             self._message(now, kind, to=to if to.instance_id else None, **more),  # type: ignore[arg-type]
-            now + (span or self._pace.period * (1 + self._slow)),
+            now + (span or self._config.period * (1 + self._slowdown)),
         )
-        return ask
+        return request_id
 
-    def _hear(self, now: int, message: Message) -> None:
+    def _merge_message(self, now: int, message: Message) -> None:
         sender = message.sender
-        self._take(now, sender)
+        self._merge_record(now, sender)
         for record in message.records[:MAX_RECORDS]:
-            self._take(now, record)
+            self._merge_record(now, record)
         if message.digest == self._digest and sender.state == ALIVE:
             # Guards against a start that waits for a page which nobody sends, as news has made both alike.
-            self._paged_through = True
-        elif not self._leaving and now >= self._page_at and sender.state == ALIVE:
+            self._table_synced = True
+        elif not self._leaving and now >= self._next_sync_at and sender.state == ALIVE:
             # A page a period, from where the last one ended: what differs comes round without a burst.
-            span = self._pace.page_every * self._pace.period * self._rng.uniform(0.75, 1.25)
-            self._page_at = now + int(span if self._introduced else span / 8)
-            self._ask(now, SYNC, sender, cursor=self._cursor, done=self._paged)
-
-    def _paged(self, now: int, message: Message | None) -> None:
-        self._cursor = message.cursor if message is not None and message.kind == ACK else ""
-        self._paged_through = (
-            self._paged_through
-            or message is not None
-            and message.kind == ACK
-            and not message.cursor
+            span = self._config.page_interval * self._config.period * self._rng.uniform(0.75, 1.25)
+            self._next_sync_at = now + int(span if self._announced else span / 8)
+            self._request(
+                now, SYNC, sender, cursor=self._sync_cursor, done=self._sync_page_received
+            )
+
+    def _sync_page_received(self, now: int, message: Message | None) -> None:
+        self._sync_cursor = message.cursor if message is not None and message.kind == ACK else ""
+        self._table_synced = (
+            self._table_synced or message is not None and message.kind == ACK and not message.cursor
         )
 
     # Words
 
     @staticmethod
-    def _mark(record: MemberRecord) -> int:
+    def _hash_record(record: MemberRecord) -> int:
         if record.state == SUSPECT:
-            record = _with(record, state=ALIVE)  # a suspicion settles by itself
+            record = updated_record(record, state=ALIVE)  # a suspicion settles by itself
         return xxh3_64_intdigest(
             f"{record.name} {record.instance_id} {record.incarnation} {int(record.state)}".encode()
         )
 
-    def _take(self, now: int, record: MemberRecord) -> None:
+    def _merge_record(self, now: int, record: MemberRecord) -> None:
         """One word about a member. Whatever order words come in, all members come to hold the same."""
-        if record.name == self.me.name:
-            self._about_me(now, record)
+        if record.name == self.own_record.name:
+            self._merge_own_record(now, record)
             return
         held = self.table.get(record.name)
         if held is not None and record.rank <= held.rank:
             if record.state == held.state == SUSPECT and record.rank == held.rank:
-                self._shared(now, record)
+                self._confirm_suspicion(now, record)
             return
         if held is None:
-            if len(self.table) >= self._pace.members or record.state > LEFT:
+            if len(self.table) >= self._config.max_members or record.state > LEFT:
                 return
             insort(self._names, record.name)
             if record.state <= SUSPECT:
-                self._round.insert(self._rng.randrange(len(self._round) + 1), record.name)
+                self._probe_round.insert(
+                    self._rng.randrange(len(self._probe_round) + 1), record.name
+                )
         else:
-            self._digest ^= self._mark(held)
+            self._digest ^= self._hash_record(held)
         self.table[record.name] = record
-        self._digest ^= self._mark(record)
-        self._fresh[record.name] = [0]
+        self._digest ^= self._hash_record(record)
+        self._gossip_queue[record.name] = [0]
         was = MemberState(held.state) if held is not None else None
         if record.state == SUSPECT:
             self._suspicions[record.name] = _Suspicion(now, 0)
-            self._shared(now, record)
+            self._confirm_suspicion(now, record)
         else:
             self._suspicions.pop(record.name, None)
         if record.state != was or held is not None and held.instance_id != record.instance_id:
@@ -474,21 +508,21 @@
                 record.state <= SUSPECT
                 and was is not None
                 and was >= DEAD
-                and record.name not in self._round
+                and record.name not in self._probe_round
             ):
-                self._round.append(record.name)
+                self._probe_round.append(record.name)
             (
-                self.count.lives
+                self.count.member_alive
                 if record.state <= SUSPECT
-                else self.count.vanished
+                else self.count.member_dead
                 if record.state == DEAD
-                else self.count.left
+                else self.count.member_left
             )(now, record.name)
-            self._host.changed(record, was)
-            self._recount()
+            self._host.member_changed(record, was)
+            self._update_count()
 
-    def _about_me(self, now: int, record: MemberRecord) -> None:
-        mine = self.me
+    def _merge_own_record(self, now: int, record: MemberRecord) -> None:
+        mine = self.own_record
         if record.instance_id == mine.instance_id:
             if (
                 record.state != ALIVE
@@ -498,178 +532,201 @@
                 self._host.log(
                     f"denied that this balancer is {MemberState(min(record.state, LEFT)).name.lower()}"
                 )
-                self._slow = min(self._pace.slowness - 1, self._slow + 1)
-                self._raise(record.incarnation + 1, mine.restart_count)
+                self._slowdown = min(self._config.max_slowdown - 1, self._slowdown + 1)
+                self._raise_incarnation(record.incarnation + 1, mine.restart_count)
             return
         if record.state >= DEAD:  # an earlier process of this name
             if record.incarnation >= mine.incarnation:
-                self._raise(
+                self._raise_incarnation(
                     record.incarnation + 1, max(mine.restart_count, record.restart_count + 1)
                 )
         elif (record.restart_count, record.instance_id) > (mine.restart_count, mine.instance_id):
             if record.incarnation >= mine.incarnation:
-                self._raise(
+                self._raise_incarnation(
                     record.incarnation + 1, mine.restart_count
                 )  # the later of the two hears it, and looks
-        elif not self._verifying:
-            self._verifying = True
+        elif not self._verifying_name:
+            self._verifying_name = True
 
             def verified(at: int, answer: Message | None) -> None:
-                self._verifying = False
+                self._verifying_name = False
                 if (
                     answer is not None
                     and answer.kind == ACK
                     and answer.sender.instance_id == record.instance_id
                 ):
-                    self._refused(
-                        f"the name {self.me.name} is in use by an earlier process at {record.address}"
+                    self._stop_rejected(
+                        f"the name {self.own_record.name} is in use by an earlier process at {record.address}"
                     )
-                elif record.incarnation >= self.me.incarnation:
-                    self._raise(
-                        record.incarnation + 1, max(self.me.restart_count, record.restart_count + 1)
+                elif record.incarnation >= self.own_record.incarnation:
+                    self._raise_incarnation(
+                        record.incarnation + 1,
+                        max(self.own_record.restart_count, record.restart_count + 1),
                     )
 
-            self._ask(now, PING, record, done=verified)
+            self._request(now, PING, record, done=verified)
 
-    def _raise(self, incarnation: int, restart_count: int) -> None:
-        self._digest ^= self._mark(self.me)
-        self.me = _with(self.me, incarnation=incarnation, restart_count=restart_count)
-        self._digest ^= self._mark(self.me)
+    def _raise_incarnation(self, incarnation: int, restart_count: int) -> None:
+        self._digest ^= self._hash_record(self.own_record)
+        self.own_record = updated_record(
+            self.own_record, incarnation=incarnation, restart_count=restart_count
+        )
+        self._digest ^= self._hash_record(self.own_record)
 
-    def _refused(self, why: str) -> None:
+    def _stop_rejected(self, reason: str) -> None:
         """Says nothing more: whatever it said would be taken for the other one's word."""
-        if not self.refused:
-            self.refused = self._leaving = True
-            self._host.refused(why)
+        if not self.rejected:
+            self.rejected = self._leaving = True
+            self._host.name_rejected(reason)
 
-    def _gone(self, now: int, name: str, instance_id: int) -> None:
+    def _declare_dead(self, now: int, name: str, instance_id: int) -> None:
         held = self.table.get(name)
         if held is not None and held.instance_id == instance_id and held.state <= SUSPECT:
-            self._take(now, _with(held, state=DEAD, reporter=self.me.name))
+            self._merge_record(now, updated_record(held, state=DEAD, reporter=self.own_record.name))
 
     # Suspicion
 
-    def _shared(self, now: int, record: MemberRecord) -> None:
+    def _confirm_suspicion(self, now: int, record: MemberRecord) -> None:
         """One more suspects it: the more do, the less the others wait for its denial."""
         suspicion = self._suspicions.get(record.name)
         if suspicion is None or record.reporter in suspicion.reporters:
             return
-        if len(suspicion.reporters) <= self._pace.shared_by:
+        if len(suspicion.reporters) <= self._config.confirmations:
             suspicion.reporters.add(record.reporter)
             if len(suspicion.reporters) > 1:
-                self._fresh[record.name] = [0]
+                self._gossip_queue[record.name] = [0]
         fleet = len(self.table) + 1
-        least = self._pace.least * max(1.0, log10(fleet)) * self._pace.period
-        needed = min(self._pace.shared_by, fleet - 2)
+        least = self._config.min_suspicion * max(1.0, log10(fleet)) * self._config.period
+        needed = min(self._config.confirmations, fleet - 2)
         part = log10(len(suspicion.reporters)) / log10(needed + 1) if needed > 0 else 1.0
-        span = max(least, least * self._pace.longest - least * (self._pace.longest - 1) * part)
-        suspicion.due = suspicion.began + int(span)
+        span = max(
+            least,
+            least * self._config.max_suspicion_factor
+            - least * (self._config.max_suspicion_factor - 1) * part,
+        )
+        suspicion.expires_at = suspicion.started_at + int(span)
 
     def _suspect(self, now: int, record: MemberRecord) -> None:
         held = self.table.get(record.name)
         if held is not None and held.instance_id == record.instance_id and held.state <= SUSPECT:
-            suspected = _with(held, state=SUSPECT, reporter=self.me.name)
+            suspected = updated_record(held, state=SUSPECT, reporter=self.own_record.name)
             if held.state == SUSPECT:
-                self._shared(now, suspected)
-                if self._fresh.get(record.name) == [0]:
+                self._confirm_suspicion(now, suspected)
+                if self._gossip_queue.get(record.name) == [0]:
                     self.table[record.name] = suspected  # passed on as said by this one too
             else:
-                self._take(now, suspected)
+                self._merge_record(now, suspected)
 
-    def _end_suspicions(self, now: int) -> None:
-        if self._doubts_until:
-            if now < self._doubts_until:
+    def _expire_suspicions(self, now: int) -> None:
+        if self._no_deaths_until:
+            if now < self._no_deaths_until:
                 return
-            self._doubts_until = 0
-        for name in [name for name, held in self._suspicions.items() if now >= held.due]:
-            self._take(now, _with(self.table[name], state=DEAD, reporter=self.me.name))
+            self._no_deaths_until = 0
+        for name in [
+            name for name, suspicion in self._suspicions.items() if now >= suspicion.expires_at
+        ]:
+            self._merge_record(
+                now, updated_record(self.table[name], state=DEAD, reporter=self.own_record.name)
+            )
 
-    def _noticed(self, now: int) -> None:
+    def _detect_pause(self, now: int) -> None:
         """A call that comes late shows that this process was stopped, starved or asleep: it doubts itself first.
 
         What it waited for meanwhile tells nothing of the others, and suspicions wait as long as it did."""
-        late = now - self._expects
-        if late <= self._pace.gap * self._pace.period:
+        late = now - self._expected_tick_at
+        if late <= self._config.pause_threshold * self._config.period:
             return
-        self._expects = now
-        for held in self._suspicions.values():
-            held.began, held.due = held.began + late, held.due + late
+        self._expected_tick_at = now
+        for suspicion in self._suspicions.values():
+            suspicion.started_at, suspicion.expires_at = (
+                suspicion.started_at + late,
+                suspicion.expires_at + late,
+            )
         if self._probe is not None:
             self._probe.void = True
-            self._probe.ends += late
-        self._slow = min(self._pace.slowness - 1, self._slow + 1)
+            self._probe.ends_at += late
+        self._slowdown = min(self._config.max_slowdown - 1, self._slowdown + 1)
         fleet = max(1.0, log10(len(self.table) + 1))
-        self._doubts_until = now + int(
-            self._pace.least * self._pace.longest * fleet * self._pace.period
+        self._no_deaths_until = now + int(
+            self._config.min_suspicion
+            * self._config.max_suspicion_factor
+            * fleet
+            * self._config.period
         )
-        self.count.stopped(now)
-        self._recount()
-        if late > self._pace.period:
+        self.count.process_paused(now)
+        self._update_count()
+        if late > self._config.period:
             self._host.log(f"this process was stopped for {late // 1_000_000} ms")
 
     # Probes
 
     def _keep_probing(self, now: int) -> None:
         probe = self._probe
-        if probe is not None and not probe.acked and not probe.relays and now >= probe.relays_at:
-            self._ask_relays(now, probe)
-        if probe is not None and now >= probe.ends:
+        if (
+            probe is not None
+            and not probe.acked
+            and not probe.relay_count
+            and now >= probe.relays_at
+        ):
+            self._request_relays(now, probe)
+        if probe is not None and now >= probe.ends_at:
             self._probe = None
             if not probe.acked and not probe.void:
-                missed = probe.relays - probe.nacks
-                self._slow = min(
-                    self._pace.slowness - 1, self._slow + (missed if probe.relays else 1)
+                missed = probe.relay_count - probe.nack_count
+                self._slowdown = min(
+                    self._config.max_slowdown - 1,
+                    self._slowdown + (missed if probe.relay_count else 1),
                 )
                 self._suspect(now, probe.record)
-        if self._probe is None and now >= self._next_probe:
-            span = self._pace.period * (1 + self._slow)
-            self._next_probe = now + span
-            record = self._next_in_round()
+        if self._probe is None and now >= self._next_probe_at:
+            span = self._config.period * (1 + self._slowdown)
+            self._next_probe_at = now + span
+            record = self._next_probe_target()
             if record is not None:
-                self._probe = _Probe(record, now + span, now + int(span * self._pace.answer))
-                self._ask(now, PING, record, span=span)
+                self._probe = _Probe(record, now + span, now + int(span * self._config.ack_timeout))
+                self._request(now, PING, record, span=span)
 
-    def _next_in_round(self) -> MemberRecord | None:
+    def _next_probe_target(self) -> MemberRecord | None:
         for _ in range(2):
-            while self._round:
-                record = self.table.get(self._round.pop())
+            while self._probe_round:
+                record = self.table.get(self._probe_round.pop())
                 if record is not None and record.state <= SUSPECT:
                     return record
-            self._round = [record.name for record in self.living]
-            self._rng.shuffle(self._round)
+            self._probe_round = [record.name for record in self.live_members]
+            self._rng.shuffle(self._probe_round)
         return None
 
-    def _ask_relays(self, now: int, probe: _Probe) -> None:
+    def _request_relays(self, now: int, probe: _Probe) -> None:
         others = [
             record
-            for record in self.living
+            for record in self.live_members
             if record.name != probe.record.name and record.state == ALIVE
         ]
-        chosen = self._rng.sample(others, min(self._pace.relays, len(others)))
-        probe.relays = len(chosen)
-        probe.relays_at = probe.ends
+        chosen = self._rng.sample(others, min(self._config.relays, len(others)))
+        probe.relay_count = len(chosen)
+        probe.relays_at = probe.ends_at
         for record in chosen:
-            span = probe.ends - now
-            self._ask(
+            span = probe.ends_at - now
+            self._request(
                 now,
                 REACH,
                 record,
                 span=span,
                 subject=probe.record,
-                wait=int(span * 0.7),
+                timeout=int(span * 0.7),
                 name=probe.record.name,
                 instance_id=probe.record.instance_id,
             )
 
-    def _reach(self, now: int, call: int, subject: MemberRecord, wait: int) -> None:
+    def _relay_probe(self, now: int, call_id: int, subject: MemberRecord, timeout: int) -> None:
         def tried(at: int, answer: Message | None) -> None:
             fine = (
                 answer is not None
                 and answer.kind == ACK
                 and answer.sender.instance_id == subject.instance_id
             )
-            self._host.reply(
-                call,
+            self._host.send_reply(
+                call_id,
                 self._message(
                     at,
                     ACK if fine else NACK,
@@ -678,78 +735,91 @@
             )
 
         known = self.table.get(subject.name)
-        self._ask(
+        self._request(
             now,
             PING,
             known if known is not None and known.instance_id == subject.instance_id else subject,
-            span=max(1, min(wait, self._pace.slowness * self._pace.period)),
+            span=max(1, min(timeout, self._config.max_slowdown * self._config.period)),
             done=tried,
         )
 
     # Joining and joining again
 
     def _keep_joining(self, now: int) -> None:
-        if self.joined or now < self._join_at:
+        if self.joined or now < self._next_join_at:
             return
-        pace = self._pace
-        span = min(pace.join_most, pace.join_first * 2 ** min(self._join_tries, 20)) * pace.period
-        self._join_at = now + int(span * self._rng.uniform(0.5, 1.5))
-        self._join_tries += 1
-        self._try_to_join(now, self._join[self._join_tries % len(self._join)])
+        config = self._config
+        span = (
+            min(
+                config.max_join_backoff, config.min_join_backoff * 2 ** min(self._join_attempts, 20)
+            )
+            * config.period
+        )
+        self._next_join_at = now + int(span * self._rng.uniform(0.5, 1.5))
+        self._join_attempts += 1
+        self._try_to_join(
+            now, self._join_addresses[self._join_attempts % len(self._join_addresses)]
+        )
 
     def _try_to_join(self, now: int, address: str) -> None:
         def done(at: int, answer: Message | None) -> None:
-            self._unheard.discard(address)
+            self._untried_addresses.discard(address)
             if answer is None:
                 return
             if answer.kind == SELF:
-                self._join = [known for known in self._join if known != address]
-                self.joined = self.joined or not self._join
+                self._join_addresses = [known for known in self._join_addresses if known != address]
+                self.joined = self.joined or not self._join_addresses
             elif answer.kind == REFUSED:
-                self._refused(answer.why)
+                self._stop_rejected(answer.reason)
             elif answer.kind == ACK and not self.joined:
                 self.joined = True
-                self._paged_through = answer.digest == self._digest
+                self._table_synced = answer.digest == self._digest
                 self._host.log(f"joined by {answer.sender.name} at {address}")
 
-        self._ask(now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, done=done)
+        self._request(
+            now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, done=done
+        )
 
-    def _introduce(self, now: int) -> None:
+    def _announce(self, now: int) -> None:
         """Tells of itself to all that it knows of, a few at a time."""
 
         def done(at: int, answer: Message | None) -> None:
-            self._greeting -= 1
+            self._pending_announcements -= 1
 
-        alike = self._paged_through or all(record.state > SUSPECT for record in self.table.values())
-        left = [record for record in self.living if record.name not in self._greeted]
-        for record in left[: self._pace.records_per_message]:
-            self._greeted.add(record.name)
-            self._greeting += 1
-            self._ask(now, PING, record, done=done)
-        self._introduced = alike and not left and not self._greeting
+        alike = self._table_synced or all(record.state > SUSPECT for record in self.table.values())
+        left = [record for record in self.live_members if record.name not in self._announced_to]
+        for record in left[: self._config.records_per_message]:
+            self._announced_to.add(record.name)
+            self._pending_announcements += 1
+            self._request(now, PING, record, done=done)
+        self._announced = alike and not left and not self._pending_announcements
 
-    def _let_in(self, now: int, call: int, message: Message) -> None:
+    def _admit(self, now: int, call_id: int, message: Message) -> None:
         """One that starts or comes back. Its name is its own unless a process that answers has it."""
         record = message.sender
-        held = self.me if record.name == self.me.name else self.table.get(record.name)
+        held = (
+            self.own_record if record.name == self.own_record.name else self.table.get(record.name)
+        )
 
         def refuse(address: str) -> None:
-            why = f"the name {record.name} is in use by an earlier process at {address}"
-            self._host.reply(call, self._message(now, REFUSED, why=why))
+            reason = f"the name {record.name} is in use by an earlier process at {address}"
+            self._host.send_reply(call_id, self._message(now, REFUSED, reason=reason))
 
         def let_in(at: int) -> None:
-            self._hear(at, message)
+            self._merge_message(at, message)
             known = self.table.get(record.name)
             page = tuple(
-                self._rng.sample(list(self.table.values()), min(len(self.table), self._pace.page))
+                self._rng.sample(
+                    list(self.table.values()), min(len(self.table), self._config.page_size)
+                )
             )
             about = () if known is None or known.instance_id == record.instance_id else (known,)
-            self._host.reply(call, self._message(at, ACK, records=about + page))
+            self._host.send_reply(call_id, self._message(at, ACK, records=about + page))
 
         if held is None or held.instance_id == record.instance_id or held.state >= DEAD:
             let_in(now)
-        elif held is self.me:
-            refuse(self.me.address)
+        elif held is self.own_record:
+            refuse(self.own_record.address)
         else:
 
             def looked(at: int, answer: Message | None) -> None:
@@ -760,42 +830,46 @@
                 ):
                     refuse(held.address)
                 else:
-                    self._gone(at, held.name, held.instance_id)
+                    self._declare_dead(at, held.name, held.instance_id)
                     let_in(at)
 
-            self._ask(
+            self._request(
                 now,
                 PING,
                 held,
                 done=looked,
-                span=int(self._pace.period * self._pace.answer * (1 + self._slow)),
+                span=int(self._config.period * self._config.ack_timeout * (1 + self._slowdown)),
             )
 
-    def _retry(self, now: int) -> None:
+    def _retry_dead(self, now: int) -> None:
         """Now and then one that is held for dead, or an address of the file at which nobody is known, is tried.
 
         Guards against two sides of a partition that each hold the other for dead when it has ended."""
-        if now < self._retry_at:
+        if now < self._next_retry_at:
             return
-        self._retry_at = now + int(
-            self._pace.retry_every * self._pace.period * self._rng.uniform(0.5, 1.5)
+        self._next_retry_at = now + int(
+            self._config.retry_interval * self._config.period * self._rng.uniform(0.5, 1.5)
         )
         dead = [record for record in self.table.values() if record.state == DEAD]
-        here = {record.address for record in self.table.values()} | {self.me.address}
-        unknown = [address for address in self._join if address not in here] if self.joined else []
+        here = {record.address for record in self.table.values()} | {self.own_record.address}
+        unknown = (
+            [address for address in self._join_addresses if address not in here]
+            if self.joined
+            else []
+        )
         if dead and (not unknown or self._rng.random() < 0.5):
-            self._ask(now, PING, self._rng.choice(dead))
+            self._request(now, PING, self._rng.choice(dead))
         elif unknown:
             self._try_to_join(now, self._rng.choice(unknown))
 
     # The count
 
-    def _recount(self) -> None:
-        if self.count.number != self._counted:
-            self._counted = self.count.number
-            self._host.counted(self._counted)
+    def _update_count(self) -> None:
+        if self.count.value != self._reported_count:
+            self._reported_count = self.count.value
+            self._host.count_changed(self._reported_count)
 
 
-def _with(record: MemberRecord, **changes: object) -> MemberRecord:
+def updated_record(record: MemberRecord, **changes: object) -> MemberRecord:
     held = {name: getattr(record, name) for name in record.__struct_fields__}
     return MemberRecord(**(held | changes))  # type: ignore[arg-type]
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -48,19 +48,19 @@
 
     kind: str
     sender: MemberRecord
-    to: str = ""  # the name that is meant; empty: whoever is there
+    target_name: str = ""  # the name that is meant; empty: whoever is there
     target_instance_id: int = 0  # the process that is meant; 0: any
     records: tuple[MemberRecord, ...] = ()
     digest: int = 0  # of all that the sender holds for settled
     window: int = 0  # ns up to now ...
-    low: int = 0  # ... in which the sender held this many connections at the least
+    min_connections: int = 0  # ... in which the sender held this many connections at the least
     subject: MemberRecord | None = None  # whom to reach
-    wait: int = 0  # ns the caller waits for that
+    timeout: int = 0  # ns the caller waits for that
     cursor: str = ""  # the name after which a page begins
-    why: str = ""
+    reason: str = ""
 
 
-class Unreadable(Exception):
+class MessageDecodeError(Exception):
     """No message of ours."""
 
 
@@ -75,7 +75,7 @@
     try:
         message = _DECODER.decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(str(problem)) from None
+        raise MessageDecodeError(str(problem)) from None
     for record in (
         message.sender,
         *message.records,
@@ -86,5 +86,5 @@
             or len(record.address) > 21
             or len(record.zone) + len(record.version) + len(record.reporter) > 300
         ):
-            raise Unreadable(f"a word about {record.name[:40]!r}")
+            raise MessageDecodeError(f"a word about {record.name[:40]!r}")
     return message
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -15,12 +15,12 @@
 import msgspec
 
 import corklift
-from corklift.membership.core import Members, Pace
+from corklift.membership.core import Membership, MembershipConfig
 from corklift.membership.messages import (
     MemberRecord,
     MemberState,
     Message,
-    Unreadable,
+    MessageDecodeError,
     decode,
     encode,
 )
@@ -35,11 +35,11 @@
     from corklift.service import Process
 
 CALL, STATUS, FORGET = "/corklift.Peers/Call", "/corklift.Peers/Status", "/corklift.Peers/Forget"
-MOST_CALLS = 64  # under way at a time; further ones fail at once
-LOOKS = 10  # a period, at how many connections stand
+MAX_CALLS = 64  # under way at a time; further ones fail at once
+POLLS_PER_PERIOD = 10  # a period, at how many connections stand
 
 
-class Given(Protocol):
+class PeersConfig(Protocol):
     """What the file tells of peers."""
 
     name: str
@@ -51,12 +51,12 @@
     via: dict[str, str]
 
     @property
-    def at(self) -> tuple[str, int]: ...
+    def listen_address(self) -> tuple[str, int]: ...
     @property
-    def told(self) -> str: ...
+    def advertised_address(self) -> str: ...
 
 
-def limits_for(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
+def link_limits(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
     """A message is small, a link is used again for as long as it is among the few kept."""
     return RpcLimits(
         connections=2 * links,
@@ -79,7 +79,7 @@
     return host, int(port)
 
 
-class Links:
+class PeerLinks:
     """Connections to the peers that were called last."""
 
     def __init__(
@@ -153,50 +153,50 @@
     def __init__(
         self,
         process: Process,
-        given: Given,
-        tell: Callable[..., None],
+        config: PeersConfig,
+        log_event: Callable[..., None],
         *,
-        waits: bool = False,
-        message: int = 64 << 10,
-        further: dict[str, Any] | None = None,
+        wait_for_recovery: bool = False,
+        max_message: int = 64 << 10,
+        extra_methods: dict[str, Any] | None = None,
     ) -> None:
         """`tell`: a line of the log, as an event and its fields; `waits`: until `resume`, and whoever calls that has the door; `message`:
         bytes of a peer's at the most."""
-        self._process, self._given, self._tell = process, given, tell
+        self._process, self._config, self._log_event = process, config, log_event
         self._scheduler, self._counters = process.scheduler, Counters()
-        period = given.period_ms * MS
-        limits = limits_for(given.links, period, message)
-        self._links = Links(self._scheduler, limits, self._counters, given.links)
+        period = config.period_ms * MS
+        limits = link_limits(config.links, period, max_message)
+        self._links = PeerLinks(self._scheduler, limits, self._counters, config.links)
         self._server = Server(
             self._scheduler,
             limits,
             self._counters,
             {CALL: unary(self._take_call), STATUS: unary(self._status), FORGET: unary(self._forget)}
-            | (further or {}),
+            | (extra_methods or {}),
         )
-        port = self._server.listen(given.at)
-        expected = given.expected or process.configuration.arguments["balancers"]
+        port = self._server.listen(config.listen_address)
+        expected = config.expected or process.configuration.arguments["balancers"]
         self.refused_why = ""
         # Not seeded by the file: two processes that were given one file must not draw one life.
-        self.core = Members(
+        self.core = Membership(
             self,
             Random(),
-            Pace(period),
+            MembershipConfig(period),
             self._scheduler.now(),
-            name=given.name,
-            address=given.told or f"{given.at[0]}:{port}",
-            join=list(given.join),
+            name=config.name,
+            address=config.advertised_address or f"{config.listen_address[0]}:{port}",
+            join=list(config.join),
             expected=expected,
-            zone=given.zone,
+            zone=config.zone,
             version=corklift.__version__,
         )
         self._calls: dict[int, tuple[Task, list[Message]]] = {}
         self._next_call = self._under_way = 0
         self._left = False
-        self._waits = self._gated = waits
+        self._waits = self._gated = wait_for_recovery
         process.facade.reported = self._reported
-        process.facade.before_placing = lambda: self.core.woke(self._scheduler.now())
-        if not waits:
+        process.facade.before_placing = lambda: self.core.detect_pause(self._scheduler.now())
+        if not wait_for_recovery:
             process.relay.take_clients(False)
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
@@ -214,7 +214,7 @@
         if record is None:
             raise RpcError(Code.NOT_FOUND, f"{name[:60]!r} is not known")
         return self._links.unary(
-            self._given.via.get(name) or self._given.via.get(record.address) or record.address,
+            self._config.via.get(name) or self._config.via.get(record.address) or record.address,
             path,
             request,
             until,
@@ -229,10 +229,10 @@
         """Clients come for a moment yet: nothing is told before the last has gone."""
 
     def left(self) -> None:
-        for ask, name in self.core.leave(self._scheduler.now()):
-            self._tell("leaving", told=name)
+        for request_id, name in self.core.leave(self._scheduler.now()):
+            self._log_event("leaving", told=name)
         self._left = True
-        until = self._scheduler.now() + self._given.period_ms * MS
+        until = self._scheduler.now() + self._config.period_ms * MS
         while self._under_way and self._scheduler.now() < until:
             self._scheduler.sleep(5 * MS)
 
@@ -242,7 +242,7 @@
 
     def _await_resume(self) -> None:
         while self._waits and not self._left:
-            self._scheduler.sleep(self._given.period_ms * MS // (10 * LOOKS))
+            self._scheduler.sleep(self._config.period_ms * MS // (10 * POLLS_PER_PERIOD))
 
     def _keep_ticking(self) -> None:
         self._await_resume()
@@ -254,17 +254,19 @@
         opened = False
         self._await_resume()
         while not self._left:
-            self.core.holds(self._scheduler.now(), self._process.facade.standing)
+            self.core.set_connections(self._scheduler.now(), self._process.facade.standing)
             if not opened and self.core.admitted:
                 # No span of time opens the door: a peer let it in, or none answers.
                 opened = True
-                self._tell("serving", joined=self.core.joined, members=len(self.core.living) + 1)
+                self._log_event(
+                    "serving", joined=self.core.joined, members=len(self.core.live_members) + 1
+                )
                 if not self._gated:
                     self._process.relay.take_clients(True)
-            self._scheduler.sleep(self._given.period_ms * MS // LOOKS)
+            self._scheduler.sleep(self._config.period_ms * MS // POLLS_PER_PERIOD)
 
     def _reported(self, server: int, connections: float) -> None:
-        self.core.reported(
+        self.core.server_reported(
             self._scheduler.now(),
             str(server),
             connections,
@@ -273,25 +275,27 @@
 
     # What the core asks for
 
-    def ask(self, ask: int, address: str, name: str, message: Message, until: int) -> None:
-        if self._under_way >= MOST_CALLS:
+    def send_request(
+        self, request_id: int, address: str, name: str, message: Message, until: int
+    ) -> None:
+        if self._under_way >= MAX_CALLS:
             self._counters["calls to peers given up"] += 1
-            self._scheduler.spawn(self.core.unanswered, self._scheduler.now(), ask)
+            self._scheduler.spawn(self.core.request_failed, self._scheduler.now(), request_id)
             return
         self._under_way += 1
         self._scheduler.spawn(
             self._call,
-            ask,
-            self._given.via.get(name) or self._given.via.get(address) or address,
+            request_id,
+            self._config.via.get(name) or self._config.via.get(address) or address,
             message,
             until,
         )
 
-    def _call(self, ask: int, address: str, message: Message, until: int) -> None:
+    def _call(self, request_id: int, address: str, message: Message, until: int) -> None:
         answer: Message | None = None
         try:
             answer = decode(self._links.unary(address, CALL, encode(message), until))
-        except (RpcError, Unreadable) as problem:
+        except (RpcError, MessageDecodeError) as problem:
             self._counters[
                 f"calls to peers failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
             ] += 1
@@ -299,18 +303,18 @@
             self._under_way -= 1
         now = self._scheduler.now()
         if answer is None:
-            self.core.unanswered(now, ask)
+            self.core.request_failed(now, request_id)
         else:
-            self.core.answered(now, ask, answer)
+            self.core.reply_received(now, request_id, answer)
 
-    def reply(self, call: int, message: Message) -> None:
-        held = self._calls.pop(call, None)
+    def send_reply(self, call_id: int, message: Message) -> None:
+        held = self._calls.pop(call_id, None)
         if held is not None:
             held[1].append(message)
             self._scheduler.wake(held[0])
 
-    def changed(self, record: MemberRecord, was: MemberState | None) -> None:
-        self._tell(
+    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
+        self._log_event(
             "member",
             member=record.name,
             address=record.address,
@@ -321,32 +325,35 @@
             by=record.reporter,
         )
 
-    def counted(self, number: int) -> None:
-        self._tell("count", balancers=number)
-        self._process.facade.balancers(number)
+    def count_changed(self, count: int) -> None:
+        self._log_event("count", balancers=count)
+        self._process.facade.balancers(count)
 
-    def refused(self, why: str) -> None:
-        self._tell("refused", why=why)
-        self.refused_why = why
+    def name_rejected(self, reason: str) -> None:
+        self._log_event("refused", why=reason)
+        self.refused_why = reason
         self._process.leave()
 
     def log(self, text: str) -> None:
-        self._tell("peers", what=text)
+        self._log_event("peers", what=text)
 
     # Calls that come in
 
     def _take_call(self, call: LiveCall, request: bytes) -> bytes:
         try:
             message = decode(request)
-        except Unreadable as problem:
+        except MessageDecodeError as problem:
             self._counters["calls of peers that can't be read"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
         number, self._next_call = self._next_call, self._next_call + 1
         answers: list[Message] = []
         self._calls[number] = self._scheduler.current, answers
         try:
-            self.core.called(self._scheduler.now(), number, message)
-            until = self._scheduler.now() + 4 * self._given.period_ms * MS * Pace().slowness
+            self.core.request_received(self._scheduler.now(), number, message)
+            until = (
+                self._scheduler.now()
+                + 4 * self._config.period_ms * MS * MembershipConfig().max_slowdown
+            )
             while not answers:
                 if self._scheduler.now() >= until or call.ended:
                     raise RpcError(Code.UNAVAILABLE, "nothing to answer in time")
@@ -370,12 +377,12 @@
                 "zone": record.zone,
                 "version": record.version,
             }
-            for record in [core.me, *core.table.values()]
+            for record in [core.own_record, *core.table.values()]
         ]
         return msgspec.json.encode(
             {
-                "name": core.me.name,
-                "count": core.count.number,
+                "name": core.own_record.name,
+                "count": core.count.value,
                 "joined": core.joined,
                 "admitted": core.admitted,
                 "members": sorted(rows, key=lambda row: str(row["name"])),
@@ -387,7 +394,7 @@
         name = request.decode("utf-8", "replace")
         if not self.core.forget(self._scheduler.now(), name):
             raise RpcError(Code.FAILED_PRECONDITION, f"{name[:60]!r} is not held for dead here")
-        self._tell("forgotten", member=name)
+        self._log_event("forgotten", member=name)
         return b""
 
 
@@ -399,7 +406,7 @@
     )
 
 
-def question(address: tuple[str, int], path: str, request: bytes, wait: int = 3 * SECOND) -> Any:
+def call_peer(address: tuple[str, int], path: str, request: bytes, wait: int = 3 * SECOND) -> Any:
     """An operator's question, from a process of its own.
 
     Raises:
@@ -408,7 +415,7 @@
     from corklift.net.scheduler import wall_clock
 
     scheduler = Scheduler(wall_clock(), lambda trace: None)
-    links = Links(scheduler, limits_for(1, SECOND), Counters(), 1)
+    links = PeerLinks(scheduler, link_limits(1, SECOND), Counters(), 1)
     found: list[Any] = []
 
     def ask() -> None:
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -76,7 +76,9 @@
         arguments = process.configuration.arguments
         self._importance = max(workload.importance for workload in arguments["workloads"])
         self._bounces = arguments["max_retry_after"] > 0
-        life = self._peers.core.me.instance_id if self._peers else Random().getrandbits(63) | 1
+        life = (
+            self._peers.core.own_record.instance_id if self._peers else Random().getrandbits(63) | 1
+        )
         self._period = period
         now = self._scheduler.now()
         self.core = Recovery(
@@ -156,12 +158,20 @@
                     self._peers.resume(*self.core.next_life, self.core.balancers)
             if self._peers and self._resumed:
                 members = self._peers.core
-                self.core.members(now, [word.name for word in members.living], members.admitted)
-                if (members.me.incarnation, members.me.restart_count) != self._heard_of:
-                    self._heard_of = members.me.incarnation, members.me.restart_count
+                self.core.members(
+                    now, [word.name for word in members.live_members], members.admitted
+                )
+                if (
+                    members.own_record.incarnation,
+                    members.own_record.restart_count,
+                ) != self._heard_of:
+                    self._heard_of = (
+                        members.own_record.incarnation,
+                        members.own_record.restart_count,
+                    )
                     self.core.incarnation(now, *self._heard_of)
                 if self.core.step is Step.FULL:
-                    self.core.counted(now, members.count.number)
+                    self.core.counted(now, members.count.value)
             if self.core.step >= Step.OPEN and now >= self._size_at:
                 self._size_at = now + self._period
                 self.core.sized(now, facade.sizes())
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -26,39 +26,39 @@
 
 def falls_with_silence() -> None:
     """The count follows who is heard."""
-    count.Count.number = property(lambda self: 1 + len(self._living))  # type: ignore[assignment]
+    count.BalancerCount.value = property(lambda self: 1 + len(self._alive))  # type: ignore[assignment]
 
 
 def counts_itself_alone() -> None:
     """The count is never taken over."""
-    Peers.counted = lambda self, number: self._tell("count", balancers=1)  # type: ignore[method-assign]
+    Peers.count_changed = lambda self, count: self._log_event("count", balancers=1)  # type: ignore[method-assign]
 
 
 def never_denies() -> None:
     """It hears that it is suspected and says nothing."""
-    core.Members._about_me = lambda self, now, record: None  # type: ignore[method-assign]
+    core.Membership._merge_own_record = lambda self, now, record: None  # type: ignore[method-assign]
 
 
 def calls_dead_at_once() -> None:
     """No suspicion: one call without an answer is a death."""
 
     def suspect(self: Any, now: int, record: Any) -> None:
-        self._gone(now, record.name, record.instance_id)
+        self._declare_dead(now, record.name, record.instance_id)
 
-    core.Members._suspect = suspect  # type: ignore[method-assign]
-    core.Members._ask_relays = lambda self, now, probe: None  # type: ignore[method-assign]
+    core.Membership._suspect = suspect  # type: ignore[method-assign]
+    core.Membership._request_relays = lambda self, now, probe: None  # type: ignore[method-assign]
 
 
 def calls_the_living_dead() -> None:
     """Whoever is probed is called dead now and then."""
-    plain = core.Members._keep_probing
+    plain = core.Membership._keep_probing
 
     def probing(self: Any, now: int) -> None:
         plain(self, now)
-        if self.me.name and self._next_ask % 40 >= 36 and self.living:
-            self._gone(now, self.living[0].name, self.living[0].instance_id)
+        if self.own_record.name and self._next_request_id % 40 >= 36 and self.live_members:
+            self._declare_dead(now, self.live_members[0].name, self.live_members[0].instance_id)
 
-    core.Members._keep_probing = probing  # type: ignore[method-assign]
+    core.Membership._keep_probing = probing  # type: ignore[method-assign]
 
 
 def says_others_left() -> None:
@@ -71,20 +71,20 @@
             and held.instance_id == instance_id
             and held.state <= MemberState.SUSPECT
         ):
-            self._take(now, core._with(held, state=MemberState.LEFT))
+            self._merge_record(now, core.updated_record(held, state=MemberState.LEFT))
 
-    core.Members._gone = gone  # type: ignore[method-assign]
-    core.Members._suspect = lambda self, now, record: gone(  # type: ignore[method-assign]
+    core.Membership._declare_dead = gone  # type: ignore[method-assign]
+    core.Membership._suspect = lambda self, now, record: gone(  # type: ignore[method-assign]
         self, now, record.name, record.instance_id
     )
 
 
 def never_probes() -> None:
     """It waits to be told who has died."""
-    core.Members._keep_probing = lambda self, now: setattr(
-        self, "_next_probe", now + self._pace.period
+    core.Membership._keep_probing = lambda self, now: setattr(
+        self, "_next_probe_at", now + self._config.period
     )  # type: ignore[method-assign]
-    core.Members._take = _deaf(core.Members._take)  # type: ignore[method-assign]
+    core.Membership._merge_record = _deaf(core.Membership._merge_record)  # type: ignore[method-assign]
 
 
 def _deaf(plain: Any) -> Any:
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -45,12 +45,12 @@
     ] = {}  # by name or address of a peer, where it is reached from here instead
 
     @property
-    def at(self) -> tuple[str, int]:
+    def listen_address(self) -> tuple[str, int]:
         return split(self.listen)
 
     @property
-    def told(self) -> str:
-        return self.advertise or ("" if self.at[1] == 0 else self.listen)
+    def advertised_address(self) -> str:
+        return self.advertise or ("" if self.listen_address[1] == 0 else self.listen)
 
 
 class StoreTable(Table):
@@ -101,7 +101,7 @@
         raise BadConfig(f"config: {path}: {problem}") from None
     peers = found.peers
     if peers is not None:
-        if peers.at[0] == "0.0.0.0" and peers.advertise is None:
+        if peers.listen_address[0] == "0.0.0.0" and peers.advertise is None:
             # Guards against a member that tells all others to call themselves.
             raise BadConfig(
                 "config: peers.advertise is missing: listen holds every address, and others need one"
@@ -179,7 +179,12 @@
                         None
                         if peers is None
                         else lambda further: Peers(
-                            process, peers, tell, waits=True, message=MESSAGE, further=further
+                            process,
+                            peers,
+                            tell,
+                            wait_for_recovery=True,
+                            max_message=MESSAGE,
+                            extra_methods=further,
                         ),
                     )
                 )
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -12,7 +12,7 @@
 import pytest
 
 from corklift.membership.messages import PING, UNKNOWN, MemberRecord, Message, decode, encode
-from corklift.membership.peers import CALL, question
+from corklift.membership.peers import CALL, call_peer
 from corklift.net.limits import MS
 from corklift.rig.checker import judge
 from corklift.rig.fleet import CLIENTS, PEERS, Rig, Shape
@@ -256,11 +256,11 @@
     def conduct(rig):
         address = (rig.hosts["b1"], PEERS)
         newer = Message("dance", MemberRecord("b9", "127.0.0.1:1", 5, 0, 1, 0, "", "9.0"))
-        answer = decode(question(address, CALL, encode(newer)))
+        answer = decode(call_peer(address, CALL, encode(newer)))
         assert answer.kind == UNKNOWN and answer.sender.name == "b1"
         for content in (b"", b"\xff" * 50, encode(Message(PING, MemberRecord("", "", 0, 0, 0, 0)))):
             with pytest.raises(RpcError, match="INVALID_ARGUMENT"):
-                question(address, CALL, content)
+                call_peer(address, CALL, content)
 
     played(conduct, Shape(balancers=2, rate=0))
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,8 +8,8 @@
 from corklift.lab.explore_members import Fleet, Small
 from corklift.lab.peer_days import Day, play
 from corklift.lab.peers import Net, Shape
-from corklift.membership.core import Members, Pace, _with
-from corklift.membership.count import Count, Low
+from corklift.membership.core import Membership, MembershipConfig, updated_record
+from corklift.membership.count import BalancerCount, SlidingMinimum
 from corklift.membership.messages import (
     ACK,
     PING,
@@ -17,7 +17,7 @@
     MemberRecord,
     MemberState,
     Message,
-    Unreadable,
+    MessageDecodeError,
     decode,
     encode,
 )
@@ -35,38 +35,38 @@
     )
 
 
-class FallsWithSilence(Members):
-    def _recount(self):
-        self._host.counted(1 + len(self.living))
+class FallsWithSilence(Membership):
+    def _update_count(self):
+        self._host.count_changed(1 + len(self.live_members))
 
 
-class NeverDenies(Members):
-    def _about_me(self, now, record):
-        if record.instance_id != self.me.instance_id:
-            super()._about_me(now, record)
+class NeverDenies(Membership):
+    def _merge_own_record(self, now, record):
+        if record.instance_id != self.own_record.instance_id:
+            super()._merge_own_record(now, record)
 
 
-class ForgetsDeath(Members):
-    def _retry(self, now):
+class ForgetsDeath(Membership):
+    def _retry_dead(self, now):
         pass
 
 
-class TakesAnyWord(Members):
-    def _take(self, now, record):
+class TakesAnyWord(Membership):
+    def _merge_record(self, now, record):
         held = self.table.get(record.name)
         if (
             held is not None
             and record.state < held.state
             and record.instance_id == held.instance_id
         ):
-            record = _with(record, incarnation=held.incarnation + 1)
-        super()._take(now, record)
+            record = updated_record(record, incarnation=held.incarnation + 1)
+        super()._merge_record(now, record)
 
 
-class LetsAllIn(Members):
-    def _let_in(self, now, call, message):
-        self._hear(now, message)
-        self._host.reply(call, self._message(now, ACK))
+class LetsAllIn(Membership):
+    def _admit(self, now, call, message):
+        self._merge_message(now, message)
+        self._host.send_reply(call, self._message(now, ACK))
 
 
 @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
     net = settled(12)
     net.keep_looking()
     lost = net.seats[5]
-    life = lost.core.me.instance_id
+    life = lost.core.own_record.instance_id
     lost.kill()
     net.run(30)
     assert set(net.dead_at[lost.name, life]) == {seat.number for seat in net.seats} - {5}
@@ -105,64 +105,69 @@
     net = settled(20, loss=0.1)
     net.cut |= {(3, 4), (7, 1), (2, 9)}
     for at in range(10):
-        net.after(4 * at, lambda at=at: net.stop(net.seats[at], Pace().least * 1.3 / 2))
+        net.after(
+            4 * at,
+            lambda at=at: net.stop(net.seats[at], MembershipConfig().min_suspicion * 1.3 / 2),
+        )
     net.run(80)
     assert net.deaths == []
 
 
 def test_the_fewest_connections_over_a_window():
     rng = Random(1)
-    low, told = Low(0), []
+    minimum, told = SlidingMinimum(0), []
     for now in range(1, 400):
         held, window = rng.randrange(50), rng.choice((10, 40))
-        low.hold(now, held, window)
+        minimum.record(now, held, window)
         told.append(held)
-        span, fewest = low.told(now)
+        span, fewest = minimum.minimum(now)
         assert fewest <= min(told[max(0, now - span - 1) :]) and span <= window
 
 
 def test_the_count_falls_by_the_servers_own_counts_alone():
-    count = Count(5, SECOND, 0)
+    count = BalancerCount(5, SECOND, 0)
     for name in "bcde":
-        count.lives(0, name)
+        count.member_alive(0, name)
     for at in range(0, 60, 1):
-        count.holds(at * SECOND, 10)
-    count.vanished(60 * SECOND, "d")
-    count.vanished(60 * SECOND, "e")
-    assert count.number == 5
-    count.holds(62 * SECOND, 10)
+        count.set_connections(at * SECOND, 10)
+    count.member_dead(60 * SECOND, "d")
+    count.member_dead(60 * SECOND, "e")
+    assert count.value == 5
+    count.set_connections(62 * SECOND, 10)
     # 33 at the servers, of which 30 are accounted for: three more may be d's and e's.
-    assert not count.reported(62 * SECOND, "s1", 20, {"s1", "s2"}) and not count.reported(
-        62 * SECOND, "s2", 13, {"s1", "s2"}
-    )
-    assert not count.told(
+    assert not count.server_reported(
+        62 * SECOND, "s1", 20, {"s1", "s2"}
+    ) and not count.server_reported(62 * SECOND, "s2", 13, {"s1", "s2"})
+    assert not count.member_replied(
         61 * SECOND, 63 * SECOND, "b", 20 * SECOND, 10
     )  # asked before the reports were whole
-    assert not count.told(63 * SECOND, 63 * SECOND, "b", 1 * SECOND, 10)  # of too short a window
-    assert not count.told(63 * SECOND, 63 * SECOND, "b", 20 * SECOND, 10)
-    assert count.told(63 * SECOND, 63 * SECOND, "c", 20 * SECOND, 10) and count.number == 5
-    count.holds(70 * SECOND, 10)
-    count.reported(70 * SECOND, "s1", 20, {"s1", "s2"})
-    count.reported(70 * SECOND, "s2", 10, {"s1", "s2"})
-    count.told(71 * SECOND, 71 * SECOND, "b", 20 * SECOND, 10)
-    assert count.told(71 * SECOND, 71 * SECOND, "c", 20 * SECOND, 10) and count.number == 3
-    count.vanished(72 * SECOND, "c")  # the evidence took it for living
-    assert count.number == 5
-    count.left(73 * SECOND, "c")
-    assert count.number == 5  # it may be back, and this word late
-    assert count.told(74 * SECOND, 74 * SECOND, "b", 0, 0) and count.number == 4
-    count.lives(74 * SECOND, "d")
-    assert count.number == 4
+    assert not count.member_replied(
+        63 * SECOND, 63 * SECOND, "b", 1 * SECOND, 10
+    )  # of too short a window
+    assert not count.member_replied(63 * SECOND, 63 * SECOND, "b", 20 * SECOND, 10)
+    assert count.member_replied(63 * SECOND, 63 * SECOND, "c", 20 * SECOND, 10) and count.value == 5
+    count.set_connections(70 * SECOND, 10)
+    count.server_reported(70 * SECOND, "s1", 20, {"s1", "s2"})
+    count.server_reported(70 * SECOND, "s2", 10, {"s1", "s2"})
+    count.member_replied(71 * SECOND, 71 * SECOND, "b", 20 * SECOND, 10)
+    assert count.member_replied(71 * SECOND, 71 * SECOND, "c", 20 * SECOND, 10) and count.value == 3
+    count.member_dead(72 * SECOND, "c")  # the evidence took it for living
+    assert count.value == 5
+    count.member_left(73 * SECOND, "c")
+    assert count.value == 5  # it may be back, and this word late
+    assert count.member_replied(74 * SECOND, 74 * SECOND, "b", 0, 0) and count.value == 4
+    count.member_alive(74 * SECOND, "d")
+    assert count.value == 4
 
 
 def test_a_balancer_that_was_stopped_counts_all_again_before_it_places():
     net = settled(4)
     core = net.seats[0].core
-    core._take(net.now, _with(core.table["b3"], state=MemberState.DEAD))
-    core.count._room = 0
-    core._recount()
+    core._merge_record(net.now, updated_record(core.table["b3"], state=MemberState.DEAD))
+    core.count._max_dead_placing = 0
+    core._update_count()
     assert net.seats[0].uses == 3
-    core.woke(net.now + 20 * SECOND)
+    core.detect_pause(net.now + 20 * SECOND)
     assert net.seats[0].uses == 4
 
 
@@ -175,16 +180,16 @@
     net = settled(3)
     answers = {}
     net.seats[0].calls[99] = lambda answer: answers.setdefault(99, answer)
-    net.seats[0].core.called(net.now, 99, Message("dance", record))
-    assert answers[99].kind == UNKNOWN and "dance" in answers[99].why
+    net.seats[0].core.request_received(net.now, 99, Message("dance", record))
+    assert answers[99].kind == UNKNOWN and "dance" in answers[99].reason
     for bad in (
         b"",
         b"\xff" * 30,
         newer[:-4],
         b"\x93\x01\x02\x03",
-        encode(Message(PING, _with(record, name=""))),
+        encode(Message(PING, updated_record(record, name=""))),
     ):
-        with pytest.raises(Unreadable):
+        with pytest.raises(MessageDecodeError):
             decode(bad)
 
 
