--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -105,11 +105,11 @@
             member.hold(sum(way.conn is not None for way in seat.ways.values()))
             for box in self.boxes.values():
                 if box.up and (now // STEP + box.number + seat.number) % 10 == 0:
-                    member.core.reported(now, str(box.number), len(box.conns), servers)
+                    member.core.server_reported(now, str(box.number), len(box.conns), servers)
             uses = {
                 "settings": self.told,
                 "followed": member.uses,
-                "heard": 1 + len(member.core.living),
+                "heard": 1 + len(member.core.live_members),
             }[self.way]
             if self._used.get(seat.number, self.told) != uses:
                 seat.policy.settings_changed(now, **self._wanted[seat.number] | {"balancers": uses})
