--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -191,7 +191,7 @@
 )
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.driver import boot_of
-    from corklift.recovery.facts import ENDED, Fact, encoded
+    from corklift.recovery.facts import ENDED, Fact, encode_fact
     from corklift.store.form import Refused
     from corklift.store.keeper import Folders
     from corklift.store.log import InUse, NotKept, Store
@@ -200,7 +200,9 @@
         made = Store(Folders(path).newest())
         if made.items():
             raise click.ClickException(f"{path}: there is something to remember")
-        made.commit([dict([encoded(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])])
+        made.commit(
+            [dict([encode_fact(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])]
+        )
     except (Refused, InUse, NotKept, OSError) as problem:
         raise click.ClickException(f"{path}: {problem}") from None
     made.end()
--- a/corklift/control/kept.py
+++ b/corklift/control/kept.py
@@ -14,8 +14,16 @@
 from corklift.interface import Scope, Status
 from corklift.net.parsers import Entry, Listing
 from corklift.net.scheduler import Scheduler, Task
-from corklift.recovery.core import Quiet, Recovery, Terms
-from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
+from corklift.recovery.core import NullHost, Recovery, RecoveryConfig
+from corklift.recovery.facts import (
+    LIST,
+    Fact,
+    FactDecodeError,
+    StoredServer,
+    decode_fact,
+    encode_fact,
+    stored_servers,
+)
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
 from corklift.store.keeper import Folders, Keeper
@@ -24,7 +32,7 @@
 WAIT = 100 * MS  # for the disk, before a view follows the list all the same
 
 
-class Kept(Quiet):
+class Kept(NullHost):
     """Drives the recovery's facts, alone: there is nobody to ask."""
 
     def __init__(
@@ -39,10 +47,10 @@
         self._core = Recovery(
             self,
             Random(),
-            Terms(),
+            RecoveryConfig(),
             scheduler.now(),
             name="control",
-            life=1,
+            instance_id=1,
             boot="",
             expected=1,
             alone=True,
@@ -70,13 +78,13 @@
         facts = []
         for _, value in items:
             try:
-                facts.append(decoded(value))
-            except Unreadable as problem:
+                facts.append(decode_fact(value))
+            except FactDecodeError as problem:
                 lost = lost or str(problem)
         if notes is None:
-            self._core.unread(now, why)
+            self._core.store_unreadable(now, why)
         else:
-            self._core.read(
+            self._core.store_loaded(
                 now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
             )
         kept = self._core.facts.get(LIST)
@@ -92,12 +100,12 @@
                     line.weight,
                     0,
                 )
-                for line in servers(kept)
+                for line in stored_servers(kept)
             )
             self._scheduler.spawn(
                 self._listed,
                 Scope.FULL,
-                self._believed(now, Listing(kept.number[0], True, entries, 0), False),
+                self._believed(now, Listing(kept.version[0], True, entries, 0), False),
             )
         self._go_on()
 
@@ -126,10 +134,10 @@
             tuple(e for e in known.values() if e.status is not Status.GONE),
             0,
         )
-        self._core.listed(
+        self._core.list_received(
             now,
             [
-                Server(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
+                StoredServer(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
                 for e in self._known.entries
             ],
             content.version,
@@ -143,7 +151,7 @@
         entries = []
         for entry in content.entries:
             leaves = (
-                self._core.drained(
+                self._core.update_drain(
                     now,
                     entry.name,
                     entry.started_at,
@@ -151,7 +159,7 @@
                     entry.status is not Status.READY,
                 )
                 if news
-                else self._core.facts.leaves(entry.name, entry.started_at, content.version)
+                else self._core.facts.is_leaving(entry.name, entry.started_at, content.version)
             )
             entries.append(
                 entry._replace(status=Status.DRAINING)
@@ -167,17 +175,19 @@
 
     # Host: there is nobody to ask, and operators speak to discovery
 
-    def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
         self._under_way += 1
 
         def kept(sequence: int, why: str) -> None:
             self._under_way -= 1
-            self._core.kept(self._scheduler.now(), number, sequence, why)
+            self._core.persisted(self._scheduler.now(), number, sequence, why)
 
-        self._keeper.keep(dict(map(encoded, facts)), kept)
+        self._keeper.keep(dict(map(encode_fact, facts)), kept)
 
-    def forget(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
+    def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
+        self._keeper.keep(
+            {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
+        )
 
     def log(self, what: str, **fields: Any) -> None:
         self._say("store", kind=what, **fields)
--- a/corklift/lab/explore_recovery.py
+++ b/corklift/lab/explore_recovery.py
@@ -10,9 +10,15 @@
 from typing import Any, NamedTuple
 
 from corklift.interface import ColdRule
-from corklift.recovery.core import Outcome, Quiet, Recovery, Step, Terms
+from corklift.recovery.core import (
+    NullHost,
+    Recovery,
+    RecoveryConfig,
+    RecoveryPhase,
+    ReplicationOutcome,
+)
 from corklift.recovery.facts import Fact
-from corklift.recovery.messages import Answer, Ask, Marker, Tell, Told
+from corklift.recovery.messages import Marker, Replicate, ReplicateReply, StateReply, StateRequest
 
 PERIOD = 1_000_000_000
 EPOCH = 1_000 * PERIOD
@@ -30,7 +36,7 @@
     bounds: int = 3  # times that a bound on a question may pass
 
 
-class _Seat(Quiet):
+class _Seat(NullHost):
     def __init__(self, world: Small, number: int) -> None:
         self.world, self.number, self.name = world, number, f"b{number}"
         self.alive, self.life, self.boot = True, 1, 0
@@ -46,10 +52,10 @@
         self.core = world.make(
             self,
             Random(self.number),
-            Terms(PERIOD, cold=ColdRule(0.3, 8 * PERIOD, 3.0, PERIOD)),
+            RecoveryConfig(PERIOD, cold=ColdRule(0.3, 8 * PERIOD, 3.0, PERIOD)),
             world.now,
             name=self.name,
-            life=self.life,
+            instance_id=self.life,
             boot=str(self.boot),
             expected=world.shape.balancers,
         )
@@ -57,16 +63,16 @@
 
     # Host
 
-    def ask(self, number: int, name: str, message: Ask, until: int) -> None:
+    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
         self.world.flying.append(("ask", self.number, self.life, int(name[1:]), number, message))
 
-    def tell(self, number: int, name: str, message: Tell, until: int) -> None:
+    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None:
         self.world.flying.append(("tell", self.number, self.life, int(name[1:]), number, message))
 
-    def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
         self.pending.append((number, facts))
 
-    def believe(self, out: set[str], put_back: set[str]) -> None:
+    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
         self.out = self.out - put_back | out
 
 
@@ -89,21 +95,21 @@
         self.seats = [_Seat(self, number) for number in range(shape.balancers)]
         for seat in self.seats:
             seat.start()
-            seat.core.read(self.now, [], Marker(b"%16d" % seat.number, 0), True)
+            seat.core.store_loaded(self.now, [], Marker(b"%16d" % seat.number, 0), True)
         # All serve and have something on their disks before anything happens.
         for seat in self.seats:
-            seat.core.step = Step.FULL
-            seat.core.lived_heard = True
-            seat.core._living = [other.name for other in self.seats if other is not seat]
-            seat.core._admitted = True
+            seat.core.phase = RecoveryPhase.FULL
+            seat.core.live_peer_replied = True
+            seat.core._live_peers = [other.name for other in self.seats if other is not seat]
+            seat.core._membership_ready = True
             while seat.pending:
                 self._kept(seat)
             seat.has_read = True
         self.flying.clear()
-        self.seats[0].core.word(self.now, OUT, True, self._said)
+        self.seats[0].core.set_out_of_service(self.now, OUT, True, self._said)
 
-    def _said(self, outcome: Outcome, kept: int, wanted: int) -> None:
-        self.yes = self.yes or outcome is Outcome.KEPT
+    def _said(self, outcome: ReplicationOutcome, kept: int, wanted: int) -> None:
+        self.yes = self.yes or outcome is ReplicationOutcome.KEPT
 
     def enabled(self) -> list[str]:
         labels = [f"arrive {at}" for at in range(min(3, len(self.flying)))]
@@ -118,11 +124,15 @@
                 labels.append("kept" + at)
             if not seat.has_read:
                 labels.append("read" + at)
-            if seat.core.step is Step.LOOK:
+            if seat.core.phase is RecoveryPhase.LOOK:
                 labels.append("looked" + at)
             if self.left["login"] and self.cut:
                 labels.append("login" + at)
-            if self.left["bound"] and seat.core.step in (Step.READ, Step.ASK) and self.cut:
+            if (
+                self.left["bound"]
+                and seat.core.phase in (RecoveryPhase.READ, RecoveryPhase.ASK)
+                and self.cut
+            ):
                 labels.append("bound" + at)
             if self.left["again"] and self.cut:
                 labels.append("again" + at)
@@ -153,12 +163,12 @@
             self._members()
         elif kind == "read":
             seat.has_read = True
-            seat.core.read(
+            seat.core.store_loaded(
                 self.now, seat.found, Marker(b"%16d" % number, len(seat.found)), not seat.found
             )
             self._members()
         elif kind == "looked":
-            seat.core.looked(self.now, ["s2"], True)
+            seat.core.servers_probed(self.now, ["s2"], True)
         elif kind == "bound":
             self.left["bound"] -= 1
             self.now += 6 * PERIOD
@@ -170,9 +180,9 @@
             seat.boot += 1
         elif kind == "login":
             self.left["login"] -= 1
-            let_in = seat.core.login(self.now, 1.0) is None
+            let_in = seat.core.admit_login(self.now, 1.0) is None
             # One that nobody answered within the bound serves by what its disk says: told in docs/design/recovery.md.
-            if let_in and self.yes and OUT not in seat.out and seat.core.complete:
+            if let_in and self.yes and OUT not in seat.out and seat.core.state_complete:
                 self.wrong = f"{seat.name} lets a login in and does not know that {OUT} is out, which operators had a yes for"
         self._check()
 
@@ -185,18 +195,20 @@
     def _kept(self, seat: _Seat) -> None:
         number, facts = seat.pending.pop(0)
         seat.disk += facts
-        seat.core.kept(self.now, number, len(seat.disk), "")
+        seat.core.persisted(self.now, number, len(seat.disk), "")
 
     def _members(self) -> None:
         """Whoever has read its disk, or does not wait for it, takes calls."""
         for seat in self.seats:
-            if seat.alive and seat.core.step > Step.READ:
-                seat.core.members(
+            if seat.alive and seat.core.phase > RecoveryPhase.READ:
+                seat.core.members_changed(
                     self.now,
                     [
                         other.name
                         for other in self.seats
-                        if other is not seat and other.alive and other.core.step > Step.READ
+                        if other is not seat
+                        and other.alive
+                        and other.core.phase > RecoveryPhase.READ
                     ],
                     True,
                 )
@@ -207,12 +219,12 @@
         seat, other = self.seats[by], self.seats[to]
         lives = seat.alive and seat.life == life
         if what == "ask" or what == "tell":
-            if kind == "lose" or not other.alive or other.core.step is Step.READ:
+            if kind == "lose" or not other.alive or other.core.phase is RecoveryPhase.READ:
                 self.left["lose"] -= kind == "lose"
                 if lives and what == "ask":
-                    seat.core.unanswered(self.now, number)
+                    seat.core.request_failed(self.now, number)
                 elif lives:
-                    seat.core.tell_answered(self.now, number, None)
+                    seat.core.replicate_reply_received(self.now, number, None)
             elif what == "ask":
                 self.flying.append(
                     (
@@ -221,11 +233,11 @@
                         other.life,
                         by,
                         number,
-                        (life, other.core.asked(self.now, message)),
+                        (life, other.core.state_requested(self.now, message)),
                     )
                 )
             else:
-                other.core.told(
+                other.core.replicate_received(
                     self.now,
                     message,
                     lambda told: self.flying.append(
@@ -239,20 +251,20 @@
         if kind == "lose":
             self.left["lose"] -= 1
             content = None
-        if what == "answer" and isinstance(content, Answer):
-            other.core.answered(self.now, number, content)
+        if what == "answer" and isinstance(content, StateReply):
+            other.core.reply_received(self.now, number, content)
         elif what == "answer":
-            other.core.unanswered(self.now, number)
+            other.core.request_failed(self.now, number)
         else:
-            other.core.tell_answered(
-                self.now, number, content if isinstance(content, Told) else None
+            other.core.replicate_reply_received(
+                self.now, number, content if isinstance(content, ReplicateReply) else None
             )
 
     def _check(self) -> None:
         if not self.cut or self.flying or any(seat.pending for seat in self.seats):
             return
         for seat in self.seats:
-            if not seat.alive or not seat.has_read or seat.core.step >= Step.LOOK:
+            if not seat.alive or not seat.has_read or seat.core.phase >= RecoveryPhase.LOOK:
                 continue
             # Nothing is on its way: time alone must bring it on, if it remembers anything or anyone else is there.
             now = self.now
@@ -261,9 +273,9 @@
                 for other in self.seats
                 if other is not seat and other.alive and other.has_read
             ]
-            if seat.core.fresh and not others:
+            if seat.core.starts_empty and not others:
                 continue
-            if seat.core._asks or seat.core._ask_until > now + 10 * PERIOD:
+            if seat.core._requests or seat.core._query_deadline > now + 10 * PERIOD:
                 self.wrong = f"{seat.name} waits, and nothing ends it"
 
     def broken(self) -> str | None:
@@ -279,8 +291,8 @@
                     seat.disk,
                     seat.pending,
                     sorted(seat.out),
-                    seat.core.step,
-                    seat.core.shown(self.now),
+                    seat.core.phase,
+                    seat.core.exploration_state(self.now),
                 )
                 for seat in self.seats
             ],
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -14,10 +14,10 @@
 from corklift.lab.fleet import RETRY_MOST, Fleet, Seat, Way, Wish
 from corklift.lab.policies import POLICIES
 from corklift.lab.scenario import Balancers, Scenario, Servers, WorkloadTable
-from corklift.recovery.core import Outcome as Kept
-from corklift.recovery.core import Recovery, Step, Terms
-from corklift.recovery.facts import DRAIN, LIST, OUT, Fact, Server
-from corklift.recovery.messages import Answer, Ask, Marker, Tell, Told
+from corklift.recovery.core import Recovery, RecoveryConfig, RecoveryPhase
+from corklift.recovery.core import ReplicationOutcome as Kept
+from corklift.recovery.facts import DRAIN, LIST, OUT, Fact, StoredServer
+from corklift.recovery.messages import Marker, Replicate, ReplicateReply, StateReply, StateRequest
 
 SETTLED = 8 * SECOND  # after which a balancer that lives serves, if servers do
 LOOK = 250 * MS  # between two looks of a seat's driver
@@ -93,7 +93,7 @@
             outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN)
             and self._seat.core is not None
         ):
-            self._seat.core.server_missed(now, f"s{server}")
+            self._seat.core.server_unresponsive(now, f"s{server}")
         self._policy.hand_off_ended(now, login, was_open, server, outcome, *more)
 
     def probe_answered(
@@ -105,7 +105,7 @@
         if core is not None and outcome is Outcome.FULFILLED:
             core.server_answered(now, f"s{server}", report.count)
         elif core is not None:
-            core.server_missed(now, f"s{server}")
+            core.server_unresponsive(now, f"s{server}")
 
 
 class Powered(Seat):
@@ -136,10 +136,10 @@
             self.core = Recovery(
                 self,
                 Random(f"{day.seed}/{self.number}/{self.turn}/r"),
-                Terms(day.period, longest=RETRY_MOST, cold=fleet.scenario.cold()),
+                RecoveryConfig(day.period, max_retry_after=RETRY_MOST, cold=fleet.scenario.cold()),
                 fleet.clock.now,
                 name=self.name,
-                life=self.turn << 16 | self.number,
+                instance_id=self.turn << 16 | self.number,
                 boot=str(fleet.boots[self.number]),
                 expected=day.balancers,
             )
@@ -159,20 +159,22 @@
     def _read(self) -> None:
         assert self.core is not None
         store, facts = self._found
-        self.core.read(self.fleet.clock.now, facts, Marker(store, len(facts)), not facts)
+        self.core.store_loaded(self.fleet.clock.now, facts, Marker(store, len(facts)), not facts)
 
     def _look(self) -> None:
         fleet, core = self.fleet, self.core
         if not self.alive or core is None:
             return
         now = fleet.clock.now
-        core.members(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
+        core.members_changed(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
         ready = {
             line.server for line in self.known.values() if line.status is Status.READY
         } - self.policy._roster.out.keys()
-        core.looked(now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard)
-        if core.step >= Step.OPEN:
-            core.sized(
+        core.servers_probed(
+            now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard
+        )
+        if core.phase >= RecoveryPhase.OPEN:
+            core.sizes_changed(
                 now,
                 {
                     f"s{number}": size
@@ -180,8 +182,8 @@
                     if size is not None
                 },
             )
-        if core.step is Step.FULL:
-            core.counted(now, fleet.day.balancers)
+        if core.phase is RecoveryPhase.FULL:
+            core.count_changed(now, fleet.day.balancers)
         core.tick(now)
         fleet.clock.after(LOOK, self._mine(self._look))
 
@@ -209,10 +211,10 @@
             )
             known |= {line.server: line for line in lines}
             self.listing = [line for line in known.values() if line.status is not Status.GONE]
-            core.listed(
+            core.list_received(
                 now,
                 [
-                    Server(
+                    StoredServer(
                         f"s{line.server}",
                         "10.0.0.1",
                         line.server,
@@ -230,13 +232,15 @@
         for line in lines:
             name, ready = f"s{line.server}", line.status is Status.READY
             leaves = (
-                core.facts.leaves(name, line.started_at, index)
+                core.facts.is_leaving(name, line.started_at, index)
                 if self.again
-                else core.drained(now, name, line.started_at, index, not ready)
+                else core.update_drain(now, name, line.started_at, index, not ready)
             )
             status = Status.DRAINING if ready and leaves else line.status
             believed.append(
-                line._replace(status=status, started_at=core.started_at(now, name, line.started_at))
+                line._replace(
+                    status=status, started_at=core.effective_start(now, name, line.started_at)
+                )
             )
         super().take_list(believed, whole)
 
@@ -244,10 +248,10 @@
 
     def arrive(self, wish: Wish) -> None:
         core, now = self.core, self.fleet.clock.now
-        if core is None or core.step is Step.FULL:
+        if core is None or core.phase is RecoveryPhase.FULL:
             super().arrive(wish)
             return
-        wait = core.login(now, 1.0)
+        wait = core.admit_login(now, 1.0)
         if wait is None:
             self.let_in.add(self.fleet.coming)
             super().arrive(wish)
@@ -264,7 +268,7 @@
     def went(self, login: int, up: bool | None) -> None:
         if login in self.let_in and self.core is not None:
             self.let_in.remove(login)
-            self.core.ended(self.fleet.clock.now, up)
+            self.core.login_finished(self.fleet.clock.now, up)
 
     def bounce(self, login: int, retry_in: int) -> None:
         super().bounce(login, retry_in)
@@ -280,10 +284,10 @@
 
     # Host of the recovery
 
-    def ask(self, number: int, name: str, message: Ask, until: int) -> None:
-        def arrive(other: Powered) -> Answer:
+    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
+        def arrive(other: Powered) -> StateReply:
             assert other.core is not None
-            return other.core.asked(self.fleet.clock.now, message)
+            return other.core.state_requested(self.fleet.clock.now, message)
 
         assert self.core is not None
         core = self.core
@@ -293,43 +297,43 @@
             arrive,
             until,
             lambda found: (
-                core.answered(self.fleet.clock.now, number, found)
+                core.reply_received(self.fleet.clock.now, number, found)
                 if found is not None
-                else core.unanswered(self.fleet.clock.now, number)
+                else core.request_failed(self.fleet.clock.now, number)
             ),
         )
 
-    def tell(self, number: int, name: str, message: Tell | str, until: int = 0) -> None:  # type: ignore[override]
-        if not isinstance(message, Tell):
+    def replicate(self, number: int, name: str, message: Replicate | str, until: int = 0) -> None:  # type: ignore[override]
+        if not isinstance(message, Replicate):
             return
         assert self.core is not None
         core = self.core
 
-        def done(found: Told | None) -> None:
-            core.tell_answered(self.fleet.clock.now, number, found)
+        def done(found: ReplicateReply | None) -> None:
+            core.replicate_reply_received(self.fleet.clock.now, number, found)
 
         self.fleet.call_slow(self, name, message, until, done)
 
-    def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
         fleet, disk, core = self.fleet, self.fleet.disks[self.number], self.core
         assert core is not None
 
         def kept() -> None:
             disk.facts += [(fleet.clock.now, fact) for fact in facts]
-            core.kept(fleet.clock.now, number, len(disk.facts), "")
+            core.persisted(fleet.clock.now, number, len(disk.facts), "")
 
         fleet.clock.after(int(fleet.rng.uniform(0.2, 8) * MS), self._mine(kept))
 
-    def forget(self, facts: tuple[Fact, ...]) -> None:
+    def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
         pass
 
-    def believe(self, out: set[str], put_back: set[str]) -> None:
+    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
             self.policy.server_out(self.fleet.clock.now, int(name[1:]))
         for name in sorted(put_back):
             self.policy.server_back(self.fleet.clock.now, int(name[1:]))
 
-    def relist(self) -> None:
+    def reapply_list(self) -> None:
         assert self.core is not None
         kept = self.core.facts.get(LIST)
         listing = (
@@ -338,7 +342,8 @@
             else [
                 Listed(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
                 for line in (
-                    (Server(*line) if not isinstance(line, Server) else line) for line in kept.value
+                    (StoredServer(*line) if not isinstance(line, StoredServer) else line)
+                    for line in kept.value
                 )
             ]
             if kept
@@ -351,20 +356,20 @@
             finally:
                 self.again = False
 
-    def look(self, span: int) -> None:
+    def probe_servers(self, span: int) -> None:
         for line in list(self.known.values()):
             if line.status is Status.READY and line.server not in self.policy._roster.out:
                 self.fleet.clock.after(
                     int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
                 )
 
-    def ages(self) -> dict[str, int]:
+    def server_start_times(self) -> dict[str, int]:
         return {
             f"s{number}": int(started_at)
             for number, _, started_at, *_ in self.policy.learned(self.fleet.clock.now)["servers"]
         }
 
-    def step(self, step: Step, why: str) -> None:
+    def phase_changed(self, step: RecoveryPhase, why: str) -> None:
         self.fleet.stepped(self, step)
 
     def log(self, text: str, **fields: object) -> None:
@@ -394,7 +399,7 @@
         self._last_word: dict[int, bool] = {}
         self.asked_words: dict[int, set[bool]] = {}
         self.ups: list[int] = []
-        self.steps: dict[Step, list[int]] = {}
+        self.steps: dict[RecoveryPhase, list[int]] = {}
         self.calls_at: dict[tuple[int, int], int] = {}
         self._old: list[Listed] | None = None
         self.cut_at = 0
@@ -466,7 +471,7 @@
             if other is not seat
             and other.alive
             and now - other.started_at > period // 4
-            and (other.core is None or other.core.step > Step.READ)
+            and (other.core is None or other.core.phase > RecoveryPhase.READ)
         ]
 
     # What is said before
@@ -504,7 +509,7 @@
             if outcome is Kept.KEPT and self._last_word[server] is out:
                 self._had_yes(server, out)
 
-        seat.core.word(self.clock.now, f"s{server}", out, done)
+        seat.core.set_out_of_service(self.clock.now, f"s{server}", out, done)
 
     def _had_yes(self, server: int, out: bool) -> None:
         if out:
@@ -625,11 +630,13 @@
 
         self.clock.after(self.delay(0, 1), there)
 
-    def call_slow(self, seat: Powered, name: str, message: Tell, until: int, done: Any) -> None:
+    def call_slow(
+        self, seat: Powered, name: str, message: Replicate, until: int, done: Any
+    ) -> None:
         self._count(name)
         told: list[bool] = []
 
-        def back(found: Told | None) -> None:
+        def back(found: ReplicateReply | None) -> None:
             if not told:
                 told.append(True)
                 seat._mine(done)(found)
@@ -641,7 +648,7 @@
             other = self._reaches(name)
             if other is not None:
                 assert other.core is not None
-                other.core.told(
+                other.core.replicate_received(
                     self.clock.now,
                     message,
                     lambda found: self.clock.after(
@@ -675,7 +682,7 @@
                 f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.began) / SECOND:.2f} s"
             )
 
-    def stepped(self, seat: Seat, step: Step) -> None:
+    def stepped(self, seat: Seat, step: RecoveryPhase) -> None:
         if self.cut_at:
             self.steps.setdefault(step, []).append(self.clock.now - self.cut_at)
 
@@ -721,19 +728,19 @@
     forgotten = invented = 0
     for seat in fleet.seats:
         if seat.alive and seat.core is not None:
-            held = {int(fact.name[1:]): fact.value for fact, _ in seat.core.facts.of(OUT)}
+            held = {int(fact.name[1:]): fact.value for fact, _ in seat.core.facts.of_kind(OUT)}
             forgotten += sum(not held.get(server) for server in fleet.out)
             invented += sum(
                 value not in fleet.asked_words.get(server, ()) for server, value in held.items()
             )
             invented += sum(
                 fact.value and int(fact.name[1:]) not in fleet.leaving
-                for fact, _ in seat.core.facts.of(DRAIN)
+                for fact, _ in seat.core.facts.of_kind(DRAIN)
             )
     stuck = sum(
         seat.alive
         and seat.core is not None
-        and seat.core.step < Step.OPEN
+        and seat.core.phase < RecoveryPhase.OPEN
         and fleet.clock.now - seat.started_at > SETTLED
         for seat in fleet.seats
     )
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -107,12 +107,14 @@
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.door: Callable[[Opening, int], Refusal | None] = lambda opening, number: None
-        self.went: Callable[[int, bool | None], None] = lambda number, up: None
-        self.missed: Callable[[int], None] = lambda server: (
+        self.admission_check: Callable[[Opening, int], Refusal | None] = lambda opening, number: (
+            None
+        )
+        self.login_finished: Callable[[int, bool | None], None] = lambda number, up: None
+        self.server_unresponsive: Callable[[int], None] = lambda server: (
             None
         )  # it did not answer, or broke a connection
-        self.believed: Callable[[Scope, Listing], Listing] = lambda scope, content: content
+        self.recovered_list: Callable[[Scope, Listing], Listing] = lambda scope, content: content
         self._balancer = Balancer(self, Random(seed), now=scheduler.now(), **arguments)
 
     def settings_changed(
@@ -179,7 +181,7 @@
     def pick(self, opening: Opening, time_limit_at: int) -> tuple[Ticket, Place | Refusal]:
         """A login has come; blocks until it is decided where it goes."""
         self.before_placing()
-        refused = self.door(opening, self._next_login)
+        refused = self.admission_check(opening, self._next_login)
         ticket = self._ticket(time_limit_at)
         if refused is not None:
             return ticket, refused
@@ -195,7 +197,7 @@
         assert ticket.place is not None
         now = self._scheduler.now()
         ticket.decided = None
-        self.went(ticket.number, False)
+        self.login_finished(ticket.number, False)
         self._lost(ticket.place.server, outcome)
         self._balancer.hand_off_ended(
             now,
@@ -214,7 +216,7 @@
         assert ticket.place is not None
         now = self._scheduler.now()
         self._standing += 1
-        self.went(ticket.number, True)
+        self.login_finished(ticket.number, True)
         self._balancer.hand_off_started(
             now, ticket.number, ticket.hand_offs - 1, ticket.place.server, now - ticket.sent_at
         )
@@ -255,7 +257,7 @@
 
     def report_left(self, ticket: Ticket) -> None:
         """The client has gone before its answer."""
-        self.went(ticket.number, None)
+        self.login_finished(ticket.number, None)
         if self._tickets.pop(ticket.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), ticket.number)
 
@@ -428,7 +430,7 @@
     # What upkeep calls
 
     def listed(self, scope: Scope, content: Listing) -> None:
-        content = self.believed(scope, content)
+        content = self.recovered_list(scope, content)
         lines = []
         for entry in content.entries:
             server = self._server_id(entry.name)
@@ -615,7 +617,7 @@
 
     def _lost(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
-            self.missed(server)
+            self.server_unresponsive(server)
 
     def _answer(self, login: int, refusal: Refusal) -> None:
         ticket = self._tickets.pop(login, None)
--- a/corklift/recovery/admission.py
+++ b/corklift/recovery/admission.py
@@ -24,7 +24,7 @@
 SPREAD = (0.25, 1.0)  # of the longest time to come back
 
 
-class Door:
+class AdmissionControl:
     def __init__(self, now: int, rule: ColdRule, servers: int, balancers: int) -> None:
         self._rule, self._balancers = rule, max(1, balancers)
         self._part = max(
@@ -95,7 +95,7 @@
             self._quiet = 0
 
 
-def come_back(rng: Random, longest: int, importance: float) -> int:
+def retry_after(rng: Random, longest: int, importance: float) -> int:
     """When a refused login is to come back, ns: spread, and the sooner the more it matters."""
     low, high = SPREAD
     return int(longest * rng.uniform(low, high - (high - low) / 2 * importance))
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -17,9 +17,26 @@
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.parsers import Entry, Listing, Opening
 from corklift.net.scheduler import Task
-from corklift.recovery.core import Outcome, Recovery, Step, Terms
-from corklift.recovery.facts import LIST, SIZES, Fact, Server, Unreadable, decoded, encoded, servers
-from corklift.recovery.messages import Answer, Ask, Marker, Tell, Told, decode, encode
+from corklift.recovery.core import Recovery, RecoveryConfig, RecoveryPhase, ReplicationOutcome
+from corklift.recovery.facts import (
+    LIST,
+    SIZES,
+    Fact,
+    FactDecodeError,
+    StoredServer,
+    decode_fact,
+    encode_fact,
+    stored_servers,
+)
+from corklift.recovery.messages import (
+    Marker,
+    Replicate,
+    ReplicateReply,
+    StateReply,
+    StateRequest,
+    decode,
+    encode,
+)
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
@@ -35,7 +52,7 @@
 LOOKS = 20  # a period
 
 
-class Given(Protocol):
+class StoreConfig(Protocol):
     """What the file tells of the store."""
 
     path: str
@@ -53,11 +70,11 @@
         return ""
 
 
-class Return:
+class RecoveryDriver:
     def __init__(
         self,
         process: Process,
-        given: Given,
+        given: StoreConfig,
         name: str,
         period: int,
         tell: Callable[..., None],
@@ -84,16 +101,16 @@
         self.core = Recovery(
             self,
             Random(),
-            Terms(
+            RecoveryConfig(
                 period,
                 given.patience_ms * MS / period,
                 copies=given.copies,
-                longest=arguments["max_retry_after"] or SECOND,
+                max_retry_after=arguments["max_retry_after"] or SECOND,
                 cold=arguments["cold"],
             ),
             now,
             name=name,
-            life=life,
+            instance_id=life,
             boot=boot_of(given.boot),
             expected=arguments["balancers"],
             alone=self._peers is None,
@@ -107,7 +124,11 @@
         self._heard_of: tuple[int, int] = (0, 0)
         self._size_at = now
         facade = process.facade
-        facade.door, facade.went, facade.believed = self._door, self._went, self._believed
+        facade.admission_check, facade.login_finished, facade.recovered_list = (
+            self._door,
+            self._went,
+            self._believed,
+        )
         before = facade.reported
 
         def reported(server: int, connections: float) -> None:
@@ -117,11 +138,11 @@
             )
 
         facade.reported = reported
-        facade.missed = lambda server: self.core.server_missed(
+        facade.server_unresponsive = lambda server: self.core.server_unresponsive(
             self._scheduler.now(), facade.server_name(server)
         )
         process.words = self._word
-        process.may_serve = lambda: self.core.step >= Step.OPEN
+        process.may_serve = lambda: self.core.phase >= RecoveryPhase.OPEN
         process.overlap.words_elsewhere = True
         process.more_figures.append(self._figures)
 
@@ -152,13 +173,13 @@
         facade = self._process.facade
         while not self._left:
             now = self._scheduler.now()
-            if self.core.step is not Step.READ and not self._resumed:
+            if self.core.phase is not RecoveryPhase.READ and not self._resumed:
                 self._resumed = True
                 if self._peers:
-                    self._peers.resume(*self.core.next_life, self.core.balancers)
+                    self._peers.resume(*self.core.next_incarnation, self.core.max_balancers)
             if self._peers and self._resumed:
                 members = self._peers.core
-                self.core.members(
+                self.core.members_changed(
                     now, [word.name for word in members.live_members], members.admitted
                 )
                 if (
@@ -169,13 +190,13 @@
                         members.own_record.incarnation,
                         members.own_record.restart_count,
                     )
-                    self.core.incarnation(now, *self._heard_of)
-                if self.core.step is Step.FULL:
-                    self.core.counted(now, members.count.value)
-            if self.core.step >= Step.OPEN and now >= self._size_at:
+                    self.core.own_incarnation_changed(now, *self._heard_of)
+                if self.core.phase is RecoveryPhase.FULL:
+                    self.core.count_changed(now, members.count.value)
+            if self.core.phase >= RecoveryPhase.OPEN and now >= self._size_at:
                 self._size_at = now + self._period
-                self.core.sized(now, facade.sizes())
-            self.core.looked(
+                self.core.sizes_changed(now, facade.sizes())
+            self.core.servers_probed(
                 now,
                 [facade.server_name(server) for server in facade.ready_servers()],
                 facade.all_heard(),
@@ -185,30 +206,30 @@
 
     # What the core asks for
 
-    def ask(self, number: int, name: str, message: Ask, until: int) -> None:
+    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
         self._scheduler.spawn(
             self._call,
             name,
             ASK,
             message,
-            Answer,
+            StateReply,
             until,
             lambda found: (
-                self.core.answered(self._scheduler.now(), number, found)
+                self.core.reply_received(self._scheduler.now(), number, found)
                 if found is not None
-                else self.core.unanswered(self._scheduler.now(), number)
+                else self.core.request_failed(self._scheduler.now(), number)
             ),
         )
 
-    def tell(self, number: int, name: str, message: Tell, until: int) -> None:
+    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None:
         self._scheduler.spawn(
             self._call,
             name,
             TELL,
             message,
-            Told,
+            ReplicateReply,
             until,
-            lambda found: self.core.tell_answered(self._scheduler.now(), number, found),
+            lambda found: self.core.replicate_reply_received(self._scheduler.now(), number, found),
         )
 
     def _call(
@@ -223,7 +244,7 @@
         found = None
         try:
             found = self._answer(name, path, message, form, until)
-        except (RpcError, Unreadable) as problem:
+        except (RpcError, FactDecodeError) as problem:
             self._counters[
                 f"calls of recovery failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
             ] += 1
@@ -248,27 +269,29 @@
                     raise
                 self._scheduler.sleep(self._period // 8)
 
-    def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
         self._keeper.keep(
-            dict(map(encoded, facts)),
-            lambda sequence, why: self.core.kept(self._scheduler.now(), number, sequence, why),
+            dict(map(encode_fact, facts)),
+            lambda sequence, why: self.core.persisted(self._scheduler.now(), number, sequence, why),
         )
 
-    def forget(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
+    def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
+        self._keeper.keep(
+            {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
+        )
 
-    def believe(self, out: set[str], put_back: set[str]) -> None:
+    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
             self._process.facade.word_of(name, True)
         for name in sorted(put_back):
             self._process.facade.word_of(name, False)
 
-    def relist(self) -> None:
+    def reapply_list(self) -> None:
         """The list anew, as it is to be believed now; before discovery has told one, the one that was kept."""
         listing = self._listing
         if listing is None and (kept := self.core.facts.get(LIST)) is not None:
             listing = Listing(
-                kept.number[0],
+                kept.version[0],
                 True,
                 tuple(
                     Entry(
@@ -281,7 +304,7 @@
                         line.weight,
                         0,
                     )
-                    for line in servers(kept)
+                    for line in stored_servers(kept)
                 ),
                 0,
             )
@@ -292,10 +315,10 @@
             finally:
                 self._again = False
         sizes = self.core.facts.get(SIZES)
-        if sizes is not None and self.core.step is not Step.FULL:
+        if sizes is not None and self.core.phase is not RecoveryPhase.FULL:
             self._process.facade.hint(sizes.value)
 
-    def look(self, span: int) -> None:
+    def probe_servers(self, span: int) -> None:
         for server in self._process.facade.ready_servers():
             self._scheduler.spawn(self._look, server, int(self._rng.random() * span))
 
@@ -303,11 +326,11 @@
         self._scheduler.sleep(wait)
         self._process.facade.probe(server)
 
-    def ages(self) -> dict[str, int]:
+    def server_start_times(self) -> dict[str, int]:
         return self._process.facade.ages()
 
-    def step(self, step: Step, why: str) -> None:
-        if step >= Step.OPEN:
+    def phase_changed(self, step: RecoveryPhase, why: str) -> None:
+        if step >= RecoveryPhase.OPEN:
             self._process.relay.ready = True  # PING is answered: it serves
         self._tell("recovery", step=step.name.lower(), why=why)
 
@@ -321,13 +344,13 @@
     ) -> None:
         now = self._scheduler.now()
         if notes is None:
-            self.core.unread(now, why)
+            self.core.store_unreadable(now, why)
             return
         facts = []
         for key, value in items:
             try:
-                facts.append(decoded(value))
-            except Unreadable as problem:
+                facts.append(decode_fact(value))
+            except FactDecodeError as problem:
                 lost = "; ".join(filter(None, (lost, f"{key!r:.80}: {problem}")))
         for cut in notes.cuts:
             self._tell(
@@ -337,7 +360,7 @@
                 offset=cut.offset,
                 length=cut.length,
             )
-        self.core.read(
+        self.core.store_loaded(
             now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
         )
 
@@ -352,7 +375,7 @@
         entries = []
         for entry in content.entries:
             leaves = (
-                self.core.drained(
+                self.core.update_drain(
                     now,
                     entry.name,
                     entry.started_at,
@@ -360,13 +383,15 @@
                     entry.status is not Status.READY,
                 )
                 if news
-                else self.core.facts.leaves(entry.name, entry.started_at, content.version)
+                else self.core.facts.is_leaving(entry.name, entry.started_at, content.version)
             )
             if leaves and entry.status is Status.READY:
                 self._counters["servers listed as ready that leave"] += 1
                 entry = entry._replace(status=Status.DRAINING)
             entries.append(
-                entry._replace(started_at=self.core.started_at(now, entry.name, entry.started_at))
+                entry._replace(
+                    started_at=self.core.effective_start(now, entry.name, entry.started_at)
+                )
             )
         return content._replace(entries=tuple(entries))
 
@@ -380,10 +405,10 @@
         known = {name: entry for name, entry in known.items() if entry.status is not Status.GONE}
         self._listing = Listing(content.version, True, tuple(known.values()), 0)
         if content.whole or len(known) > 0:
-            self.core.listed(
+            self.core.list_received(
                 now,
                 [
-                    Server(
+                    StoredServer(
                         entry.name,
                         *entry.address,
                         entry.zone,
@@ -404,11 +429,11 @@
         return facade.importance(opening) / self._importance if self._importance else 1.0
 
     def _door(self, opening: Opening, number: int) -> Refusal | None:
-        if self.core.step is Step.FULL:
+        if self.core.phase is RecoveryPhase.FULL:
             return None
-        wait = self.core.login(self._scheduler.now(), self._importance_of(opening))
+        wait = self.core.admit_login(self._scheduler.now(), self._importance_of(opening))
         if wait is None:
-            if self.core.step is Step.OPEN:
+            if self.core.phase is RecoveryPhase.OPEN:
                 self._let_in.add(number)
             return None
         self._counters["logins refused while the door opens"] += 1
@@ -417,14 +442,14 @@
     def _went(self, number: int, up: bool | None) -> None:
         if number in self._let_in:
             self._let_in.remove(number)
-            self.core.ended(self._scheduler.now(), up)
+            self.core.login_finished(self._scheduler.now(), up)
 
     # Operators
 
     def _word(self, name: str, out: bool) -> bool:
         """Blocks the operator's task alone."""
-        until = self._scheduler.now() + int(self.core.terms.word * self._period)
-        while self.core.step < Step.LOOK:
+        until = self._scheduler.now() + int(self.core.config.replication_timeout * self._period)
+        while self.core.phase < RecoveryPhase.LOOK:
             # Guards against a word that is numbered below what the disk and peers are about to tell.
             if self._scheduler.now() >= until:
                 raise Otherwise(
@@ -439,18 +464,18 @@
             return False
         task, found = self._scheduler.current, []
 
-        def done(outcome: Outcome, kept: int, wanted: int) -> None:
+        def done(outcome: ReplicationOutcome, kept: int, wanted: int) -> None:
             found.append((outcome, kept, wanted))
             self._scheduler.wake(task)
 
-        self.core.word(self._scheduler.now(), name, out, done)
+        self.core.set_out_of_service(self._scheduler.now(), name, out, done)
         while not found:
             self._scheduler.wait({}, self._scheduler.now() + self._period)
         outcome, kept, wanted = found[0]
         self._tell(
             "word", server=name, out=out, outcome=outcome.name.lower(), kept=kept, wanted=wanted
         )
-        if outcome is Outcome.PARTLY:
+        if outcome is ReplicationOutcome.PARTLY:
             raise Otherwise(
                 Reply(
                     202,
@@ -463,8 +488,8 @@
     def _figures(self) -> str:
         core = self.core
         return (
-            f"app.recovery_step:{int(core.step)}|g\napp.store_behind:{int(core.behind)}|g\napp.store_trouble:{int(bool(core.trouble))}|g\n"
-            f"app.store_commits:{core.own.sequence}|c\napp.store_waiting_ms:"
+            f"app.recovery_step:{int(core.phase)}|g\napp.store_behind:{int(core.store_behind)}|g\napp.store_trouble:{int(bool(core.store_error))}|g\n"
+            f"app.store_commits:{core.own_marker.sequence}|c\napp.store_waiting_ms:"
             f"{(self._scheduler.now() - self._keeper.since) // MS if self._keeper.under_way else 0}|g\n"
         )
 
@@ -475,29 +500,29 @@
             raise RpcError(Code.RESOURCE_EXHAUSTED, "too many ask at once")
         self._asked_now += 1
         try:
-            ask = decode(Ask, request)
-            assert isinstance(ask, Ask)
-            return encode(self.core.asked(self._scheduler.now(), ask))
-        except Unreadable as problem:
+            ask = decode(StateRequest, request)
+            assert isinstance(ask, StateRequest)
+            return encode(self.core.state_requested(self._scheduler.now(), ask))
+        except FactDecodeError as problem:
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
         finally:
             self._asked_now -= 1
 
     def _take_tell(self, call: LiveCall, request: bytes) -> bytes:
         try:
-            tell = decode(Tell, request)
-        except Unreadable as problem:
+            tell = decode(Replicate, request)
+        except FactDecodeError as problem:
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
-        assert isinstance(tell, Tell)
+        assert isinstance(tell, Replicate)
         task: Task = self._scheduler.current
-        found: list[Told] = []
+        found: list[ReplicateReply] = []
 
-        def reply(told: Told) -> None:
+        def reply(told: ReplicateReply) -> None:
             found.append(told)
             self._scheduler.wake(task)
 
-        self.core.told(self._scheduler.now(), tell, reply)
-        until = self._scheduler.now() + int(self.core.terms.word * self._period)
+        self.core.replicate_received(self._scheduler.now(), tell, reply)
+        until = self._scheduler.now() + int(self.core.config.replication_timeout * self._period)
         while not found and not call.ended and self._scheduler.now() < until:
             self._scheduler.wait({}, until)
-        return encode(found[0] if found else Told(False))
+        return encode(found[0] if found else ReplicateReply(False))
--- a/corklift/recovery/facts.py
+++ b/corklift/recovery/facts.py
@@ -68,7 +68,7 @@
 BINDING_SHARED = (OUT, DRAIN)
 
 
-class How(IntEnum):
+class Provenance(IntEnum):
     """How this process came to know a fact: what it may be taken for by whoever asks."""
 
     READ = 0  # from its disk
@@ -79,10 +79,10 @@
 class Fact(msgspec.Struct, frozen=True, array_like=True):
     kind: str
     name: str
-    number: tuple[int, ...]  # the higher one holds
+    version: tuple[int, ...]  # the higher one holds
     value: Any
-    by: str = ""  # who said it
-    at: int = 0  # ns, by the clock of whoever said it; shown to people and never compared
+    source: str = ""  # who said it
+    recorded_at: int = 0  # ns, by the clock of whoever said it; shown to people and never compared
 
     @property
     def key(self) -> tuple[str, str]:
@@ -90,15 +90,15 @@
 
     @property
     def rank(self) -> tuple[tuple[int, ...], str]:
-        return self.number, self.by
+        return self.version, self.source
 
 
-class Held(NamedTuple):
+class KnownFact(NamedTuple):
     fact: Fact
-    how: How
+    provenance: Provenance
 
 
-class Server(msgspec.Struct, frozen=True, array_like=True):
+class StoredServer(msgspec.Struct, frozen=True, array_like=True):
     """A line of the list, as it is kept."""
 
     name: str
@@ -113,55 +113,55 @@
 
 _ENCODE = msgspec.msgpack.Encoder().encode
 _DECODE = msgspec.msgpack.Decoder(Fact).decode
-_SERVERS = list[Server]
-MOST_NAME = 200
+_SERVERS = list[StoredServer]
+MAX_NAME_LENGTH = 200
 
 
-class Unreadable(Exception):
+class FactDecodeError(Exception):
     """No fact of ours."""
 
 
-def encoded(fact: Fact) -> tuple[bytes, bytes]:
+def encode_fact(fact: Fact) -> tuple[bytes, bytes]:
     """As key and value of a store."""
     return f"{fact.kind}/{fact.name}".encode(), _ENCODE(fact)
 
 
-def decoded(value: bytes) -> Fact:
+def decode_fact(value: bytes) -> Fact:
     """Raises:
     Unreadable
     """
     try:
         fact = _DECODE(value)
     except (msgspec.DecodeError, RecursionError) as problem:
-        raise Unreadable(str(problem)) from None
-    check(fact)
+        raise FactDecodeError(str(problem)) from None
+    validate(fact)
     return fact
 
 
-def check(fact: Fact) -> None:
+def validate(fact: Fact) -> None:
     """Raises:
     Unreadable: of a kind that is known, and not of its form.
     """
     if (
-        not 0 <= len(fact.name) <= MOST_NAME
-        or len(fact.by) > MOST_NAME
-        or not 1 <= len(fact.number) <= 4
+        not 0 <= len(fact.name) <= MAX_NAME_LENGTH
+        or len(fact.source) > MAX_NAME_LENGTH
+        or not 1 <= len(fact.version) <= 4
     ):
-        raise Unreadable(f"a fact about {fact.name[:40]!r}")
+        raise FactDecodeError(f"a fact about {fact.name[:40]!r}")
     try:
         if fact.kind in (OUT, DRAIN) and not isinstance(fact.value, bool):
-            raise Unreadable(f"{fact.kind} of {fact.name[:40]} says {fact.value!r:.40}")
+            raise FactDecodeError(f"{fact.kind} of {fact.name[:40]} says {fact.value!r:.40}")
         if fact.kind == LIST:
             msgspec.convert(fact.value, _SERVERS)
         if fact.kind == SIZES:
             msgspec.convert(fact.value, dict[str, float])
         if fact.kind == COUNT and (not isinstance(fact.value, int) or not 0 < fact.value <= 4096):
-            raise Unreadable(f"a count of {fact.value!r:.40}")
+            raise FactDecodeError(f"a count of {fact.value!r:.40}")
     except msgspec.ValidationError as problem:
-        raise Unreadable(str(problem)) from None
+        raise FactDecodeError(str(problem)) from None
 
 
-def servers(fact: Fact) -> list[Server]:
+def stored_servers(fact: Fact) -> list[StoredServer]:
     return msgspec.convert(fact.value, _SERVERS)
 
 
@@ -169,35 +169,37 @@
     """By kind and name the fact of the highest number, and how it came."""
 
     def __init__(self) -> None:
-        self._held: dict[tuple[str, str], Held] = {}
+        self._known: dict[tuple[str, str], KnownFact] = {}
         self._digest = 0
 
     def get(self, kind: str, name: str = "") -> Fact | None:
-        held = self._held.get((kind, name))
+        held = self._known.get((kind, name))
         return held.fact if held is not None else None
 
-    def how(self, kind: str, name: str = "") -> How | None:
-        held = self._held.get((kind, name))
-        return held.how if held is not None else None
+    def provenance(self, kind: str, name: str = "") -> Provenance | None:
+        held = self._known.get((kind, name))
+        return held.provenance if held is not None else None
 
-    def take(self, fact: Fact, how: How) -> bool:
+    def merge(self, fact: Fact, provenance: Provenance) -> bool:
         """Returns whether it is newer than what was held. The same one heard in a better way is held so."""
-        held = self._held.get(fact.key)
+        held = self._known.get(fact.key)
         if held is not None and fact.rank <= held.fact.rank:
-            if fact.rank == held.fact.rank and how > held.how:
-                self._held[fact.key] = Held(held.fact, how)
+            if fact.rank == held.fact.rank and provenance > held.provenance:
+                self._known[fact.key] = KnownFact(held.fact, provenance)
             return False
         if fact.kind in SHARED:
-            self._digest ^= self._mark(fact) ^ (self._mark(held.fact) if held is not None else 0)
-        self._held[fact.key] = Held(fact, how)
+            self._digest ^= self._hash_fact(fact) ^ (
+                self._hash_fact(held.fact) if held is not None else 0
+            )
+        self._known[fact.key] = KnownFact(fact, provenance)
         return True
 
-    def drop(self, fact: Fact) -> None:
-        if self._held.pop(fact.key, None) is not None:
-            self._digest ^= self._mark(fact)
+    def remove(self, fact: Fact) -> None:
+        if self._known.pop(fact.key, None) is not None:
+            self._digest ^= self._hash_fact(fact)
 
     @staticmethod
-    def _mark(fact: Fact) -> int:
+    def _hash_fact(fact: Fact) -> int:
         # The list differs by what each discovery's agent has passed on so far: its number is no news.
         return (
             xxh3_64_intdigest(repr((fact.kind, fact.name, fact.rank)).encode())
@@ -210,25 +212,25 @@
         """Of the binding facts that are shared: two that hold the same have one."""
         return self._digest
 
-    def of(self, kind: str) -> list[Held]:
-        return [held for key, held in sorted(self._held.items()) if key[0] == kind]
+    def of_kind(self, kind: str) -> list[KnownFact]:
+        return [held for key, held in sorted(self._known.items()) if key[0] == kind]
 
-    def shared(self) -> list[Held]:
-        return [held for key, held in sorted(self._held.items()) if key[0] in SHARED]
+    def shared(self) -> list[KnownFact]:
+        return [held for key, held in sorted(self._known.items()) if key[0] in SHARED]
 
-    def out(self) -> set[str]:
+    def out_of_service(self) -> set[str]:
         """Servers out by operators' word."""
-        return {held.fact.name for held in self.of(OUT) if held.fact.value}
+        return {held.fact.name for held in self.of_kind(OUT) if held.fact.value}
 
-    def next_number(self, kind: str, name: str) -> tuple[int, ...]:
+    def next_version(self, kind: str, name: str) -> tuple[int, ...]:
         held = self.get(kind, name)
-        return ((held.number[0] if held is not None else 0) + 1,)
+        return ((held.version[0] if held is not None else 0) + 1,)
 
-    def leaves(self, name: str, started_at: int, index: int) -> bool:
+    def is_leaving(self, name: str, started_at: int, index: int) -> bool:
         """Whether a server that a list names as ready is held for leaving: that was told by a list no older than this one, and of
         this start of the server or a later one."""
         held = self.get(DRAIN, name)
-        return held is not None and bool(held.value) and held.number >= (started_at, index)
+        return held is not None and bool(held.value) and held.version >= (started_at, index)
 
 
 def newest(facts: Iterable[Fact]) -> dict[tuple[str, str], Fact]:
--- a/corklift/recovery/messages.py
+++ b/corklift/recovery/messages.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from corklift.recovery.facts import Fact, How, Unreadable, check
+from corklift.recovery.facts import Fact, FactDecodeError, Provenance, validate
 
-MOST_FACTS = 16_384  # of a message
+MAX_FACTS = 16_384  # of a message
 
 
 class Marker(msgspec.Struct, frozen=True, array_like=True):
@@ -19,50 +19,55 @@
     sequence: int = 0
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True):
+class StateRequest(msgspec.Struct, frozen=True, array_like=True):
     """What do you hold?"""
 
-    name: str  # who asks ...
-    life: int  # ... in which process
+    sender: str  # who asks ...
+    instance_id: int  # ... in which process
     marker: Marker
     digest: int  # of the asker's binding facts; the same as the asked one's: none need be told
-    whole: bool  # the list too, and what is cold
+    full: bool  # the list too, and what is cold
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True):
-    name: str
-    life: int
-    lived: bool  # it served before the asker started, and has not been without its memory since
+class StateReply(msgspec.Struct, frozen=True, array_like=True):
+    sender: str
+    instance_id: int
+    lived_through: (
+        bool  # it served before the asker started, and has not been without its memory since
+    )
     facts: tuple[Fact, ...]
-    hows: tuple[int, ...]  # How, of each
+    provenances: tuple[int, ...]  # How, of each
     marker: Marker  # its own
-    yours: Marker  # what it was told by the asker's name last
-    ages: dict[
+    requester_marker: Marker  # what it was told by the asker's name last
+    start_times: dict[
         str, int
     ] = {}  # by server, when it started, as this one's decisions know it; only of one that lived
-    remembers: bool = False  # its disk was read and had something; else it counts for none that knows what was said before
+    has_memory: bool = False  # its disk was read and had something; else it counts for none that knows what was said before
     power_lost: bool = (
         False  # by its own disk, the power was lost, and it has heard from nobody that lived
     )
 
 
-class Tell(msgspec.Struct, frozen=True, array_like=True):
+class Replicate(msgspec.Struct, frozen=True, array_like=True):
     """Hold this, and say when your disk does."""
 
-    name: str
-    life: int
+    sender: str
+    instance_id: int
     marker: Marker
     facts: tuple[Fact, ...]
 
 
-class Told(msgspec.Struct, frozen=True, array_like=True):
-    kept: bool  # on its disk
+class ReplicateReply(msgspec.Struct, frozen=True, array_like=True):
+    persisted: bool  # on its disk
     newer: tuple[Fact, ...] = ()  # what it holds of a higher number
     marker: Marker = Marker()  # its own, with that kept
 
 
 encode = msgspec.msgpack.Encoder().encode
-_DECODERS = {form: msgspec.msgpack.Decoder(form) for form in (Ask, Answer, Tell, Told)}
+_DECODERS = {
+    form: msgspec.msgpack.Decoder(form)
+    for form in (StateRequest, StateReply, Replicate, ReplicateReply)
+}
 
 
 def decode(form: type, content: bytes) -> object:
@@ -72,17 +77,17 @@
     try:
         found = _DECODERS[form].decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
-        raise Unreadable(str(problem)) from None
+        raise FactDecodeError(str(problem)) from None
     facts = getattr(found, "facts", None) or getattr(found, "newer", ())
-    if len(facts) > MOST_FACTS:
-        raise Unreadable(f"{len(facts)} facts")
+    if len(facts) > MAX_FACTS:
+        raise FactDecodeError(f"{len(facts)} facts")
     for fact in facts:
-        check(fact)
-    if isinstance(found, Answer) and len(found.hows) != len(found.facts):
-        raise Unreadable("facts without their origin")
+        validate(fact)
+    if isinstance(found, StateReply) and len(found.provenances) != len(found.facts):
+        raise FactDecodeError("facts without their origin")
     return found
 
 
-def how(number: int) -> How:
+def provenance_of(number: int) -> Provenance:
     """As it is told; a further kind of a newer peer is worth the least."""
-    return How(number) if number in list(How) else How.READ
+    return Provenance(number) if number in list(Provenance) else Provenance.READ
--- a/corklift/rig/power_days.py
+++ b/corklift/rig/power_days.py
@@ -11,7 +11,7 @@
 from typing import Any, Literal, NamedTuple
 
 from corklift.net.limits import SECOND
-from corklift.recovery.facts import OUT, Fact, decoded
+from corklift.recovery.facts import OUT, Fact, decode_fact
 from corklift.rig.checker import Break, judge
 from corklift.rig.fleet import Rig, Shape
 from corklift.store.files import Disk
@@ -228,7 +228,7 @@
         state = salvage(disk.names(), disk.read).state
     finally:
         disk.end()
-    return [decoded(value) for value in state.values()]
+    return [decode_fact(value) for value in state.values()]
 
 
 def _seen(rig: Rig, day: Day, marks: dict[str, int], kept: dict[str, list[Fact]]) -> Seen:
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -167,10 +167,10 @@
                 assert peers is not None
                 made.append(Peers(process, peers, tell))
             else:
-                from corklift.recovery.driver import MESSAGE, Return
+                from corklift.recovery.driver import MESSAGE, RecoveryDriver
 
                 made.append(
-                    Return(
+                    RecoveryDriver(
                         process,
                         store,
                         name,
