--- a/corklift/net/overlap.py
+++ b/corklift/net/overlap.py
@@ -41,7 +41,7 @@
         ] = {}  # by process and server, what earlier ones have told of it
         self._followed: set[int] = set()  # processes whose learning has been taken over
         self._others_live = True  # until a look has shown it
-        self.words_elsewhere = (
+        self.overrides_kept_elsewhere = (
             False  # operators' words are kept by another part, which knows better
         )
 
@@ -74,14 +74,14 @@
                 self._counters["looks at other processes that failed"] += 1
             self._scheduler.sleep(self._limits.look_pause)
 
-    def take_out(self, name: str) -> bool:
-        if not self._facade.take_out(name):
+    def take_out_of_service(self, name: str) -> bool:
+        if not self._facade.take_out_of_service(name):
             return False
         self._say(name, True)
         return True
 
-    def put_back(self, name: str) -> bool:
-        if not self._facade.put_back(name):
+    def restore_to_service(self, name: str) -> bool:
+        if not self._facade.restore_to_service(name):
             return False
         if name in self._place.out():
             self._say(name, False)
@@ -116,7 +116,7 @@
     def _tell(self) -> None:
         if self._kin is not None:
             self._held = self._relay.held
-            learned = self._facade.learned() if self._yielded else {}
+            learned = self._facade.export_learned_state() if self._yielded else {}
             try:
                 self._kin.tell(
                     Life(
@@ -133,9 +133,9 @@
 
     def _take_words(self, lives: list[Life]) -> None:
         for name, out in (
-            sorted(self._place.hear(lives).items()) if not self.words_elsewhere else ()
+            sorted(self._place.hear(lives).items()) if not self.overrides_kept_elsewhere else ()
         ):
-            self._facade.word_of(name, out)
+            self._facade.apply_operator_override(name, out)
 
     def _look(self) -> None:
         assert self._kin is not None
@@ -143,7 +143,7 @@
             return  # alone, as before
         living, ended = self._kin.others()
         if self._others_live and not living:
-            self._facade.alone()
+            self._facade.other_processes_ended()
         self._others_live = bool(living)
         self._take_words(living + ended)
         self._relay.held_elsewhere = sum(life.held for life in living)
@@ -162,7 +162,7 @@
             more = load - self._ended.get((life.generation, server), 0.0)
             if more > 0:
                 self._ended[life.generation, server] = load
-                self._facade.ended_elsewhere(server, more)
+                self._facade.connection_ended_elsewhere(server, more)
 
     def _change(self, living: list[Life]) -> None:
         stage = self._place.stage
@@ -172,6 +172,6 @@
             for life in living:
                 if life.learned and life.generation not in self._followed:
                     self._followed.add(life.generation)
-                    self._facade.follow(life.learned)
-        self._facade.stand_by(stage is Stage.YIELDED)
+                    self._facade.import_learned_state(life.learned)
+        self._facade.set_standby(stage is Stage.YIELDED)
         self._yielded = stage is Stage.YIELDED
--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -21,9 +21,9 @@
     ColdRule,
     Effect,
     Host,
-    Listed,
+    ListedServer,
     Login,
-    NoteKind,
+    MeasurementKind,
     Outcome,
     Reach,
     Report,
@@ -31,7 +31,7 @@
     Status,
     Workload,
 )
-from corklift.records import Attempt, Held, Histogram, Server
+from corklift.records import Attempt, Histogram, LoginState, Server
 
 SECOND = 1_000_000_000
 PROBE_PERIOD = SECOND  # the design's "about once a second"
@@ -99,11 +99,11 @@
         self.servers: dict[int, Server] = {}
         self.ready: list[Server] = []
         self.version = 0  # of who is ready
-        self.out: dict[int, int] = {}  # when operators took a server out, listed or not
+        self.out_of_service: dict[int, int] = {}  # when operators took a server out, listed or not
         self._back: dict[int, int] = {}  # when they put back one that was not listed then
 
     def apply(
-        self, now: int, scope: Scope, lines: Iterable[Listed]
+        self, now: int, scope: Scope, lines: Iterable[ListedServer]
     ) -> tuple[list[Server], list[Server]]:
         """Takes the list in; returns (started, left): servers new or restarted, servers draining or gone."""
         started, left, named = [], [], set()
@@ -148,19 +148,19 @@
     def _settle(self) -> None:
         self.version += 1
         for server in self.servers.values():
-            server.ready = server.status is Status.READY and server.id not in self.out
+            server.ready = server.status is Status.READY and server.id not in self.out_of_service
         self.ready = [server for server in self.servers.values() if server.ready]
 
-    def take_out(self, now: int, server: int) -> Server | None:
+    def take_out_of_service(self, now: int, server: int) -> Server | None:
         """It drains from now on, whatever the list tells, drops or lists anew; returns it if it was ready."""
-        self.out.setdefault(server, now)
+        self.out_of_service.setdefault(server, now)
         left = [known for known in self.ready if known.id == server]
         self._settle()
         return left[0] if left else None
 
-    def put_back(self, now: int, server: int) -> Server | None:
+    def restore_to_service(self, now: int, server: int) -> Server | None:
         """Returns it if ready now. Its start is the list's or else now; what it showed before is void."""
-        out_at, known = self.out.pop(server, None), self.servers.get(server)
+        out_at, known = self.out_of_service.pop(server, None), self.servers.get(server)
         if out_at is None:
             return None
         if known is None:
@@ -464,7 +464,7 @@
         server.cold_spent, _ = self._level(now, server)
         server.cold_at = now
 
-    def allows(self, now: int, server: Server, held: Held, rng: Random) -> bool:
+    def allows(self, now: int, server: Server, held: LoginState, rng: Random) -> bool:
         if not self.is_cold(now, server):
             return True
         self._refill(now, server)
@@ -475,7 +475,7 @@
             and held.turns.setdefault(server.id, rng.random()) < chance
         )
 
-    def chance(self, now: int, server: Server, held: Held) -> float:
+    def chance(self, now: int, server: Server, held: LoginState) -> float:
         """The chance that the budget lets this login take part in the draw of the server."""
         if self.stands_by or not self.is_cold(now, server):
             return float(not self.is_cold(now, server))
@@ -571,7 +571,7 @@
         pressure = self._counts.projected(server)
         return pressure is None or pressure < max(ROOM, self._counts.mean_pressure)
 
-    def pick(self, now: int, held: Held, allowed: Callable[[Server], bool]) -> Server | None:
+    def pick(self, now: int, held: LoginState, allowed: Callable[[Server], bool]) -> Server | None:
         able = [
             s
             for s in self._roster.ready
@@ -582,7 +582,7 @@
             return None
         return self._rng.choice(drawn) if even else self._weighted(drawn)
 
-    def chances(self, now: int, held: Held, span: int) -> dict[int, float]:
+    def draw_probabilities(self, now: int, held: LoginState, span: int) -> dict[int, float]:
         """`pick`'s answer for every server at once, nothing drawn, nothing changed; empty where it has none.
 
         With a span: for all the logins that others place by it meanwhile. Their sum is under 1 where the
@@ -640,7 +640,9 @@
                 }
             capped.update((server, bounds[server]) for server in over)
 
-    def _entrants(self, now: int, held: Held, able: list[Server]) -> tuple[list[Server], bool]:
+    def _entrants(
+        self, now: int, held: LoginState, able: list[Server]
+    ) -> tuple[list[Server], bool]:
         """Who of these takes part in the draw, and whether that is even for want of counts."""
         if not able:
             return [], False
@@ -664,7 +666,7 @@
             return self._holders(held.login.group, roomy, fresh), False
         return roomy or fresh, False
 
-    def _not_full(self, now: int, server: Server, held: Held) -> bool:
+    def _not_full(self, now: int, server: Server, held: LoginState) -> bool:
         # Guards against a standing overload: what is piled up on a full server spoils all its connections.
         return (
             now >= server.full_until
@@ -673,7 +675,7 @@
         )
 
     def _in_order(
-        self, now: int, held: Held, allowed: Callable[[Server], bool], enough: int
+        self, now: int, held: LoginState, allowed: Callable[[Server], bool], enough: int
     ) -> list[Server]:
         """The first servers for a login where only some are probed: in its group's order.
 
@@ -733,7 +735,7 @@
         return 1 + int(share * filled * GROUP_SPREAD * len(self._roster.ready))
 
     def ask_or_pick(
-        self, now: int, held: Held, allowed: Callable[[Server], bool]
+        self, now: int, held: LoginState, allowed: Callable[[Server], bool]
     ) -> tuple[list[Server], Server | None]:
         """Where only some servers are probed: those to ask before this hand-off, or else the one drawn.
 
@@ -835,7 +837,7 @@
             < limit - (0.0 if group in s.groups else GROUP_MARGIN)
         ]
 
-    def count_group(self, held: Held, server: Server | None, sign: int) -> None:
+    def count_group(self, held: LoginState, server: Server | None, sign: int) -> None:
         if sign > 0 and server is not None and held.login.group:
             self.homes[held.login.group] = server.id
         self._count(held.login.group, server, sign)
@@ -885,10 +887,10 @@
     def take_settings(self, max_hand_offs: int) -> None:
         self._max = max_hand_offs
 
-    def _may_have_run(self, held: Held) -> list[Attempt]:
+    def _may_have_run(self, held: LoginState) -> list[Attempt]:
         return [a for a in held.attempts if a.outcome is None or not a.outcome.proves_not_run]
 
-    def may_send(self, now: int, held: Held) -> bool:
+    def may_send(self, now: int, held: LoginState) -> bool:
         if len(held.attempts) >= self._max or now >= held.login.time_limit_at:
             return False
         if not held.attempts:
@@ -906,7 +908,7 @@
             not ran or held.workload.effect is Effect.TAGGED and now < ran[0].sent_at + remembered
         )
 
-    def allowed(self, held: Held) -> Callable[[Server], bool]:
+    def allowed(self, held: LoginState) -> Callable[[Server], bool]:
         ran = self._may_have_run(held) if held.workload.effect is Effect.TAGGED else []
         if not ran or held.workload.reach is Reach.ALL:
             return lambda server: True
@@ -917,12 +919,12 @@
             return lambda server: server.zone == first.zone
         return lambda server: server.cell == first.cell
 
-    def may_bounce(self, held: Held) -> bool:
+    def may_bounce(self, held: LoginState) -> bool:
         if held.workload.effect is Effect.REPEATABLE or not self._may_have_run(held):
             return True
         return held.workload.effect is Effect.TAGGED and held.workload.reach is Reach.ALL
 
-    def cut_at(self, now: int, held: Held) -> int:
+    def cut_at(self, now: int, held: LoginState) -> int:
         """Early enough to try elsewhere within the soft limit; the last hand-off has all that is left."""
         limit = held.login.time_limit_at
         left = self._max - len(held.attempts)
@@ -985,7 +987,7 @@
         server.rest_until = now + MOVE_REST
         self._host.log(f"server {server.id} hot at {pressure:.2f}: moved {moved} of {len(own)}")
 
-    def _remnant(self, server: Server, held: Held) -> int:
+    def _remnant(self, server: Server, held: LoginState) -> int:
         """How many of a connection's group stand here, if most stand elsewhere; else a large number."""
         group = held.login.group
         here, all_of_it = server.groups.get(group, 0), self._group_load.get(group, 0)
@@ -1100,10 +1102,10 @@
     def ask_for(
         self,
         now: int,
-        held: Held,
+        held: LoginState,
         servers: list[Server],
         wait: int,
-        place: Callable[[int, Held], None],
+        place: Callable[[int, LoginState], None],
     ) -> None:
         """Asks servers for their counts before a hand-off; who has not answered soon is passed over."""
         turn = held.turn = held.turn + 1
@@ -1120,7 +1122,7 @@
 
         self._after(wait, late)
 
-    def answered(self, server: Server) -> list[Held]:
+    def answered(self, server: Server) -> list[LoginState]:
         """Takes note of an answer; returns the logins that have waited for it as their last."""
         askers, server.askers = server.askers, []
         done = []
@@ -1139,7 +1141,7 @@
         self._host, self._rng = host, rng
         self._listed = False  # whether a list has come
         self._where: dict[int, int] = {}  # the holder of a client's connection, where packets pass
-        self._held: dict[int, Held] = {}
+        self._held: dict[int, LoginState] = {}
         self._ended: dict[int, float] = {}  # load of own connections that ended while standing by
         self._followed = False  # clients of another process of this balancer come back to this one
         self._cut: list[
@@ -1210,7 +1212,7 @@
         self._list = (self._list or ListFollowing(self._rng, ask_within)) if ask_for_list else None
 
     def login_arrived(self, now: int, login: Login) -> None:
-        held = Held(login, self._like(login.cost), self._workloads[login.workload])
+        held = LoginState(login, self._like(login.cost), self._workloads[login.workload])
         self._held[login.login] = held
         self._means.login_seen(now, login.came_back)
         self._draw.saw_group(login.group)
@@ -1221,8 +1223,8 @@
         self._cut = cut[login.came_back :]
         self._place(now, held)
 
-    def connection_carried(self, now: int, login: Login, server: int) -> None:
-        held = Held(login, self._like(login.cost), self._workloads[login.workload])
+    def connection_resumed(self, now: int, login: Login, server: int) -> None:
+        held = LoginState(login, self._like(login.cost), self._workloads[login.workload])
         self._means.stood(now)
         self._draw.saw_group(login.group)
         attempt = Attempt(server, now)
@@ -1238,11 +1240,11 @@
         if held is not None and not held.is_open:
             self._opened(held, server)
 
-    def hand_off_noted(
-        self, now: int, login: int, attempt: int, server: int, kind: NoteKind, value: float
+    def measurement_received(
+        self, now: int, login: int, attempt: int, server: int, kind: MeasurementKind, value: float
     ) -> None:
         held = self._held.get(login)
-        if kind is NoteKind.DELAY and server in self._roster.servers:
+        if kind is MeasurementKind.DELAY and server in self._roster.servers:
             known = self._roster.servers[server]
             if not self._draw.late(now, known, LEFT_LATE):
                 known.late_since = now
@@ -1261,10 +1263,10 @@
                 self._moves.evacuate(known, "late for this balancer alone")
             if self._counts.some_only and not self._counts.heard(now, known):
                 self._probing.ask(now, known)
-        elif held is not None and kind is NoteKind.LOAD:
+        elif held is not None and kind is MeasurementKind.LOAD:
             held.load = self._like(value)
 
-    def hand_off_silent(self, now: int, server: int) -> None:
+    def message_unanswered(self, now: int, server: int) -> None:
         """A line on an open connection has brought nothing back: its server is not left to the next probe."""
         if (known := self._roster.servers.get(server)) is not None:
             known.late_since = now  # it tells of that connection alone: no others leave for it
@@ -1343,7 +1345,7 @@
             self._place(now, held)
 
     def servers_listed(
-        self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]
+        self, now: int, scope: Scope, revision: int, lines: Iterable[ListedServer]
     ) -> None:
         if scope is Scope.FAILED:
             if self._list is not None:
@@ -1358,18 +1360,18 @@
         self._probing.started(not self._listed, started)
         self._listed = True
 
-    def server_out(self, now: int, server: int) -> None:
-        """Operators take it out, listed or not: it drains until `server_back`, whatever the list says."""
-        if (left := self._roster.take_out(now, server)) is not None:
+    def take_out_of_service(self, now: int, server: int) -> None:
+        """Operators take it out, listed or not: it drains until `restore_to_service`, whatever the list says."""
+        if (left := self._roster.take_out_of_service(now, server)) is not None:
             self._leave(now, left, "is taken out by hand", PROBE_PERIOD)
         self._host.close_idle(server)  # its work is to end, probes with it
 
-    def server_back(self, now: int, server: int) -> None:
-        if (known := self._roster.put_back(now, server)) is not None:
+    def restore_to_service(self, now: int, server: int) -> None:
+        if (known := self._roster.restore_to_service(now, server)) is not None:
             self._host.log(f"server {server} is put back by hand: taken as just started")
             self._probing.started(False, [known])
 
-    def known_and_avoided(self, now: int) -> tuple[int, int]:
+    def known_and_excluded_servers(self, now: int) -> tuple[int, int]:
         """How many servers are listed, and how many of them are out by operators' word or this balancer's."""
         listed = [
             server for server in self._roster.servers.values() if server.status is not Status.GONE
@@ -1379,11 +1381,11 @@
             for server in listed
             if server.status is Status.READY
             and not (server.ready and self._health.in_draw(now, server))
-            or server.id in self._roster.out
+            or server.id in self._roster.out_of_service
         )
 
-    def learned(self, now: int) -> dict[str, Any]:
-        """What another process of this balancer goes on from, as plain JSON; see `follow`."""
+    def export_learned_state(self, now: int) -> dict[str, Any]:
+        """What another process of this balancer goes on from, as plain JSON; see `import_learned_state`."""
         return {
             "servers": [
                 [
@@ -1407,7 +1409,7 @@
             "ended": list(self._ended.items()),
         }
 
-    def follow(self, now: int, learned: dict[str, Any]) -> None:
+    def import_learned_state(self, now: int, learned: dict[str, Any]) -> None:
         """Goes on from what another process has learned, which places no logins now."""
         for number, size, started_at, spent, fails, bars, barred_until in learned["servers"]:
             if (server := self._roster.servers.get(number)) is None:
@@ -1430,29 +1432,29 @@
         self._means.follow(now, *learned["rate"])
         self._followed = True
 
-    def ended_elsewhere(self, now: int, server: int, load: float) -> None:
+    def connection_ended_elsewhere(self, now: int, server: int, load: float) -> None:
         """Own ones of another process; reports may hold them yet. Guards against clients that count twice."""
         if (known := self._roster.servers.get(server)) is not None:
             self._others -= 1
             self._counts.placed(now, known, self._others, -load, -load)
 
-    def alone(self) -> None:  # no other process of this balancer lives any longer
+    def other_processes_ended(self) -> None:  # no other process of this balancer lives any longer
         self._draw.take_back()
         self._followed = False
 
-    def stand_by(self, wanted: bool) -> None:
+    def set_standby(self, wanted: bool) -> None:
         """Whether another process of this balancer places its logins, with the probes and the cold budget."""
         self._cold.stands_by = wanted
         self._probing.take_settings(self._probes_allowed and not wanted)
 
-    def chances(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
+    def draw_probabilities(self, now: int, workload: int, span: int = 0) -> dict[int, float]:
         """Each server's chance in the draw of a login of this workload that came now; empty: it is refused.
 
         Changes nothing. With a span (ns): the chances by which others may place all logins of that span; what
         is left to 1 is to be refused."""
         asked = self._workloads[workload]
         login = Login(0, workload, 0, 0, now + asked.time_limit, None, 0)
-        return self._draw.chances(now, Held(login, 1.0, asked), span)
+        return self._draw.draw_probabilities(now, LoginState(login, 1.0, asked), span)
 
     def placed_by_others(self, now: int, server: int, number: int, failed: int) -> None:
         """So many logins were placed there by our chances since this was last told; so many of them failed.
@@ -1470,7 +1472,7 @@
         else:
             self._health.worked(known, 0)
 
-    def peer_told(self, now: int, peer: int, content: bytes) -> None:
+    def peer_message_received(self, now: int, peer: int, content: bytes) -> None:
         """Nothing is said between balancers yet, so nothing is heard."""
 
     def timer_due(self, now: int, mark: int) -> None:
@@ -1496,7 +1498,7 @@
         self._cost_seen += 1
         return cost * self._cost_seen / self._cost_sum
 
-    def _place(self, now: int, held: Held) -> None:
+    def _place(self, now: int, held: LoginState) -> None:
         if not self._hand_offs.may_send(now, held):
             self._give_up(held)
             return
@@ -1525,7 +1527,7 @@
         held.round, held.asked, held.some, held.able = 0, 0, [], []
         self._host.hand_off(login, server.id, cut_at)
 
-    def _holder(self, now: int, held: Held) -> Server | None:
+    def _holder(self, now: int, held: LoginState) -> Server | None:
         """The server that holds a connection whose packets now come this way, if known and ready."""
         if not held.login.mid_flow or held.attempts:
             return None
@@ -1541,7 +1543,7 @@
         elif server.trial == login:
             server.trial = 0
 
-    def _opened(self, held: Held, server: int) -> None:
+    def _opened(self, held: LoginState, server: int) -> None:
         held.is_open = True
         known = self._roster.servers.get(server)
         self._draw.count_group(held, known, 1)
@@ -1550,7 +1552,7 @@
             if self._remembers and held.login.subject:
                 self._where[held.login.subject] = server
 
-    def _give_up(self, held: Held) -> None:
+    def _give_up(self, held: LoginState) -> None:
         login = held.login.login
         self._forget(held)
         if self._hand_offs.may_bounce(held):
@@ -1560,7 +1562,7 @@
         else:
             self._host.terminate(login)
 
-    def _forget(self, held: Held) -> None:
+    def _forget(self, held: LoginState) -> None:
         login = held.login.login
         self._held.pop(login, None)
         held.awaits = 0
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -40,8 +40,8 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
+from corklift.store.worker import Folders, Keeper
 
 if TYPE_CHECKING:
     from corklift.service import Process
@@ -141,9 +141,9 @@
         facade.server_unresponsive = lambda server: self.core.server_unresponsive(
             self._scheduler.now(), facade.server_name(server)
         )
-        process.words = self._word
+        process.apply_operator_override = self._word
         process.may_serve = lambda: self.core.phase >= RecoveryPhase.OPEN
-        process.overlap.words_elsewhere = True
+        process.overlap.overrides_kept_elsewhere = True
         process.more_figures.append(self._figures)
 
     # Part
@@ -282,9 +282,9 @@
 
     def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
-            self._process.facade.word_of(name, True)
+            self._process.facade.apply_operator_override(name, True)
         for name in sorted(put_back):
-            self._process.facade.word_of(name, False)
+            self._process.facade.apply_operator_override(name, False)
 
     def reapply_list(self) -> None:
         """The list anew, as it is to be believed now; before discovery has told one, the one that was kept."""
