--- a/corklift/control/kept.py
+++ b/corklift/control/persistence.py
@@ -32,7 +32,7 @@
 WAIT = 100 * MS  # for the disk, before a view follows the list all the same
 
 
-class Kept(NullHost):
+class PersistentState(NullHost):
     """Drives the recovery's facts, alone: there is nobody to ask."""
 
     def __init__(
@@ -41,9 +41,14 @@
         path: str,
         patience: int,
         listed: Callable[[Scope, Listing], None],
-        say: Callable[..., None],
+        write_event: Callable[..., None],
     ) -> None:
-        self._scheduler, self._patience, self._listed, self._say = scheduler, patience, listed, say
+        self._scheduler, self._patience, self._listed, self._write_event = (
+            scheduler,
+            patience,
+            listed,
+            write_event,
+        )
         self._core = Recovery(
             self,
             Random(),
@@ -190,4 +195,4 @@
         )
 
     def log(self, what: str, **fields: Any) -> None:
-        self._say("store", kind=what, **fields)
+        self._write_event("store", kind=what, **fields)
