--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from corklift.interface import Outcome
-from corklift.net.blocking import door, see_off
+from corklift.net.blocking import drain_and_close, listening_socket
 from corklift.net.facade import Facade, Place, Refusal, Ticket
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
@@ -22,16 +22,16 @@
     MOVE,
     PING,
     PONG,
+    LoginRequest,
     Malformed,
-    Opening,
-    busy,
-    figure,
-    load_report,
-    opening,
-    server_line,
+    format_busy,
+    parse_load_report,
+    parse_load_value,
+    parse_login_request,
+    parse_server_line,
 )
-from corklift.net.scheduler import BAD, ENDED, READ, WRITE, Scheduler, Task
-from corklift.net.stream import OverLong, Stream
+from corklift.net.scheduler import ERROR_EVENTS, READ, READ_CLOSED, WRITE, Scheduler, Task
+from corklift.net.stream import LineTooLongError, Stream
 
 BEFORE_UP = {"BUSY": Outcome.FULL, "ERR": Outcome.ERROR, "MOVE": Outcome.CANCELLED}
 AT_END = {"BYE": Outcome.FULFILLED, "MOVE": Outcome.CANCELLED}
@@ -95,7 +95,7 @@
 
     def listen(self, address: tuple[str, int]) -> int:
         """Opens the door at once, so that no client is refused while the rest starts; returns its port."""
-        return self._listen(door(address))
+        return self._listen(listening_socket(address))
 
     def share(self, sock: socket.socket) -> int:
         """The door is a socket that is held for this process; clients stay in its queue until they are taken."""
@@ -180,7 +180,7 @@
             first = self._first_line(client)
             if first is not None:
                 self._admit(client, first)
-        except (Malformed, OverLong) as problem:
+        except (Malformed, LineTooLongError) as problem:
             self._counters[f"bad lines of clients ({str(problem) or 'over-long'})"] += 1
             self._turn_away(client)
         finally:
@@ -188,13 +188,13 @@
             self._unwanted.discard(client)
             client.close()
 
-    def _first_line(self, client: Stream) -> Opening | None:
+    def _first_line(self, client: Stream) -> LoginRequest | None:
         until = self._now() + self._limits.first_line_time
         ponged = False
         while True:
             client.receive()
-            line = client.take_line()
-            if line is not None and len(client.inbox):
+            line = client.read_line()
+            if line is not None and len(client.receive_buffer):
                 # A client waits for each answer. Guards against hundreds of commands at once.
                 raise Malformed("more than one line at once")
             if line == PING:
@@ -207,12 +207,12 @@
                     {}, self._now()
                 )  # a flood of these must not keep others waiting
             elif line is not None:
-                return opening(line)
-            elif client.ended or client.broken:
+                return parse_login_request(line)
+            elif client.peer_closed or client.broken:
                 self._counters["clients gone before a line"] += 1
                 return None
             elif self._now() >= until or client in self._unwanted:
-                if len(client.inbox):
+                if len(client.receive_buffer):
                     raise Malformed("not whole in time")
                 self._counters["clients without a line"] += 1
                 return None
@@ -223,47 +223,50 @@
         """Answers a PING, as soon as this balancer can serve."""
         while not self.ready:
             if (
-                self._scheduler.wait({client.fd: ENDED}, self._now() + 50 * MS)
+                self._scheduler.wait({client.fd: READ_CLOSED}, self._now() + 50 * MS)
                 or client in self._unwanted
             ):
                 return False
         client.write(PONG)
-        return not client.broken and not len(client.outbox)
+        return not client.broken and not len(client.send_buffer)
 
-    def _admit(self, client: Stream, first: Opening) -> None:
+    def _admit(self, client: Stream, first: LoginRequest) -> None:
         if self._facade.workload(first.workload) is None:
             if first.workload in self._facade.workloads():
-                self._counters.answered(
+                self._counters.count_answer(
                     "failed", first.workload
                 )  # one that a new configuration has taken away
             raise Malformed("unknown workload")
-        if first.name in self._held or self._past.get(first.name, 0) > self._now():
+        if (
+            first.connection_name in self._held
+            or self._past.get(first.connection_name, 0) > self._now()
+        ):
             # Guards against a client that takes another's name: servers turn that down, and it would count
             # against them and the one who bears it. Names are new with every connection.
-            if first.name in self._past:
-                self._know(first.name)
+            if first.connection_name in self._past:
+                self._know(first.connection_name)
             raise Malformed("name in use")
-        if first.stands_at:
+        if first.previous_server:
             self._counters["standing connections in"] += 1
         else:
             self._counters["logins in"] += 1
         if len(self._held) + self.held_elsewhere >= self._limits.clients or (
-            self._turning_away and not first.stands_at
+            self._turning_away and not first.previous_server
         ):
             self._counters["logins bounced without room"] += 1
-            self._counters.answered("refused", first.workload)
+            self._counters.count_answer("refused", first.workload)
             self._turn_away(client, BUSY)
             return
         self._waiting.pop(client, None)
-        self._held.add(first.name)
+        self._held.add(first.connection_name)
         try:
-            if first.stands_at:
+            if first.previous_server:
                 self._stand(client, first)
             else:
                 self._place(client, first)
         finally:
-            self._held.discard(first.name)
-            self._know(first.name)
+            self._held.discard(first.connection_name)
+            self._know(first.connection_name)
 
     def _know(self, name: str) -> None:
         """Keeps the name of one that has ended in mind, for a while and among so many at the most."""
@@ -274,13 +277,13 @@
             del self._past[oldest]
             oldest = next(iter(self._past))
 
-    def _place(self, client: Stream, first: Opening) -> None:
+    def _place(self, client: Stream, first: LoginRequest) -> None:
         if (
-            first.wait is None
-            or not self._limits.answer_margin < first.wait <= self._limits.longest_wait
+            first.max_wait is None
+            or not self._limits.answer_margin < first.max_wait <= self._limits.longest_wait
         ):
             raise Malformed("absurd time to wait")
-        time_limit = min(first.wait, self._facade.time_limit(first))
+        time_limit = min(first.max_wait, self._facade.time_limit(first))
         ticket, decided = self._facade.pick(
             first, self._now() + time_limit - self._limits.answer_margin
         )
@@ -298,7 +301,7 @@
                 self._counters[f"hand-offs {tried.outcome.value}"] += 1
                 decided = self._facade.report(ticket, tried.outcome, tried.values)
             if decided.harmless:
-                answer, word = busy(decided.retry_in), "refused"
+                answer, word = format_busy(decided.retry_in), "refused"
             self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
         except ClientGone:
             word = ""
@@ -309,19 +312,19 @@
         finally:
             self._facade.report_left(ticket)
             if word and word != "served":  # that was counted when it came up
-                self._counters.answered(word, first.workload)
+                self._counters.count_answer(word, first.workload)
             if answer:
                 self._finish(client, answer)
 
-    def _stand(self, client: Stream, first: Opening) -> None:
+    def _stand(self, client: Stream, first: LoginRequest) -> None:
         """Brings up a connection that stood at a server before the start: there and nowhere else."""
         until = self._now() + min(
-            self._limits.standing_time, first.wait or self._limits.standing_time
+            self._limits.standing_time, first.max_wait or self._limits.standing_time
         )
         self._standing, counted = self._standing + 1, True
         try:
             while self._now() < until:
-                place = self._facade.server_named(first.stands_at)
+                place = self._facade.server_named(first.previous_server)
                 if place is not None:
                     tried = self._hand_off(client, place._replace(cut_at=until), first)
                     if tried.server is not None:
@@ -338,12 +341,12 @@
         finally:
             self._standing -= counted
         self._counters["standing connections lost"] += 1
-        self._counters.answered("failed", first.workload)
+        self._counters.count_answer("failed", first.workload)
         self._finish(client, FAILED)
 
     # One hand-off
 
-    def _hand_off(self, client: Stream, place: Place, first: Opening) -> Tried:
+    def _hand_off(self, client: Stream, place: Place, first: LoginRequest) -> Tried:
         try:
             server = Stream.connect(place.address, self._limits)
         except OSError:
@@ -359,7 +362,7 @@
             if not up:
                 server.close()
 
-    def _try(self, client: Stream, server: Stream, place: Place, first: Opening) -> Tried:
+    def _try(self, client: Stream, server: Stream, place: Place, first: LoginRequest) -> Tried:
         def without(outcome: Outcome, values: dict[str, float] | None = None) -> Tried:
             return Tried(None, b"", outcome, values)
 
@@ -368,13 +371,13 @@
         while not server.broken and not self._await(client, server, WRITE, until):
             if self._now() >= until:
                 return without(Outcome.NOT_CONNECTED)
-        if server.failed():
+        if server.connect_failed():
             return without(Outcome.NOT_CONNECTED)
-        if not (first.stands_at or self._facade.takes_new(place.server)):
+        if not (first.previous_server or self._facade.takes_new(place.server)):
             # Guards against a line on its way to a server that has begun to drain while it was connected to.
             return without(Outcome.NOT_SENT)
-        server.write(first.with_wait(place.cut_at - self._now()))
-        while len(server.outbox):
+        server.write(first.with_time_limit(place.cut_at - self._now()))
+        while len(server.send_buffer):
             # The line's last byte has not left, so it has never run.
             if server.broken or self._now() >= place.cut_at:
                 return without(Outcome.NOT_CONNECTED)
@@ -384,19 +387,19 @@
         while True:
             server.receive()
             try:
-                line = server.take_line()
+                line = server.read_line()
                 if line is not None:
-                    word, rest = server_line(line)
+                    word, rest = parse_server_line(line)
                     if word == "UP":
                         return Tried(server, line, Outcome.FULFILLED)
                     if word in BEFORE_UP:
-                        return without(BEFORE_UP[word], load_report(rest))
+                        return without(BEFORE_UP[word], parse_load_report(rest))
                     if word != "LOAD":
                         raise Malformed("unknown word")
-            except (Malformed, OverLong) as problem:
+            except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad lines of servers ({str(problem) or 'over-long'})"] += 1
                 return without(Outcome.ERROR)
-            if line is None and (server.ended or server.broken):
+            if line is None and (server.peer_closed or server.broken):
                 return without(Outcome.BROKEN)
             if self._now() >= place.cut_at:
                 return without(Outcome.TIMED_OUT)
@@ -409,8 +412,8 @@
 
     def _await(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
         """Whether the server's stream is ready; the client's end ends the wait, and so does anything it says."""
-        got = self._scheduler.wait({server.fd: mask, client.fd: READ | ENDED}, until)
-        if got.get(client.fd, 0) & (ENDED | BAD):
+        got = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
+        if got.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
             raise ClientGone
         if client.fd in got:
             raise Malformed("a line before its answer")
@@ -419,16 +422,16 @@
     # One connection
 
     def _connected(
-        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: Opening
+        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: LoginRequest
     ) -> None:
         self._counters["connections up"] += 1
-        self._counters.answered("served", first.workload)
+        self._counters.count_answer("served", first.workload)
         self._open[ticket.number] = ticket
         outcome, last = Outcome.BROKEN, b""
         try:
             client.write(line)
             outcome, last = self._pass_on(client, server, ticket)
-        except OverLong:
+        except LineTooLongError:
             self._counters["bad lines on connections (over-long)"] += 1
         finally:
             del self._open[ticket.number]
@@ -446,7 +449,7 @@
         while True:
             try:
                 lines = self._carry(server, client)
-            except OverLong:
+            except LineTooLongError:
                 # Guards against a server that falls into garbage: its client is told to come again.
                 self._counters["bad lines of servers (over-long)"] += 1
                 return Outcome.ERROR, MOVE
@@ -458,42 +461,46 @@
                 asked_at = 0
             if self._carry(client, server) and not asked_at:
                 asked_at = self._now()
-                doubt_at = asked_at + self._limits.doubt_time
+                doubt_at = asked_at + self._limits.unanswered_line_time
             if asked_at and doubt_at <= self._now():
                 # Guards against a silent server that is not probed soon: its own connections show it first.
                 self._facade.report_unanswered(ticket, self._now() - asked_at)
-                doubt_at = self._now() + self._limits.doubt_time
+                doubt_at = self._now() + self._limits.unanswered_line_time
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
             if server.broken:
                 client.abort()
                 return Outcome.BROKEN, b""
-            if server.ended and not len(server.inbox):
+            if server.peer_closed and not len(server.receive_buffer):
                 return AT_END.get(last_word, Outcome.BROKEN), b""
-            if client.ended and not len(client.inbox) and not len(server.outbox):
-                server.end_sending()
+            if (
+                client.peer_closed
+                and not len(client.receive_buffer)
+                and not len(server.send_buffer)
+            ):
+                server.shutdown_write()
             silent = asked_at and self._now() >= asked_at + self._limits.silent_time
-            if (ticket.to_move or silent) and client.outbox.room >= len(MOVE):
+            if (ticket.to_move or silent) and client.send_buffer.free_bytes >= len(MOVE):
                 self._counters["clients moved from silence" if silent else "clients moved"] += 1
                 return Outcome.TIMED_OUT if silent else Outcome.CANCELLED, MOVE
-            if (client.ended or server.ended) and not end_by:
+            if (client.peer_closed or server.peer_closed) and not end_by:
                 end_by = self._now() + self._limits.end_time
             if end_by and self._now() >= end_by:
                 return Outcome.CANCELLED, b""
             until = end_by or (doubt_at if asked_at else None)
             fds = {}
             for stream in (client, server):
-                mask = READ if stream.inbox.room and not stream.ended else 0
-                mask |= WRITE if len(stream.outbox) else 0
-                if mask or not stream.ended:
+                mask = READ if stream.receive_buffer.free_bytes and not stream.peer_closed else 0
+                mask |= WRITE if len(stream.send_buffer) else 0
+                if mask or not stream.peer_closed:
                     fds[stream.fd] = mask
             got = self._scheduler.wait(fds, until)
             for stream in (client, server):
                 events = got.get(stream.fd, 0)
                 if events & WRITE:
                     stream.flush()
-                if events & BAD and not stream.inbox.room:
+                if events & ERROR_EVENTS and not stream.receive_buffer.free_bytes:
                     stream.broken = True
                 elif events:
                     stream.receive()
@@ -502,29 +509,29 @@
         """Passes on the whole lines that have come, as far as there is room for them; returns them."""
         lines = []
         while True:
-            length = source.inbox.line_length()
+            length = source.receive_buffer.line_length()
             if length > self._limits.line or (
-                not length and len(source.inbox) >= self._limits.line
+                not length and len(source.receive_buffer) >= self._limits.line
             ):
-                raise OverLong
-            if not length and source.ended:
-                length = len(source.inbox)  # the rest, without a line's end
-            if not length or sink.outbox.room < length:
+                raise LineTooLongError
+            if not length and source.peer_closed:
+                length = len(source.receive_buffer)  # the rest, without a line's end
+            if not length or sink.send_buffer.free_bytes < length:
                 break
-            line = source.inbox.take(length)
-            sink.outbox.put(line)
+            line = source.receive_buffer.read(length)
+            sink.send_buffer.append(line)
             lines.append(line)
         sink.flush()
         return lines
 
     def _take_told(self, ticket: Ticket, line: bytes) -> None:
         try:
-            self._facade.report_told(ticket, figure(server_line(line).rest))
+            self._facade.report_told(ticket, parse_load_value(parse_server_line(line).arguments))
         except Malformed:
             self._counters["bad lines of servers (figure)"] += 1
 
     def _finish(self, client: Stream, line: bytes = b"") -> None:
-        see_off(self._scheduler, client, line, self._now() + self._limits.end_time)
+        drain_and_close(self._scheduler, client, line, self._now() + self._limits.end_time)
 
     def _turn_away(self, client: Stream, line: bytes = ERR) -> None:
         """As `_finish`, for a client that is not taken in: little is read on from it, and it soon makes room.
@@ -533,16 +540,16 @@
         """
         until = self._now() + self._limits.turned_away_time
         left = self._limits.turned_away_bytes
-        if not client.closed and client.outbox.room >= len(line):
+        if not client.closed and client.send_buffer.free_bytes >= len(line):
             client.write(line)
-        if not len(client.outbox):
-            client.end_sending()
+        if not len(client.send_buffer):
+            client.shutdown_write()
         while not client.broken and not client.closed and client not in self._unwanted:
-            client.inbox.drop(len(client.inbox))
+            client.receive_buffer.discard(len(client.receive_buffer))
             left -= client.receive()
-            if client.ended or left <= 0 or self._now() >= until:
+            if client.peer_closed or left <= 0 or self._now() >= until:
                 break
-            if not len(client.inbox):
+            if not len(client.receive_buffer):
                 self._scheduler.wait({client.fd: READ}, until)
         client.close()
 
@@ -556,7 +563,7 @@
         accepting = 0 if self._shared else self._limits.stop_accepting
         self._scheduler.sleep(accepting)
         self._turning_away = not self._shared
-        moving, most = self._limits.stop_moving(accepting), 0
+        moving, most = self._limits.time_to_move_connections(accepting), 0
         while self._now() < began + self._limits.stop_time and (self._held or self._waiting):
             still = sorted(number for number, ticket in self._open.items() if not ticket.to_move)
             left = max(0, began + accepting + moving - self._now())
