--- a/tests/test_chances.py
+++ b/tests/test_chances.py
@@ -1,4 +1,7 @@
-"""The module's answer for a whole fleet: it is what `pick` draws by, and no more than a cold server bears."""
+"""Tests of `Balancer.draw_probabilities`.
+
+They must equal the probabilities of `pick`, and never exceed what a cold server can take.
+"""
 
 from collections import Counter
 from random import Random
@@ -20,15 +23,15 @@
 from corklift.records import LoginState
 
 SECOND = 1000 * MS
-ANY = Login(0, 0, 0, 0, 10**18, None, 0)
+LOGIN = Login(0, 0, 0, 0, 10**18, None, 0)
 
 
 def listed(server, zone=0, weight=1.0, started_at=0, status=Status.READY) -> ListedServer:
     return ListedServer(server, zone, 0, 0, status, weight, started_at)
 
 
-def scene_of(seed: int) -> Scene:
-    """Servers of several sizes and zones, some cold, full, failing, late, unheard of; drawn by the seed."""
+def random_scene(seed: int) -> Scene:
+    """A random scene: servers of several zones and sizes, some cold, full, failing or silent."""
     rng = Random(seed)
     scene = Scene(
         seed,
@@ -36,8 +39,8 @@
         balancers=rng.choice((1, 3, 40)),
         crossing_price=rng.choice((0.0, 0.5)),
         workloads=[
-            Workload("dear", 4.0, 800 * MS, 3200 * MS),
-            Workload("cheap", 1.0, 800 * MS, 3200 * MS),
+            Workload("high", 4.0, 800 * MS, 3200 * MS),
+            Workload("low", 1.0, 800 * MS, 3200 * MS),
         ],
         per_work=rng.random() < 0.5,
         probes_allowed=False,
@@ -85,30 +88,30 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_chances_are_what_pick_draws_by(seed):
-    scene, drawn, draws = scene_of(seed), Counter(), 3000
-    told = scene.balancer.draw_probabilities(scene.now, seed % 2)
-    before = scene.balancer.draw_probabilities(scene.now, seed % 2)
+def test_draw_probabilities_equal_those_of_pick(seed):
+    scene, drawn, draws = random_scene(seed), Counter(), 3000
+    probabilities = scene.balancer.draw_probabilities(scene.now, seed % 2)
+    again = scene.balancer.draw_probabilities(scene.now, seed % 2)
     draw = scene.balancer._draw
     for _ in range(draws):
         server = draw.pick(
             scene.now,
-            LoginState(ANY._replace(workload=seed % 2), 1.0, scene.balancer._workloads[seed % 2]),
+            LoginState(LOGIN._replace(workload=seed % 2), 1.0, scene.balancer._workloads[seed % 2]),
             lambda server: True,
         )
         drawn[server.id if server else None] += 1
-    refused = 1.0 - sum(told.values())
-    apart = sum(
-        abs(told.get(server, 0.0) - drawn[server] / draws) for server in {*told, *drawn} - {None}
+    refused = 1.0 - sum(probabilities.values())
+    difference = sum(
+        abs(probabilities.get(server, 0.0) - drawn[server] / draws)
+        for server in {*probabilities, *drawn} - {None}
     )
-    assert apart + abs(refused - drawn[None] / draws) < 0.1
-    assert all(told.get(server, 0.0) > 0 for server in drawn if server is not None)
-    assert (
-        before == told == scene.balancer.draw_probabilities(scene.now, seed % 2)
-    )  # asking changes nothing
+    assert difference + abs(refused - drawn[None] / draws) < 0.1
+    assert all(probabilities.get(server, 0.0) > 0 for server in drawn if server is not None)
+    # Calling it changes nothing.
+    assert again == probabilities == scene.balancer.draw_probabilities(scene.now, seed % 2)
 
 
-def test_drained_and_gone_servers_have_no_chance():
+def test_draining_and_gone_servers_have_no_probability():
     scene = Scene(probes_allowed=False)
     scene.balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2), listed(3)])
     assert scene.balancer.draw_probabilities(scene.now, 0) == pytest.approx(
@@ -123,7 +126,7 @@
     assert scene.balancer.draw_probabilities(scene.now, 0) == {3: 1.0}
 
 
-def test_what_others_placed_counts_until_a_report_holds_it():
+def test_external_placements_count_until_a_report_includes_them():
     scene = Scene(probes_allowed=False, balancers=1)
     balancer = scene.balancer
     balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2)])
@@ -135,10 +138,11 @@
     scene.now += 1200 * MS
     balancer.probe_answered(scene.now, 1, 0, Outcome.FULFILLED, Report(19))
     assert balancer.draw_probabilities(scene.now, 0) == pytest.approx({1: 1 / 3, 2: 2 / 3})
-    balancer.placed_by_others(scene.now, 99, 5, 5)  # of a server that is listed no more
+    # A server that is no longer listed is ignored.
+    balancer.placed_by_others(scene.now, 99, 5, 5)
 
 
-def test_a_server_where_all_of_the_others_fail_leaves_and_comes_back_by_one_trial():
+def test_a_server_that_fails_all_external_logins_is_excluded_until_one_trial_login():
     scene = Scene(probes_allowed=False, balancers=1)
     balancer = scene.balancer
     balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2)])
@@ -158,36 +162,40 @@
 
 
 @pytest.mark.parametrize("rate", [0, 20, 400])
-def test_a_cold_server_is_given_no_more_than_its_budget_in_a_span(rate):
-    # Hundreds of proxies place by one answer for a second: the sum of what they place is bounded, not each one's.
+def test_a_cold_server_gets_no_more_than_its_budget_in_a_span(rate):
+    # Hundreds of proxies use the same probabilities for a second: the sum of what they place is
+    # bounded, not the part of each.
     rule = ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS)
     scene = Scene(probes_allowed=False, balancers=1, cold=rule)
     balancer: Balancer = scene.balancer
     scene.now += 100 * SECOND
     servers = [listed(server, started_at=1) for server in range(1, 10)]
     balancer.servers_listed(scene.now, Scope.FULL, 1, servers + [listed(10, started_at=scene.now)])
-    size = 100  # connections that fill a server
+    # How many connections fill a server.
+    capacity = 100
     for second in range(12):
         for server in range(1, 10):
             balancer.probe_answered(scene.now, server, 0, Outcome.FULFILLED, Report(50, 0.5))
         balancer.probe_answered(scene.now, 10, 0, Outcome.FULFILLED, Report(0, 0.0))
-        told = balancer.draw_probabilities(scene.now, 0, SECOND)
-        assert sum(told.values()) == pytest.approx(1.0)
+        probabilities = balancer.draw_probabilities(scene.now, 0, SECOND)
+        assert sum(probabilities.values()) == pytest.approx(1.0)
         unbounded = balancer.draw_probabilities(scene.now, 0)
-        bears = rule.multiple * size / 9 * min(1.0, 0.3 + 0.7 * second / 9)  # logins a second
+        # The logins per second that the cold server can take.
+        max_logins = rule.multiple * capacity / 9 * min(1.0, 0.3 + 0.7 * second / 9)
         if second < 9:
-            assert told[10] <= 0.3 * (0.3 + 0.7 * second / 9) + 1e-9
-            assert second < 2 or told[10] * rate <= bears
-        for server, chance in told.items():
-            balancer.placed_by_others(scene.now, server, round(rate * chance), 0)
+            assert probabilities[10] <= 0.3 * (0.3 + 0.7 * second / 9) + 1e-9
+            assert second < 2 or probabilities[10] * rate <= max_logins
+        for server, probability in probabilities.items():
+            balancer.placed_by_others(scene.now, server, round(rate * probability), 0)
         scene.now += SECOND
-        assert unbounded.get(10, 0.0) == 0.0 or told[10] <= unbounded[10] + 1e-9
+        assert unbounded.get(10, 0.0) == 0.0 or probabilities[10] <= unbounded[10] + 1e-9
+    # Once the server is warm, the probabilities are those of the draw again.
     assert balancer.draw_probabilities(scene.now, 0, SECOND) == pytest.approx(
         balancer.draw_probabilities(scene.now, 0)
-    )  # warm: the draw's own again
+    )
 
 
-def test_all_full_is_a_refusal_and_a_fleet_that_starts_as_one_is_used():
+def test_a_full_fleet_is_rejected_and_a_fleet_that_starts_at_once_is_used():
     scene = Scene(probes_allowed=False, balancers=1)
     scene.balancer.servers_listed(scene.now, Scope.FULL, 1, [listed(1), listed(2)])
     for server in (1, 2):
