--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -120,7 +120,8 @@
 class ServerRegistry:
     """The servers of discovery's list and those that operators have taken out of service.
 
-    The two are independent: neither the list nor an operator overrides the other.
+    The two are independent of each other: a server is ready if the list says so and no operator has
+    taken it out of service.
     """
 
     def __init__(self) -> None:
@@ -405,7 +406,7 @@
         )
 
     def start_trial(self, server: Server, login: int) -> None:
-        """Notes that this login was drawn for the server; an excluded server gets only this one."""
+        """Marks the login as the only one that an excluded server gets until its outcome."""
         if server.failures >= FAILURES_TO_EXCLUDE:
             server.trial_login = login
 
@@ -493,7 +494,9 @@
 
     def login_rate(self, now: int) -> float:
         """This balancer's logins per second, including connections that were open at the start."""
-        # Guards against a balancer that has just started and underestimates the rate of logins.
+        # The decayed count is a rate times the half-life over ln 2 (0.69), less what was not counted
+        # before the start. Guards against a balancer that has just started and underestimates the
+        # rate of logins.
         counted_for = max(MAX_REPORT_AGE, now - self._counting_since)
         return (
             0.69
@@ -543,8 +546,8 @@
 class ColdBudget:
     """This balancer's part of what a cold server, one that has just started, may be sent.
 
-    A cold server can take a growing share of its capacity. What has been sent to it is a level that
-    drains at this balancer's part of that rate.
+    A cold server can take new load at a growing rate. The level of what has been sent to it drains
+    at this balancer's part of that rate.
     """
 
     def __init__(self, load_reports: LoadReports, probe_budget: ProbeBudget) -> None:
@@ -672,10 +675,10 @@
         # The server of each group's last new connection.
         self.last_homes: dict[int, int] = {}
         # The ready servers in each group's order, and the registry's version they were sorted for.
-        # The flag of the key tells whether the own zone's servers come first.
+        # The flag of the key tells whether the servers of the balancer's own zone come first.
         self._server_orders: dict[tuple[int, bool], list[Server]] = {}
         self._orders_version = 0
-        # Until then, one query round fewer is made.
+        # While the fleet counts as full, a login queries no servers beyond its homes.
         self._fleet_full_until = 0
         # Logins of each group and in total, halved from time to time.
         self._group_logins: dict[int, float] = {}
@@ -697,7 +700,7 @@
     def _prefers_own_zone(self, login: Login) -> bool:
         """Whether the login stays in this balancer's zone if possible.
 
-        So it is if crossings are expensive, the fleet has headroom to hold groups in both zones,
+        It does if crossings are expensive, the fleet has headroom to hold groups in both zones,
         and the login is not part of a flood of returning clients.
         """
         return (
