--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -60,11 +60,11 @@
 
 
 def _ask_peer(address: tuple[str, int], path: str, request: bytes) -> bytes:
-    from corklift.membership.peers import question
+    from corklift.membership.peers import call_peer
     from corklift.rpc.core import RpcError
 
     try:
-        return bytes(question(address, path, request))
+        return bytes(call_peer(address, path, request))
     except RpcError as problem:
         raise click.ClickException(f"{address[0]}:{address[1]}: {problem}") from None
 
@@ -190,8 +190,8 @@
     help="As in the balancer's file.",
 )
 def store_init(path: str, boot: str) -> None:
-    from corklift.recovery.facts import ENDED, Fact, encoded
-    from corklift.recovery.part import boot_of
+    from corklift.recovery.driver import boot_of
+    from corklift.recovery.facts import ENDED, Fact, encode_fact
     from corklift.store.format import Refused
     from corklift.store.log import InUse, NotKept, Store
     from corklift.store.worker import Folders
@@ -200,7 +200,9 @@
         made = Store(Folders(path).newest())
         if made.items():
             raise click.ClickException(f"{path}: there is something to remember")
-        made.commit([dict([encoded(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])])
+        made.commit(
+            [dict([encode_fact(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])]
+        )
     except (Refused, InUse, NotKept, OSError) as problem:
         raise click.ClickException(f"{path}: {problem}") from None
     made.end()
