--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -15,8 +15,16 @@
 from corklift.interface import Scope, Status
 from corklift.net.parsers import Listing, ServerEntry
 from corklift.net.scheduler import Scheduler, Task
-from corklift.recovery.core import Quiet, Recovery, Terms
-from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
+from corklift.recovery.core import NullHost, Recovery, RecoveryConfig
+from corklift.recovery.facts import (
+    LIST,
+    Fact,
+    FactDecodeError,
+    StoredServer,
+    decode_fact,
+    encode_fact,
+    stored_servers,
+)
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
 from corklift.store.log import Notes
@@ -25,7 +33,7 @@
 WRITE_TIMEOUT = 100 * MS  # then a snapshot follows the list although it is not on disk
 
 
-class PersistentState(Quiet):
+class PersistentState(NullHost):
     """Drives the recovery of a single process, which has no peers to ask."""
 
     def __init__(
@@ -45,10 +53,10 @@
         self._core = Recovery(
             self,
             Random(),
-            Terms(),
+            RecoveryConfig(),
             scheduler.now(),
             name="control",
-            life=1,
+            instance_id=1,
             boot="",
             expected=1,
             alone=True,
@@ -76,13 +84,13 @@
         facts = []
         for _, value in items:
             try:
-                facts.append(decoded(value))
-            except Unreadable as error:
+                facts.append(decode_fact(value))
+            except FactDecodeError as error:
                 lost = lost or str(error)
         if notes is None:
-            self._core.unread(now, why)
+            self._core.store_unreadable(now, why)
         else:
-            self._core.read(
+            self._core.store_loaded(
                 now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
             )
         stored_list = self._core.facts.get(LIST)
@@ -98,13 +106,13 @@
                     server.weight,
                     0,
                 )
-                for server in servers(stored_list)
+                for server in stored_servers(stored_list)
             )
             self._scheduler.spawn(
                 self._forward_list,
                 Scope.FULL,
                 self._apply_known_drains(
-                    now, Listing(stored_list.number[0], True, entries, 0), False
+                    now, Listing(stored_list.version[0], True, entries, 0), False
                 ),
             )
         self._finish_opening()
@@ -138,10 +146,10 @@
             tuple(e for e in known.values() if e.status is not Status.GONE),
             0,
         )
-        self._core.listed(
+        self._core.list_received(
             now,
             [
-                Server(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
+                StoredServer(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
                 for e in self._full_list.entries
             ],
             content.version,
@@ -156,7 +164,7 @@
         entries = []
         for entry in content.entries:
             drains = (
-                self._core.drained(
+                self._core.update_drain(
                     now,
                     entry.name,
                     entry.started_at,
@@ -164,7 +172,7 @@
                     entry.status is not Status.READY,
                 )
                 if from_discovery
-                else self._core.facts.leaves(entry.name, entry.started_at, content.version)
+                else self._core.facts.is_leaving(entry.name, entry.started_at, content.version)
             )
             entries.append(
                 entry._replace(status=Status.DRAINING)
@@ -180,18 +188,18 @@
 
     # Host of the recovery: there are no peers, and operators act on discovery alone
 
-    def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
         self._pending_writes += 1
 
-        def kept(sequence: int, why: str) -> None:
+        def on_written(sequence: int, why: str) -> None:
             self._pending_writes -= 1
-            self._core.kept(self._scheduler.now(), number, sequence, why)
+            self._core.persisted(self._scheduler.now(), number, sequence, why)
 
-        self._store_worker.keep(dict(map(encoded, facts)), kept)
+        self._store_worker.keep(dict(map(encode_fact, facts)), on_written)
 
-    def forget(self, facts: tuple[Fact, ...]) -> None:
+    def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
         self._store_worker.keep(
-            {encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None
+            {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
         )
 
     def log(self, what: str, **fields: Any) -> None:
