--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -494,9 +494,9 @@
 
     def login_rate(self, now: int) -> float:
         """This balancer's logins per second, including connections that were open at the start."""
-        # The decayed count is a rate times the half-life over ln 2 (0.69), less what was not counted
-        # before the start. Guards against a balancer that has just started and underestimates the
-        # rate of logins.
+        # The decayed count is a rate times the half-life over ln 2 (0.69), less what was not
+        # counted before the start. Guards against a balancer that has just started and
+        # underestimates the rate of logins.
         counted_for = max(MAX_REPORT_AGE, now - self._counting_since)
         return (
             0.69
@@ -1150,8 +1150,8 @@
         if state.workload.effect is Effect.REPEATABLE:
             return True
         may_have_run, dedup_window = self._may_have_run(state), state.workload.dedup_window
-        # Never send a once-only login that may have run again, and a tagged one only while the
-        # servers still recognise the repeat.
+        # A once-only login that may have run is never sent again, a tagged one only while servers
+        # still recognise the repeat.
         return (
             not may_have_run
             or state.workload.effect is Effect.TAGGED
@@ -1237,8 +1237,8 @@
         utilisation, mean = server.utilisation, self._load_reports.mean_utilisation
         if utilisation is None or now < server.next_move_at or not server.connections:
             return
-        # A server far beyond its limit serves none of its connections well, so it sheds load even
-        # in a full fleet.
+        # A server at its limit serves none of its connections well, so it sheds load even in a full
+        # fleet.
         if utilisation <= max(
             OVERLOAD_UTILISATION, min(OVERLOAD_OVER_MEAN * mean, FULL_UTILISATION + 0.1)
         ):
