--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -167,7 +167,7 @@
     # Ends an open connection so that its client comes back and is placed anew.
     def move(self, login: int) -> None: ...
 
-    # Asks the server for a report; `Balancer.probe_answered` is called in any case.
+    # Asks the server for a report; the result goes to `Balancer.probe_answered`.
     def probe(self, server: int) -> None: ...
 
     # Closes connections to the server that carry no client.
