--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -163,7 +163,7 @@
         self.port = int(self._events("started")[0][1]["listen"].rpartition(":")[2])
         self.channel = Channel(
             self.scheduler,
-            RpcLimits(ping_after=0, message=256 << 20),
+            RpcLimits(ping_after=0, max_message_bytes=256 << 20),
             Counters(),
             ("127.0.0.1", self.port),
             Random(1),
--- a/benchmarks/xds_proxies.py
+++ b/benchmarks/xds_proxies.py
@@ -41,7 +41,7 @@
                     f"proxy-{at:04}",
                     Random(seed * 1000 + at),
                     habits,
-                    RpcLimits(ping_after=0, back_off=200 * MS, ring=8192),
+                    RpcLimits(ping_after=0, initial_backoff=200 * MS, ring=8192),
                 )
             )
 
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -230,12 +230,12 @@
         )
         self.weight_interval = table.weights.every_ms * MS
         self.rpc_limits = RpcLimits(
-            connections=limits.proxies,
-            message=limits.message_bytes,
-            control_frames=limits.control_frames,
-            stall_time=limits.stall_ms * MS,
+            max_connections=limits.proxies,
+            max_message_bytes=limits.message_bytes,
+            max_control_frames=limits.control_frames,
+            stall_timeout=limits.stall_ms * MS,
             ping_after=limits.ping_after_ms * MS,
-            ping_wait=limits.ping_wait_ms * MS,
+            ping_timeout=limits.ping_wait_ms * MS,
         )
         self.net_limits = Limits(
             clients=0,
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -31,7 +31,7 @@
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.upkeep import Probes, Watch
-from corklift.rpc.server import Server
+from corklift.rpc.server import RpcServer
 
 UPDATE_INTERVAL = 50 * MS  # between two runs of the update loop
 # The first snapshot waits for a load report from each server, but at most this long after the first
@@ -137,7 +137,9 @@
             report_interval=config.table.load_reports.every_ms * MS,
         )
         self.subscriptions = self.service.subscriptions
-        self.server = Server(scheduler, config.rpc_limits, self.counters, self.service.handlers())
+        self.server = RpcServer(
+            scheduler, config.rpc_limits, self.counters, self.service.handlers()
+        )
         self.port = self.server.listen(config.listen)
         self.probes = Probes(
             scheduler, config.net_limits, self.counters, self.facade, PROBE_CONNECTION_IDLE_TIME
@@ -396,11 +398,11 @@
     def _shut_down(self) -> None:
         try:
             self.service.stopping = True
-            for link in self.server.links:
-                link.go_away()
+            for connection in self.server.connections:
+                connection.go_away()
             for call in list(self.service._calls.values()):
                 call._wake()
-            self.server.leave(self.config.table.stop.grace_ms * MS)
+            self.server.shut_down(self.config.table.stop.grace_ms * MS)
             if self.persistent_state:
                 self.persistent_state.close()
         finally:
@@ -414,7 +416,7 @@
 def main(path: str) -> int:
     try:
         config = load_config(path)
-        needed = config.rpc_limits.connections + config.net_limits.probes + RESERVED_DESCRIPTORS
+        needed = config.rpc_limits.max_connections + config.net_limits.probes + RESERVED_DESCRIPTORS
         available = raise_descriptor_limit(needed)
         program = Program(config, path)
         if available < needed:
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -23,8 +23,8 @@
 )
 from corklift.net.limits import Counters
 from corklift.net.scheduler import Scheduler
+from corklift.rpc.connection import RpcCall
 from corklift.rpc.core import Code, RpcError
-from corklift.rpc.link import LiveCall
 from corklift.rpc.server import Handler
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
@@ -63,7 +63,7 @@
         )
         self.ttl, self.report_interval = ttl, report_interval
         self.subscriptions = make_subscriptions(self)
-        self._calls: dict[int, LiveCall] = {}
+        self._calls: dict[int, RpcCall] = {}
         self._next_stream = 1
         self.report_streams = 0  # open streams of load reports
         self.stopping = False
@@ -89,13 +89,13 @@
         )
         self._counters["response bytes"] += len(content)
         try:
-            call.post(content)
+            call.send_nowait(content)
         except RpcError:
             self._counters["responses that had no room"] += 1
 
     # ADS
 
-    def _serve_ads(self, call: LiveCall, incremental: bool) -> None:
+    def _serve_ads(self, call: RpcCall, incremental: bool) -> None:
         number, subscriptions = self._next_stream, self.subscriptions
         self._next_stream += 1
         self._calls[number] = call
@@ -103,12 +103,12 @@
         self._counters["proxy streams"] += 1
         try:
             while not self.stopping:
-                message = call.ready()
+                message = call.receive_nowait()
                 if message is not None:
                     self._handle_request(number, message, incremental)
-                elif call.done:
+                elif call.fully_read:
                     return
-                elif not call.pending and not subscriptions.streams[number].writable:
+                elif not call.pending_bytes and not subscriptions.streams[number].writable:
                     subscriptions.stream_writable(self._scheduler.now(), number)
                 else:
                     call.wait()
@@ -168,7 +168,7 @@
 
     # LRS
 
-    def _serve_load_reports(self, call: LiveCall) -> None:
+    def _serve_load_reports(self, call: RpcCall) -> None:
         self._counters["load report streams"] += 1
         self.report_streams += 1
         answered = False
@@ -183,7 +183,7 @@
                     answered = True
                     answer = lrs_pb2.LoadStatsResponse(send_all_clusters=True)
                     answer.load_reporting_interval.FromNanoseconds(self.report_interval)
-                    call.post(answer.SerializeToString())
+                    call.send_nowait(answer.SerializeToString())
                 if (
                     sum(len(stats.upstream_locality_stats) for stats in request.cluster_stats)
                     > MAX_REPORTED_SERVERS
@@ -218,13 +218,13 @@
 
     # CSDS
 
-    def _fetch_status(self, call: LiveCall) -> None:
+    def _fetch_status(self, call: RpcCall) -> None:
         message = call.receive()
         if message is None:
             raise RpcError(Code.INVALID_ARGUMENT, "request is missing")
-        call.post(self._status(message))
+        call.send_nowait(self._status(message))
 
-    def _stream_status(self, call: LiveCall) -> None:
+    def _stream_status(self, call: RpcCall) -> None:
         while (message := call.receive()) is not None:
             call.send(self._status(message))
 
--- a/corklift/control/status.py
+++ b/corklift/control/status.py
@@ -29,7 +29,7 @@
     """
     failures: list[str] = []
     scheduler = Scheduler(wall_clock(), failures.append)
-    limits = RpcLimits(back_off=200_000_000, message=256 << 20)
+    limits = RpcLimits(initial_backoff=200_000_000, max_message_bytes=256 << 20)
     channel = Channel(scheduler, limits, Counters(), address, Random())
     request = csds_pb2.ClientStatusRequest(exclude_resource_contents=True)
     if node:
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -27,9 +27,9 @@
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import WRITE, Scheduler, Task
 from corklift.net.stream import Stream
+from corklift.rpc.connection import RpcCall, RpcConnection
 from corklift.rpc.core import Code, RpcError, RpcLimits
-from corklift.rpc.link import Link, LiveCall
-from corklift.rpc.server import Server, unary
+from corklift.rpc.server import RpcServer, unary
 
 if TYPE_CHECKING:
     from corklift.service import Process
@@ -59,18 +59,18 @@
 def link_limits(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
     """A message is small, a link is used again for as long as it is among the few kept."""
     return RpcLimits(
-        connections=2 * links,
-        streams=8,
-        message=message,
-        headers=4 << 10,
-        inbox=2,
-        outbox=2 * message,
+        max_connections=2 * links,
+        max_streams=8,
+        max_message_bytes=message,
+        max_header_bytes=4 << 10,
+        max_inbox_messages=2,
+        max_outbox_bytes=2 * message,
         ring=8 << 10,
-        handshake_time=2 * period,
+        handshake_timeout=2 * period,
         ping_after=0,
-        stall_time=4 * period,
-        connect_time=2 * period,
-        end_time=50 * MS,
+        stall_timeout=4 * period,
+        connect_timeout=2 * period,
+        close_timeout=50 * MS,
     )
 
 
@@ -91,7 +91,7 @@
             counters,
             most,
         )
-        self._kept: OrderedDict[str, Link] = OrderedDict()
+        self._kept: OrderedDict[str, RpcConnection] = OrderedDict()
 
     def unary(self, address: str, path: str, request: bytes, until: int) -> bytes:
         """One message, one answer.
@@ -100,7 +100,7 @@
             RpcError: how it ended, if not well; RESOURCE_EXHAUSTED where this process lacks a descriptor.
         """
         link = self._kept.get(address)
-        if link is None or link.over or link.session.leaving:
+        if link is None or link.closed or link.session.going_away:
             link = self._connected(address, until)
             raced = self._kept.pop(address, None)
             if raced is not None:
@@ -111,20 +111,20 @@
         self._kept.move_to_end(address)
         call = link.call(path, until)
         try:
-            call.post(request)
-            call.done_sending()
+            call.send_nowait(request)
+            call.half_close()
             answer = call.receive(until)
         except RpcError as problem:
             if problem.code is Code.DEADLINE_EXCEEDED and self._kept.get(address) is link:
                 # Guards against a link that swallows all: the next call tries a new one.
                 del self._kept[address]
-                link.drop()
+                link.abort()
             raise
         if answer is None:
             raise RpcError(Code.INTERNAL, "ended without an answer")
         return answer
 
-    def _connected(self, address: str, until: int) -> Link:
+    def _connected(self, address: str, until: int) -> RpcConnection:
         try:
             stream = Stream.connect(split(address), self._limits)
         except OSError as problem:
@@ -142,7 +142,7 @@
             stream.close()
             raise RpcError(Code.UNAVAILABLE, "no connection")
         self._counters["links to peers"] += 1
-        link = Link(self._scheduler, self._limits, self._counters, stream, address, True)
+        link = RpcConnection(self._scheduler, self._limits, self._counters, stream, address, True)
         self._scheduler.spawn(link.run)
         return link
 
@@ -167,7 +167,7 @@
         period = config.period_ms * MS
         limits = link_limits(config.links, period, max_message)
         self._links = PeerLinks(self._scheduler, limits, self._counters, config.links)
-        self._server = Server(
+        self._server = RpcServer(
             self._scheduler,
             limits,
             self._counters,
@@ -339,7 +339,7 @@
 
     # Calls that come in
 
-    def _take_call(self, call: LiveCall, request: bytes) -> bytes:
+    def _take_call(self, call: RpcCall, request: bytes) -> bytes:
         try:
             message = decode(request)
         except MessageDecodeError as problem:
@@ -366,7 +366,7 @@
 
     # What operators ask
 
-    def _status(self, call: LiveCall, request: bytes) -> bytes:
+    def _status(self, call: RpcCall, request: bytes) -> bytes:
         core = self.core
         rows = [
             {
@@ -390,7 +390,7 @@
             }
         )
 
-    def _forget(self, call: LiveCall, request: bytes) -> bytes:
+    def _forget(self, call: RpcCall, request: bytes) -> bytes:
         name = request.decode("utf-8", "replace")
         if not self.core.forget(self._scheduler.now(), name):
             raise RpcError(Code.FAILED_PRECONDITION, f"{name[:60]!r} is not held for dead here")
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -37,8 +37,8 @@
     decode,
     encode,
 )
+from corklift.rpc.connection import RpcCall
 from corklift.rpc.core import Code, RpcError
-from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
 from corklift.store.log import Notes
 from corklift.store.worker import Folders, Keeper
@@ -495,7 +495,7 @@
 
     # Calls that come in
 
-    def _take_ask(self, call: LiveCall, request: bytes) -> bytes:
+    def _take_ask(self, call: RpcCall, request: bytes) -> bytes:
         if self._asked_now >= MOST_ASKED:
             raise RpcError(Code.RESOURCE_EXHAUSTED, "too many ask at once")
         self._asked_now += 1
@@ -508,7 +508,7 @@
         finally:
             self._asked_now -= 1
 
-    def _take_tell(self, call: LiveCall, request: bytes) -> bytes:
+    def _take_tell(self, call: RpcCall, request: bytes) -> bytes:
         try:
             tell = decode(Replicate, request)
         except FactDecodeError as problem:
--- a/corklift/rpc/__init__.py
+++ b/corklift/rpc/__init__.py
@@ -1,1 +1,4 @@
-"""gRPC over HTTP/2 on corklift's scheduler. Importing this package needs `h2`: `python -m corklift` never does."""
+"""gRPC over HTTP/2 on corklift's scheduler.
+
+Importing this package requires `h2`, so `python -m corklift` never does.
+"""
--- a/corklift/rpc/client.py
+++ b/corklift/rpc/client.py
@@ -1,6 +1,6 @@
-"""A client's channel: one connection to one address, made anew when it ends, after a wait that is spread.
+"""A gRPC client channel: one connection to one address, which is reopened after a backoff.
 
-Owns the connection in force and the back-off. Must never send a call twice: a call that fails is its caller's.
+A channel never retries a call: that is left to the caller.
 """
 
 from __future__ import annotations
@@ -10,11 +10,13 @@
 from corklift.net.limits import Counters
 from corklift.net.scheduler import WRITE, Scheduler, Task
 from corklift.net.stream import Stream
-from corklift.rpc.core import BackOff, Code, RpcError, RpcLimits
-from corklift.rpc.link import Link, LiveCall
+from corklift.rpc.connection import RpcCall, RpcConnection
+from corklift.rpc.core import Code, ReconnectBackoff, RpcError, RpcLimits
 
 
 class Channel:
+    """Keeps a connection to a server and makes calls on it."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -29,47 +31,50 @@
             counters,
             address,
         )
-        self.back_off = BackOff(rng, limits)
-        self._link: Link | None = None
-        self._waits: list[Task] = []
-        self._keeper: Task | None = None
+        self.backoff = ReconnectBackoff(rng, limits)
+        self._connection: RpcConnection | None = None
+        self._waiting_tasks: list[Task] = []
+        self._connect_task: Task | None = None
         self._closed = False
-        self.failed_at = 0  # when the last connect failed
+        self.connect_failed_at = 0  # time of the last failed connect
 
     def keep_connected(self) -> None:
-        """The channel's own greenlet."""
-        self._keeper = self._scheduler.current
+        """Connects, and reconnects until `close`; runs in a greenlet of its own."""
+        self._connect_task = self._scheduler.current
         while not self._closed:
-            link = self._connect()
-            if link is None:
-                self.failed_at = self._scheduler.now()
-                self._wake()
-                self._scheduler.sleep(self.back_off.failed())
+            connection = self._connect()
+            if connection is None:
+                self.connect_failed_at = self._scheduler.now()
+                self._wake_waiting()
+                self._scheduler.sleep(self.backoff.next_delay())
                 continue
-            began = self._scheduler.now()
-            self._link = link
-            self._scheduler.spawn(link.run)
-            self._wake()
-            while not link.over and not link.session.leaving and not self._closed:
+            connected_at = self._scheduler.now()
+            self._connection = connection
+            self._scheduler.spawn(connection.run)
+            self._wake_waiting()
+            while not connection.closed and not connection.session.going_away and not self._closed:
                 self._scheduler.wait(
-                    {}, self._scheduler.now() + 50_000_000 if not link.session.settled else None
+                    {},
+                    self._scheduler.now() + 50_000_000
+                    if not connection.session.settings_received
+                    else None,
                 )
-            settled = link.session.settled
-            self._link = None
-            if settled and self._scheduler.now() - began > self._limits.back_off:
-                self.back_off.worked()
+            established = connection.session.settings_received
+            self._connection = None
+            if established and self._scheduler.now() - connected_at > self._limits.initial_backoff:
+                self.backoff.reset()
             if not self._closed:
-                # Guards against a crowd that comes back at once when a server has ended all its connections.
-                self._scheduler.sleep(self.back_off.failed())
-            link.go_away()
+                # A server that ends all its connections must not be hit by all clients at once.
+                self._scheduler.sleep(self.backoff.next_delay())
+            connection.go_away()
 
-    def _connect(self) -> Link | None:
+    def _connect(self) -> RpcConnection | None:
         self._counters["connects"] += 1
         try:
             stream = Stream.connect(self.address, self._limits)
         except OSError:
             return None
-        until = self._scheduler.now() + self._limits.connect_time
+        until = self._scheduler.now() + self._limits.connect_timeout
         while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, until):
             if self._scheduler.now() >= until or self._closed:
                 stream.close()
@@ -77,62 +82,69 @@
         if stream.connect_failed():
             stream.close()
             return None
-        link = Link(
+        connection = RpcConnection(
             self._scheduler, self._limits, self._counters, stream, "%s:%d" % self.address, True
         )
-        link.ended = self._ended
-        return link
+        connection.on_close = self._wake_connect_task
+        return connection
 
-    def _ended(self) -> None:
-        if self._keeper is not None:
-            self._scheduler.wake(self._keeper)
+    def _wake_connect_task(self) -> None:
+        if self._connect_task is not None:
+            self._scheduler.wake(self._connect_task)
 
-    def _wake(self) -> None:
-        waits, self._waits = self._waits, []
-        for task in waits:
+    def _wake_waiting(self) -> None:
+        waiting_tasks, self._waiting_tasks = self._waiting_tasks, []
+        for task in waiting_tasks:
             self._scheduler.wake(task)
 
-    def ready(self, until: int) -> Link:
-        """Blocks until there is a connection.
+    def wait_connected(self, until: int) -> RpcConnection:
+        """Blocks until the channel is connected.
 
         Raises:
-            RpcError: UNAVAILABLE if there is none by then.
+            RpcError: UNAVAILABLE if it is not by the given time.
         """
-        while self._link is None or self._link.over or self._link.session.leaving:
+        while (
+            self._connection is None
+            or self._connection.closed
+            or self._connection.session.going_away
+        ):
             if self._closed or self._scheduler.now() >= until:
                 raise RpcError(Code.UNAVAILABLE, "no connection to %s:%d" % self.address)
-            self._waits.append(self._scheduler.current)
+            self._waiting_tasks.append(self._scheduler.current)
             self._scheduler.wait({}, min(until, self._scheduler.now() + 50_000_000))
-        return self._link
+        return self._connection
+
+    def call(self, path: str, until: int, deadline: int | None = None) -> RpcCall:
+        """Starts a call, after waiting for a connection at most until the given time.
 
-    def call(self, path: str, until: int, deadline: int | None = None) -> LiveCall:
-        """Begins a call on the connection, waiting for it until then; `deadline` (ns of our clock) is told the server."""
-        return self.ready(until).call(path, deadline)
+        The server is told the deadline (ns of this process's clock) as a timeout.
+        """
+        return self.wait_connected(until).call(path, deadline)
 
     def unary(self, path: str, request: bytes, deadline: int) -> bytes:
-        """One message, one answer.
+        """Makes a call with one request and one response.
 
         Raises:
-            RpcError: how the call ended, if not well.
+            RpcError: the call failed.
         """
         call = self.call(path, deadline, deadline)
-        call.post(request)
-        call.done_sending()
-        answer = call.receive()
-        if answer is None:
-            raise RpcError(Code.INTERNAL, "ended without an answer")
+        call.send_nowait(request)
+        call.half_close()
+        response = call.receive()
+        if response is None:
+            raise RpcError(Code.INTERNAL, "call ended without a response")
         while call.receive() is not None:
             pass
-        return answer
+        return response
 
-    def drop(self) -> None:
-        """Breaks the connection off, as a failing network would; it is made anew."""
-        if self._link is not None:
-            self._link.drop()
+    def abort_connection(self) -> None:
+        """Resets the connection, as a network failure would; the channel reconnects."""
+        if self._connection is not None:
+            self._connection.abort()
 
     def close(self) -> None:
         self._closed = True
-        if self._link is not None:
-            self._link.go_away()
-        if self._keeper is not None:
-            self._scheduler.wake(self._keeper)
+        if self._connection is not None:
+            self._connection.go_away()
+        if self._connect_task is not None:
+            self._scheduler.wake(self._connect_task)
--- a/corklift/rpc/core.py
+++ b/corklift/rpc/core.py
@@ -1,7 +1,7 @@
-"""The parts of gRPC's wire that are neither HTTP/2 nor a socket: frames of messages, statuses, times, limits.
+"""The parts of gRPC that need neither HTTP/2 nor a socket: framing, status, timeouts and limits.
 
-Pure: bytes and words in, values out, for any split of the bytes. Owns no socket and no clock. Must never know a
-service. Source: gRPC's "gRPC over HTTP2" page (PROTOCOL-HTTP2.md).
+All of it is pure, and the result does not depend on how the bytes are split. Source: gRPC's
+documentation, "gRPC over HTTP2" (PROTOCOL-HTTP2.md).
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-UNITS = {"H": 3600 * SECOND, "M": 60 * SECOND, "S": SECOND, "m": MS, "u": 1_000, "n": 1}
+TIMEOUT_UNITS = {"H": 3600 * SECOND, "M": 60 * SECOND, "S": SECOND, "m": MS, "u": 1_000, "n": 1}
 _TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")
-PREFIX = 5  # bytes before a message: whether it is compressed, its length
-PRINTABLE = "".join(map(chr, range(0x20, 0x7F))).replace("%", "")
+PREFIX_BYTES = 5  # in front of each message: the compressed flag and the length
+UNESCAPED_CHARACTERS = "".join(map(chr, range(0x20, 0x7F))).replace("%", "")
 
 
 class Code(IntEnum):
@@ -43,7 +43,7 @@
 
 
 class RpcError(Exception):
-    """How a call ended, if not well: `code` and gRPC's `message`."""
+    """A call failed, with gRPC's status code and message."""
 
     def __init__(self, code: Code, message: str = "") -> None:
         super().__init__(f"{code.name}: {message}" if message else code.name)
@@ -52,139 +52,141 @@
 
 @dataclass(frozen=True)
 class RpcLimits:
-    """Sizes, counts and times (ns) of one program's calls, handed down to every connection."""
-
-    connections: int = 2_000  # at a time, of a server; further ones are closed as they come
-    streams: int = 16  # calls at a time on one connection
-    message: int = 4 << 20  # bytes of a message that comes in
-    headers: int = 16 << 10  # bytes of the headers of a call, as HTTP/2 counts them
-    inbox: int = (
-        16  # whole messages of a call that wait to be read; the peer's window stays shut meanwhile
-    )
-    outbox: int = 8 << 20  # bytes of a call that wait to be sent
-    ring: int = 16 << 10  # bytes of each direction's ring buffer
-    line: int = 4096  # of no use here: a stream wants it
-    control_frames: int = (
-        200  # a second, of pings, settings and resets; beyond it a peer is sent away
-    )
-    handshake_time: int = 5 * SECOND  # from a connect to the peer's first settings
-    ping_after: int = 10 * SECOND  # of hearing nothing; 0: never
-    ping_wait: int = 5 * SECOND  # for the answer, before the connection counts as lost
-    stall_time: int = (
-        10 * SECOND
-    )  # in which a message must have left; a peer that reads slower is dropped
-    connect_time: int = 2 * SECOND  # within which a connection must stand
-    back_off: int = (
-        SECOND  # before a second connect, spread; 1.6 times as long before each further one
-    )
-    back_off_most: int = 20 * SECOND
-    end_time: int = 500 * MS  # for a connection's last bytes to leave
-
-
-class BackOff:
-    """How long to wait before the next connect: longer after each failure, spread so that no crowd forms."""
+    """Limits and timeouts (ns) of all connections and calls of one server or channel."""
+
+    max_connections: int = 2_000  # of a server; further ones are closed at once
+    max_streams: int = 16  # concurrent calls on one connection
+    max_message_bytes: int = 4 << 20  # of a received message
+    max_header_bytes: int = 16 << 10  # of the headers of a call, as HTTP/2 counts them
+    # Complete unread messages of a call; at this number its flow-control window is not reopened.
+    max_inbox_messages: int = 16
+    max_outbox_bytes: int = 8 << 20  # of a call, waiting to be sent
+    ring: int = 16 << 10  # size of each of a connection's two ring buffers, in bytes
+    line: int = 4096  # unused here, but required by `Stream`
+    # Received pings, settings and resets per second; beyond this the connection is closed.
+    max_control_frames: int = 200
+    handshake_timeout: int = 5 * SECOND  # from the connect to the peer's first settings
+    ping_after: int = 10 * SECOND  # without any received bytes; 0: never
+    ping_timeout: int = 5 * SECOND  # for the answer to a ping
+    # Queued bytes must leave within this time, or a peer that reads too slowly is disconnected.
+    stall_timeout: int = 10 * SECOND
+    connect_timeout: int = 2 * SECOND
+    # Before the second connect, randomised; each further delay is 1.6 times as long.
+    initial_backoff: int = SECOND
+    max_backoff: int = 20 * SECOND
+    close_timeout: int = 500 * MS  # for the last bytes of a connection to leave
+
+
+class ReconnectBackoff:
+    """Delays between connects: longer after each failure, and randomised to spread the load."""
 
     FACTOR = 1.6
 
     def __init__(self, rng: Random, limits: RpcLimits) -> None:
-        self._rng, self._first, self._most = rng, limits.back_off, limits.back_off_most
+        self._rng, self._initial, self._max = rng, limits.initial_backoff, limits.max_backoff
         self.failures = 0  # in a row
 
-    def worked(self) -> None:
+    def reset(self) -> None:
         self.failures = 0
 
-    def failed(self) -> int:
-        """Returns the wait (ns): even over half to all of what is due after so many failures."""
-        due = min(self._most, self._first * self.FACTOR ** min(self.failures, 20))
+    def next_delay(self) -> int:
+        """Counts a failure; returns the delay in ns, drawn from the upper half of the backoff."""
+        backoff = min(self._max, self._initial * self.FACTOR ** min(self.failures, 20))
         self.failures += 1
-        return int(due * self._rng.uniform(0.5, 1.0))
+        return int(backoff * self._rng.uniform(0.5, 1.0))
 
 
-def packed(message: bytes) -> bytes:
-    """A message with its prefix, not compressed."""
+def encode_message(message: bytes) -> bytes:
+    """Returns the message with its prefix, not compressed."""
     return b"\0" + len(message).to_bytes(4, "big") + message
 
 
-class Unpacker:
-    """Messages out of a call's bytes. What has come of the next one is bounded by the limit."""
+class MessageDecoder:
+    """Splits the bytes of a call into messages. The maximum message size bounds its buffer."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._bytes = bytearray()
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
 
     def feed(self, content: bytes) -> list[bytes]:
-        """The messages that are whole now.
+        """Adds received bytes; returns the messages that are complete now.
 
         Raises:
-            RpcError: RESOURCE_EXHAUSTED for one over the limit, told by its prefix alone; UNIMPLEMENTED for a
-                compressed one, INTERNAL for one whose prefix is not gRPC's.
+            RpcError: RESOURCE_EXHAUSTED for a message over the limit, known from its prefix alone;
+                UNIMPLEMENTED for a compressed one; INTERNAL for an invalid prefix.
         """
-        self._bytes += content
-        found = []
-        at = 0
-        while len(self._bytes) - at >= PREFIX:
-            if self._bytes[at] == 1:
-                raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not taken")
-            if self._bytes[at]:
-                raise RpcError(Code.INTERNAL, "not a message's prefix")
-            length = int.from_bytes(self._bytes[at + 1 : at + PREFIX], "big")
-            if length > self._most:
+        self._buffer += content
+        messages = []
+        offset = 0
+        while len(self._buffer) - offset >= PREFIX_BYTES:
+            if self._buffer[offset] == 1:
+                raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not supported")
+            if self._buffer[offset]:
+                raise RpcError(Code.INTERNAL, "invalid message prefix")
+            length = int.from_bytes(self._buffer[offset + 1 : offset + PREFIX_BYTES], "big")
+            if length > self._max_bytes:
                 raise RpcError(
-                    Code.RESOURCE_EXHAUSTED, f"a message of {length} bytes, {self._most} are taken"
+                    Code.RESOURCE_EXHAUSTED,
+                    f"message of {length} bytes exceeds the limit of {self._max_bytes}",
                 )
-            if len(self._bytes) - at < PREFIX + length:
+            if len(self._buffer) - offset < PREFIX_BYTES + length:
                 break
-            found.append(bytes(self._bytes[at + PREFIX : at + PREFIX + length]))
-            at += PREFIX + length
-        if at:
-            del self._bytes[:at]
-        return found
+            messages.append(
+                bytes(self._buffer[offset + PREFIX_BYTES : offset + PREFIX_BYTES + length])
+            )
+            offset += PREFIX_BYTES + length
+        if offset:
+            del self._buffer[:offset]
+        return messages
 
     @property
-    def partial(self) -> bool:
-        return bool(self._bytes)
+    def has_partial(self) -> bool:
+        """Whether an incomplete message is buffered."""
+        return bool(self._buffer)
 
 
-def time_out(value: bytes) -> int:
-    """`grpc-timeout` in ns.
+def parse_timeout(value: bytes) -> int:
+    """Returns the value of a `grpc-timeout` header in ns.
 
     Raises:
-        RpcError: INVALID_ARGUMENT where it does not follow the form.
+        RpcError: INVALID_ARGUMENT for a malformed value.
     """
-    found = _TIMEOUT.fullmatch(value)
-    if found is None:
-        raise RpcError(Code.INVALID_ARGUMENT, f"grpc-timeout holds {value!r:.40}")
-    return int(found[1]) * UNITS[found[2].decode()]
+    match = _TIMEOUT.fullmatch(value)
+    if match is None:
+        raise RpcError(Code.INVALID_ARGUMENT, f"grpc-timeout is malformed: {value!r:.40}")
+    return int(match[1]) * TIMEOUT_UNITS[match[2].decode()]
 
 
-def time_out_text(span: int) -> str:
-    """A span of ns as `grpc-timeout`, rounded up, in the finest unit that has room for it."""
+def format_timeout(timeout: int) -> str:
+    """Formats a time in ns for `grpc-timeout`, rounded up, in the finest unit with 8 digits."""
     for unit in "numSMH":
-        if span <= 99_999_999 * UNITS[unit]:
-            return f"{-(-max(0, span) // UNITS[unit])}{unit}"
+        if timeout <= 99_999_999 * TIMEOUT_UNITS[unit]:
+            return f"{-(-max(0, timeout) // TIMEOUT_UNITS[unit])}{unit}"
     return "99999999H"
 
 
-def status_message(text: str) -> str:
-    """Percent-encoded as `grpc-message` wants it."""
-    return quote_from_bytes(text.encode(), safe=PRINTABLE)
+def encode_status_message(text: str) -> str:
+    """Percent-encodes a text for `grpc-message`."""
+    return quote_from_bytes(text.encode(), safe=UNESCAPED_CHARACTERS)
 
 
-def status_text(value: bytes) -> str:
+def decode_status_message(value: bytes) -> str:
     return unquote_to_bytes(value).decode("utf-8", "replace")
 
 
-def status_of(headers: dict[bytes, bytes]) -> RpcError | None:
-    """The status in a call's trailers; None if it ended well. One without a status is UNKNOWN, as gRPC says."""
+def status_from_trailers(headers: dict[bytes, bytes]) -> RpcError | None:
+    """Returns the error in a call's trailers; None for OK. A missing status means UNKNOWN."""
     value = headers.get(b"grpc-status", b"")
     try:
         code = Code(int(value)) if len(value) < 4 else Code.UNKNOWN
     except ValueError:
         code = Code.UNKNOWN
-    return RpcError(code, status_text(headers.get(b"grpc-message", b""))) if code else None
+    return (
+        RpcError(code, decode_status_message(headers.get(b"grpc-message", b""))) if code else None
+    )
 
 
-HTTP_CODES = {
+CODES_BY_HTTP_STATUS = {
     400: Code.INTERNAL,
     401: Code.UNAUTHENTICATED,
     403: Code.PERMISSION_DENIED,
@@ -196,7 +198,7 @@
 }
 
 
-def http_error(status: bytes) -> RpcError:
-    """What an HTTP status other than 200 means to a call, by gRPC's table."""
-    code = HTTP_CODES.get(int(status), Code.UNKNOWN) if status.isdigit() else Code.UNKNOWN
+def error_from_http_status(status: bytes) -> RpcError:
+    """Maps an HTTP status other than 200 to a gRPC error, by gRPC's table."""
+    code = CODES_BY_HTTP_STATUS.get(int(status), Code.UNKNOWN) if status.isdigit() else Code.UNKNOWN
     return RpcError(code, f"HTTP status {status.decode('ascii', 'replace')}")
--- a/corklift/rpc/server.py
+++ b/corklift/rpc/server.py
@@ -1,7 +1,7 @@
-"""A server of calls: its door, its connections and which handler has which path.
+"""A gRPC server: its listening socket, its connections and a handler for each method path.
 
-A handler runs in a greenlet of its own: it returns for OK and raises `RpcError` for anything else. Owns the
-listener. Must never know what a handler is for.
+Each call's handler runs in a greenlet of its own. It returns for OK and raises `RpcError`
+otherwise.
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 from corklift.net.limits import Counters
 from corklift.net.scheduler import READ, Scheduler, Task
 from corklift.net.stream import Stream
+from corklift.rpc.connection import RpcCall, RpcConnection
 from corklift.rpc.core import Code, RpcError, RpcLimits
-from corklift.rpc.link import Link, LiveCall
 
-Handler = Callable[[LiveCall], None]
-ACCEPTED_AT_ONCE = 32  # before those accepted have their turn
+Handler = Callable[[RpcCall], None]
+MAX_ACCEPTS_AT_ONCE = 32  # then the accepted connections are served first
 
 
-def unary(answer: Callable[[LiveCall, bytes], bytes]) -> Handler:
-    """A handler of one message and one answer."""
+def unary(respond: Callable[[RpcCall, bytes], bytes]) -> Handler:
+    """Returns a handler of calls with one request and one response."""
 
-    def handler(call: LiveCall) -> None:
+    def handler(call: RpcCall) -> None:
         request = call.receive()
         if request is None:
-            raise RpcError(Code.INVALID_ARGUMENT, "no request came")
-        call.post(answer(call, request))
+            raise RpcError(Code.INVALID_ARGUMENT, "request is missing")
+        call.send_nowait(respond(call, request))
 
     return handler
 
 
-class Server:
+class RpcServer:
+    """Accepts connections and dispatches their calls to handlers by method path."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -46,13 +48,13 @@
             counters,
             handlers,
         )
-        self.links: set[Link] = set()
+        self.connections: set[RpcConnection] = set()
         self._listener: socket.socket | None = None
-        self._acceptor: Task | None = None
-        self._leaving = False
+        self._accept_task: Task | None = None
+        self._stopping = False
 
     def listen(self, address: tuple[str, int]) -> int:
-        """Opens the door; returns its port."""
+        """Opens the listening socket; returns its port."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -67,57 +69,57 @@
 
     def keep_accepting(self) -> None:
         assert self._listener is not None
-        self._acceptor = self._scheduler.current
-        while not self._leaving:
+        self._accept_task = self._scheduler.current
+        while not self._stopping:
             self._scheduler.wait({self._listener.fileno(): READ})
-            for _ in range(ACCEPTED_AT_ONCE):
+            for _ in range(MAX_ACCEPTS_AT_ONCE):
                 try:
                     sock, address = self._listener.accept()
                 except (BlockingIOError, InterruptedError):
                     break
-                except OSError as problem:
+                except OSError as error:
                     self._counters["accepts failed"] += 1
-                    if problem.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                        self._scheduler.sleep(
-                            50_000_000
-                        )  # Guards against a turn that never ends at full descriptors
+                    if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
+                        # The socket stays readable while descriptors are exhausted: avoids a busy
+                        # loop.
+                        self._scheduler.sleep(50_000_000)
                     break
-                self.take(sock, f"{address[0]}:{address[1]}")
+                self.serve_connection(sock, f"{address[0]}:{address[1]}")
         self._listener.close()
 
-    def take(self, sock: socket.socket, peer: str) -> None:
-        """A connection has come in by this door or another."""
-        if len(self.links) >= self._limits.connections or self._leaving:
+    def serve_connection(self, sock: socket.socket, peer: str) -> None:
+        """Serves a connection, accepted by this server's listening socket or by another one."""
+        if len(self.connections) >= self._limits.max_connections or self._stopping:
             self._counters["connections turned away"] += 1
             sock.close()
             return
         self._counters["connections taken"] += 1
-        link = Link(
+        connection = RpcConnection(
             self._scheduler,
             self._limits,
             self._counters,
             Stream(sock, self._limits),
             peer,
             False,
-            self._serve,
+            self._dispatch,
         )
-        self.links.add(link)
-        link.ended = lambda: self.links.discard(link)
-        self._scheduler.spawn(link.run)
+        self.connections.add(connection)
+        connection.on_close = lambda: self.connections.discard(connection)
+        self._scheduler.spawn(connection.run)
 
-    def _serve(self, call: LiveCall) -> None:
+    def _dispatch(self, call: RpcCall) -> None:
         handler = self._handlers.get(call.path)
         if handler is None:
             raise RpcError(Code.UNIMPLEMENTED, f"no method {call.path:.200}")
         handler(call)
 
-    def leave(self, within: int) -> None:
-        """Sends all peers elsewhere; blocks until the last call is over, or the time is."""
-        self._leaving = True
-        if self._acceptor is not None:
-            self._scheduler.wake(self._acceptor)
-        for link in list(self.links):
-            link.go_away()
-        until = self._scheduler.now() + within
-        while self.links and self._scheduler.now() < until:
+    def shut_down(self, timeout: int) -> None:
+        """Sends GOAWAY to all peers; blocks until the last call has ended, or for the given time."""
+        self._stopping = True
+        if self._accept_task is not None:
+            self._scheduler.wake(self._accept_task)
+        for connection in list(self.connections):
+            connection.go_away()
+        until = self._scheduler.now() + timeout
+        while self.connections and self._scheduler.now() < until:
             self._scheduler.sleep(min(20_000_000, max(1, until - self._scheduler.now())))
--- a/corklift/rpc/session.py
+++ b/corklift/rpc/session.py
@@ -1,8 +1,9 @@
-"""One HTTP/2 connection that carries calls, as a state machine: bytes in, bytes out, calls in between.
+"""One HTTP/2 connection with its gRPC calls, as a state machine without a socket or a clock.
 
-Owns h2's connection, the calls on it and their windows. The peer's window opens only as messages are read, so a
-call that is not read stops its sender; what is to be sent waits in its call and is cut into frames as the socket
-takes them, the calls in turn. Must never touch a socket or a clock (times come in, ns), and never know a service.
+Received bytes go in, bytes to send come out, and times are passed in, in ns. The flow-control
+window of a call is reopened only as its messages are read, so backpressure reaches the sender.
+Messages to send wait in the outbox of their call and are split into frames as the socket takes
+them, with the calls in round robin.
 """
 
 from __future__ import annotations
@@ -32,232 +33,228 @@
 from hyperframe.frame import GoAwayFrame
 
 from corklift.rpc.core import (
-    PREFIX,
+    PREFIX_BYTES,
     SECOND,
     Code,
+    MessageDecoder,
     RpcError,
     RpcLimits,
-    Unpacker,
-    http_error,
-    packed,
-    status_message,
-    status_of,
-    time_out,
-    time_out_text,
+    encode_message,
+    encode_status_message,
+    error_from_http_status,
+    format_timeout,
+    parse_timeout,
+    status_from_trailers,
 )
 
-WINDOW = 65_535  # HTTP/2's first window
-LAST_STREAM = (1 << 31) - 1
+INITIAL_WINDOW = 65_535  # HTTP/2's initial flow-control window
+MAX_STREAM_ID = (1 << 31) - 1
 PREFACE = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n"
-RESETS = {
+CODES_BY_RESET = {
     ErrorCodes.NO_ERROR: Code.INTERNAL,
     ErrorCodes.REFUSED_STREAM: Code.UNAVAILABLE,
     ErrorCodes.CANCEL: Code.CANCELLED,
     ErrorCodes.ENHANCE_YOUR_CALM: Code.RESOURCE_EXHAUSTED,
 }
-GO_AWAY = 7
-FRAME_HEAD = 9
-CONTENT = "application/grpc"
+GOAWAY_FRAME_TYPE = 7
+FRAME_HEADER_BYTES = 9
+CONTENT_TYPE = "application/grpc"
 
 
-class Broken(Exception):
-    """The peer does not speak the protocol, or not within the limits; the connection must end."""
+class SessionError(Exception):
+    """The peer violates the protocol or exceeds a limit; the connection must be closed."""
 
 
 class Call:
-    """One call: what has come and what is to go. `wake` is called, if set, when either may go on."""
+    """The state of one call. `on_change` is called when its user may be able to continue."""
 
-    def __init__(self, number: int, path: str, limits: RpcLimits, now: int) -> None:
-        self.number, self.path, self.began_at = number, path, now
+    def __init__(self, stream_id: int, path: str, limits: RpcLimits, now: int) -> None:
+        self.stream_id, self.path, self.started_at = stream_id, path, now
         self.metadata: dict[bytes, bytes] = {}
         self.deadline: int | None = None
-        self.inbox: deque[tuple[bytes, int]] = (
-            deque()
-        )  # messages, and how much of the window each gives back
+        # Received messages, each with the flow-control bytes to acknowledge once it is read.
+        self.inbox: deque[tuple[bytes, int]] = deque()
         self.outbox = bytearray()
-        self.sent = 0  # bytes cut into frames so far
-        self.marks: deque[tuple[int, int]] = (
-            deque()
-        )  # the count of sent bytes that ends a message; when it was queued
-        self.headers_sent = self.headers_came = False
-        self.remote_ended = False  # nothing more will come
-        self.ended = False  # it is over, both ways
-        self.error: RpcError | None = None  # how, if not well
-        self.trailers: list[tuple[str, str]] | None = None  # to be sent behind the outbox
-        self.finishing = False  # nothing more may be queued
-        self.wake: Callable[[], None] = lambda: None
-        self._unpacker = Unpacker(limits.message)
-        self._held = 0  # bytes of the window not given back, for the message that is coming in
+        self.sent_bytes = 0  # written into frames so far
+        # Queued messages that have not been sent: the value of `sent_bytes` at their end, and when
+        # they were queued.
+        self.queued_ends: deque[tuple[int, int]] = deque()
+        self.headers_sent = self.headers_received = False
+        self.remote_closed = False  # the peer sends nothing more
+        self.ended = False  # in both directions
+        self.error: RpcError | None = None
+        self.trailers: list[tuple[str, str]] | None = None  # to be sent after the outbox
+        self.finishing = False  # no further message may be queued
+        self.on_change: Callable[[], None] = lambda: None
+        self._decoder = MessageDecoder(limits.max_message_bytes)
+        # Received flow-control bytes of the incomplete message, not acknowledged yet.
+        self._unacknowledged = 0
 
 
 class Session:
-    """House style: one method for each thing that can happen. `opened` is called for each call of a peer."""
+    """One side of a connection. `on_call` is called for each call that the peer starts."""
 
     def __init__(
-        self, limits: RpcLimits, client: bool, opened: Callable[[Call], None] | None = None
+        self, limits: RpcLimits, client: bool, on_call: Callable[[Call], None] | None = None
     ) -> None:
-        self._limits, self._client, self._opened = limits, client, opened
+        self._limits, self._client, self._on_call = limits, client, on_call
         settings = {
-            SettingCodes.MAX_CONCURRENT_STREAMS: limits.streams,
-            SettingCodes.MAX_HEADER_LIST_SIZE: limits.headers,
+            SettingCodes.MAX_CONCURRENT_STREAMS: limits.max_streams,
+            SettingCodes.MAX_HEADER_LIST_SIZE: limits.max_header_bytes,
             SettingCodes.ENABLE_PUSH: 0,
         }
         self._h2 = H2Connection(H2Configuration(client_side=client, header_encoding=None))
         self._h2.local_settings = Settings(client=client, initial_values=settings)
         self._h2.max_inbound_frame_size = self._h2.local_settings.max_frame_size
-        self._h2.decoder.max_header_list_size = limits.headers
+        self._h2.decoder.max_header_list_size = limits.max_header_bytes
         self._h2.initiate_connection()
-        # The connection's window must not shut on one call because others are not read.
-        self._h2.increment_flow_control_window(WINDOW * (limits.streams - 1) or 1)
-        self._out = bytearray(self._h2.data_to_send())
+        # One unread call must not close the window of the connection for the others.
+        self._h2.increment_flow_control_window(INITIAL_WINDOW * (limits.max_streams - 1) or 1)
+        self._output = bytearray(self._h2.data_to_send())
         self._calls: dict[int, Call] = {}
-        self._sending: dict[int, Call] = {}  # those with something to send, in turn
-        self._raw = (
-            bytearray()
-        )  # of a client: a frame that is not whole yet; of a server: a frame's head
-        self._left = 0 if client else len(PREFACE)  # of a server: bytes until the next frame's head
-        self._second, self._frames = 0, 0
-        self.settled = False  # the peer's settings have come
-        self.leaving = (
-            False  # the peer takes no further calls, or this side has said that it takes none
-        )
-        self.over = False  # nothing more will be sent or taken
-        self.ping_at = 0  # when a ping that is still unanswered was sent
-
-    # What the peer does
-
-    def received(self, now: int, content: bytes) -> None:
-        """Takes in bytes.
+        self._sending: dict[int, Call] = {}  # calls with something to send, in round robin
+        # Of a client: an incomplete frame. Of a server: the incomplete length field of a frame.
+        self._partial = bytearray()
+        # Of a server: bytes until the next frame header.
+        self._bytes_to_skip = 0 if client else len(PREFACE)
+        self._second, self._control_frames = 0, 0
+        self.settings_received = False
+        # GOAWAY was received or sent: no new calls, but those in progress continue.
+        self.going_away = False
+        self.closed = False  # nothing more is sent or received
+        self.ping_sent_at = 0  # of a ping without an answer yet; 0: none
+
+    # Input from the peer
+
+    def receive_data(self, now: int, content: bytes) -> None:
+        """Handles received bytes.
 
         Raises:
-            Broken: the connection must end; what `take` still gives tells the peer why.
+            SessionError: the connection must be closed, after sending the remaining output.
         """
-        if self.over:
+        if self.closed:
             return
         try:
             if not self._client:
-                self._check_lengths(content)
-            for part in self._sieved(content) if self._client else (content,):
+                self._check_frame_lengths(content)
+            for part in self._drop_goaway_frames(content) if self._client else (content,):
                 for event in self._h2.receive_data(part):
                     handler = self._HANDLERS.get(type(event))
                     if handler is not None:
                         handler(self, now, event)
-        except (
-            H2Error,
-            ValueError,
-            IndexError,
-            KeyError,
-        ) as problem:  # hpack and hyperframe raise the latter three
-            self._end_with(str(problem) or type(problem).__name__)
-        if len(self._out) > self._limits.outbox:
-            raise Broken("answers pile up unread")
-
-    def _end_with(self, problem: str) -> None:
-        self._out += self._h2.data_to_send()
-        self.over = True
-        raise Broken(problem)
-
-    def _check_lengths(self, content: bytes) -> None:
-        """Guards against a frame of 16 MB, which h2 would gather before it turns it down."""
-        at = 0
-        while at < len(content):
-            part = content[at : at + (self._left or 3 - len(self._raw))]
-            at += len(part)
-            if self._left:
-                self._left -= len(part)
+        except (H2Error, ValueError, IndexError, KeyError) as error:
+            # hpack and hyperframe raise the latter three.
+            self._fail(str(error) or type(error).__name__)
+        if len(self._output) > self._limits.max_outbox_bytes:
+            raise SessionError("unsent output exceeds the limit: peer does not read")
+
+    def _fail(self, reason: str) -> None:
+        self._output += self._h2.data_to_send()
+        self.closed = True
+        raise SessionError(reason)
+
+    def _check_frame_lengths(self, content: bytes) -> None:
+        """Rejects an oversized frame by its header: h2 would buffer up to 16 MB of it first."""
+        offset = 0
+        while offset < len(content):
+            chunk = content[offset : offset + (self._bytes_to_skip or 3 - len(self._partial))]
+            offset += len(chunk)
+            if self._bytes_to_skip:
+                self._bytes_to_skip -= len(chunk)
                 continue
-            self._raw += part
-            if len(self._raw) == 3:
-                length = int.from_bytes(self._raw, "big")
+            self._partial += chunk
+            if len(self._partial) == 3:
+                length = int.from_bytes(self._partial, "big")
                 if length > self._h2.max_inbound_frame_size:
                     self._h2.close_connection(ErrorCodes.FRAME_SIZE_ERROR)
-                    self._end_with(f"a frame of {length} bytes")
-                self._raw.clear()
-                self._left = FRAME_HEAD - 3 + length
-
-    def _sieved(self, content: bytes) -> Iterable[bytes]:
-        """A server's frames but for GOAWAY, after which h2 would not let the calls that stand go on."""
-        self._raw += content
-        at = plain = 0
-        raw = bytes(self._raw)
-        while len(raw) - at >= FRAME_HEAD:
-            end = at + FRAME_HEAD + int.from_bytes(raw[at : at + 3], "big")
-            if len(raw) < end:
-                if end - at > FRAME_HEAD + self._h2.max_inbound_frame_size:
-                    self._end_with("a frame over the limit")
+                    self._fail(f"frame of {length} bytes exceeds the limit")
+                self._partial.clear()
+                self._bytes_to_skip = FRAME_HEADER_BYTES - 3 + length
+
+    def _drop_goaway_frames(self, content: bytes) -> Iterable[bytes]:
+        """Yields a server's frames without GOAWAY, on which h2 would end the calls in progress."""
+        self._partial += content
+        offset = yielded = 0
+        frames = bytes(self._partial)
+        while len(frames) - offset >= FRAME_HEADER_BYTES:
+            end = offset + FRAME_HEADER_BYTES + int.from_bytes(frames[offset : offset + 3], "big")
+            if len(frames) < end:
+                if end - offset > FRAME_HEADER_BYTES + self._h2.max_inbound_frame_size:
+                    self._fail("frame exceeds the size limit")
                 break
-            if raw[at + 3] == GO_AWAY:
-                if at > plain:
-                    yield raw[plain:at]
-                self._go_away(raw[at + FRAME_HEAD : end])
-                plain = end
-            at = end
-        del self._raw[:at]
-        if at > plain:
-            yield raw[plain:at]
-
-    def _go_away(self, payload: bytes) -> None:
-        last, code = (
-            int.from_bytes(payload[:4], "big") & LAST_STREAM,
+            if frames[offset + 3] == GOAWAY_FRAME_TYPE:
+                if offset > yielded:
+                    yield frames[yielded:offset]
+                self._handle_goaway(frames[offset + FRAME_HEADER_BYTES : end])
+                yielded = end
+            offset = end
+        del self._partial[:offset]
+        if offset > yielded:
+            yield frames[yielded:offset]
+
+    def _handle_goaway(self, payload: bytes) -> None:
+        last_stream_id, code = (
+            int.from_bytes(payload[:4], "big") & MAX_STREAM_ID,
             int.from_bytes(payload[4:8], "big"),
         )
-        self.leaving = True
-        for call in [c for c in self._calls.values() if c.number > last]:
-            self._ended(
-                call, RpcError(Code.UNAVAILABLE, "the server goes away and has not taken this call")
+        self.going_away = True
+        for call in [c for c in self._calls.values() if c.stream_id > last_stream_id]:
+            self._end_call(
+                call,
+                RpcError(Code.UNAVAILABLE, "server is going away and did not process this call"),
             )
         if code:
             text = payload[8:].decode("ascii", "replace")[:200]
-            self._end_with(f"sent away, error {code} {text}")
+            self._fail(f"GOAWAY with error {code} {text}")
 
-    def _headers(self, pairs: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
+    def _header_dict(self, pairs: Iterable[tuple[bytes, bytes]]) -> dict[bytes, bytes]:
         return dict(pairs)
 
     def _on_request(self, now: int, event: Any) -> None:
-        headers = self._headers(event.headers)
+        headers = self._header_dict(event.headers)
         call = Call(
             event.stream_id,
             headers.get(b":path", b"").decode("ascii", "replace"),
             self._limits,
             now,
         )
-        self._calls[call.number] = call
+        self._calls[call.stream_id] = call
         call.metadata = headers
         if headers.get(b":method") != b"POST" or not headers.get(b"content-type", b"").startswith(
-            CONTENT.encode()
+            CONTENT_TYPE.encode()
         ):
-            self._refuse(now, call, 415)
+            self._reject_request(now, call, 415)
             return
         try:
             if b"grpc-timeout" in headers:
-                call.deadline = now + time_out(headers[b"grpc-timeout"])
-            if self.leaving:
-                raise RpcError(Code.UNAVAILABLE, "this server goes away")
-            assert self._opened is not None
-            self._opened(call)
-        except RpcError as problem:
-            self.finish(now, call, problem)
-
-    def _refuse(self, now: int, call: Call, status: int) -> None:
-        self._h2.send_headers(call.number, [(":status", str(status))], end_stream=True)
-        self._h2.reset_stream(call.number, ErrorCodes.NO_ERROR)
-        self._flush()
-        self._ended(call, RpcError(Code.UNKNOWN, "not a call"))
+                call.deadline = now + parse_timeout(headers[b"grpc-timeout"])
+            if self.going_away:
+                raise RpcError(Code.UNAVAILABLE, "server is going away")
+            assert self._on_call is not None
+            self._on_call(call)
+        except RpcError as error:
+            self.finish(now, call, error)
+
+    def _reject_request(self, now: int, call: Call, status: int) -> None:
+        self._h2.send_headers(call.stream_id, [(":status", str(status))], end_stream=True)
+        self._h2.reset_stream(call.stream_id, ErrorCodes.NO_ERROR)
+        self._collect_output()
+        self._end_call(call, RpcError(Code.UNKNOWN, "not a gRPC request"))
 
     def _on_response(self, now: int, event: Any) -> None:
         call = self._calls.get(event.stream_id)
         if call is None:
             return
-        headers = self._headers(event.headers)
+        headers = self._header_dict(event.headers)
         if headers.get(b":status") != b"200":
-            self._reset(call, http_error(headers.get(b":status", b"")))
-        elif b"grpc-status" in headers:  # trailers alone
-            call.headers_came = True
-            call.error = status_of(headers)
-        elif not headers.get(b"content-type", b"").startswith(CONTENT.encode()):
-            self._reset(call, RpcError(Code.UNKNOWN, "the answer is not gRPC's"))
+            self._reset(call, error_from_http_status(headers.get(b":status", b"")))
+        elif b"grpc-status" in headers:  # a response of trailers only
+            call.headers_received = True
+            call.error = status_from_trailers(headers)
+        elif not headers.get(b"content-type", b"").startswith(CONTENT_TYPE.encode()):
+            self._reset(call, RpcError(Code.UNKNOWN, "response is not gRPC"))
         else:
-            call.headers_came = True
+            call.headers_received = True
             call.metadata = headers
 
     def _on_data(self, now: int, event: Any) -> None:
@@ -265,90 +262,93 @@
         if call is None or call.ended:
             self._h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
             return
-        call._held += event.flow_controlled_length
+        call._unacknowledged += event.flow_controlled_length
         try:
-            messages = call._unpacker.feed(event.data)
-        except RpcError as problem:
-            self.finish(now, call, problem)
+            messages = call._decoder.feed(event.data)
+        except RpcError as error:
+            self.finish(now, call, error)
             return
         for message in messages:
-            # Of what has come, the whole message's part is given back when it is read.
-            part = min(call._held, len(message) + PREFIX)
-            call._held -= part
-            call.inbox.append((message, part))
-        if len(call.inbox) < self._limits.inbox and call._held:
-            # A message may be longer than the window: what has come of it is in the unpacker, which is bounded.
-            self._give_back(call, call._held)
-            call._held = 0
+            # The flow-control bytes of a complete message are acknowledged when it is read.
+            size = min(call._unacknowledged, len(message) + PREFIX_BYTES)
+            call._unacknowledged -= size
+            call.inbox.append((message, size))
+        if len(call.inbox) < self._limits.max_inbox_messages and call._unacknowledged:
+            # A message may be larger than the window, so its received part is acknowledged early.
+            # The buffer of the decoder is bounded.
+            self._acknowledge(call, call._unacknowledged)
+            call._unacknowledged = 0
         if messages:
-            call.wake()
+            call.on_change()
 
-    def _give_back(self, call: Call, number: int) -> None:
-        if number and not self.over:
+    def _acknowledge(self, call: Call, byte_count: int) -> None:
+        if byte_count and not self.closed:
             try:
-                self._h2.acknowledge_received_data(number, call.number)
+                self._h2.acknowledge_received_data(byte_count, call.stream_id)
             except ProtocolError:
-                pass  # the stream is closed: h2 has counted it for the connection
-            self._flush()
+                pass  # the stream is closed; h2 has counted the bytes for the connection
+            self._collect_output()
 
     def _on_trailers(self, now: int, event: Any) -> None:
         call = self._calls.get(event.stream_id)
         if call is not None and self._client:
-            call.error = status_of(self._headers(event.headers))
-            call.headers_came = True
+            call.error = status_from_trailers(self._header_dict(event.headers))
+            call.headers_received = True
 
     def _on_stream_ended(self, now: int, event: Any) -> None:
         call = self._calls.get(event.stream_id)
         if call is None:
             return
-        call.remote_ended = True
+        call.remote_closed = True
         if self._client:
-            if not call.headers_came:
-                call.error = call.error or RpcError(Code.INTERNAL, "ended without a status")
-            elif call._unpacker.partial:
-                call.error = call.error or RpcError(Code.INTERNAL, "ended within a message")
-            self._ended(call, call.error)
-        elif call._unpacker.partial:
-            self.finish(now, call, RpcError(Code.INTERNAL, "ended within a message"))
-        call.wake()
+            if not call.headers_received:
+                call.error = call.error or RpcError(Code.INTERNAL, "call ended without a status")
+            elif call._decoder.has_partial:
+                call.error = call.error or RpcError(Code.INTERNAL, "call ended within a message")
+            self._end_call(call, call.error)
+        elif call._decoder.has_partial:
+            self.finish(now, call, RpcError(Code.INTERNAL, "call ended within a message"))
+        call.on_change()
 
     def _on_stream_reset(self, now: int, event: Any) -> None:
-        self._count(now)
+        self._count_control_frame(now)
         call = self._calls.get(event.stream_id)
         if call is not None:
-            code = RESETS.get(event.error_code, Code.INTERNAL)
-            # A server may end the call before it has read all: the status has come, and stands.
-            self._ended(
+            code = CODES_BY_RESET.get(event.error_code, Code.INTERNAL)
+            # A server may end a call before it has read everything: a received status stays valid.
+            self._end_call(
                 call,
                 call.error
                 or (
                     None
-                    if call.remote_ended and self._client
-                    else RpcError(code, f"reset by the peer ({int(event.error_code)})")
+                    if call.remote_closed and self._client
+                    else RpcError(code, f"call reset by peer ({int(event.error_code)})")
                 ),
             )
 
     def _on_settings(self, now: int, event: Any) -> None:
-        self.settled = True
-        self._count(now)
+        self.settings_received = True
+        self._count_control_frame(now)
 
     def _on_ping(self, now: int, event: Any) -> None:
-        self._count(now)
+        self._count_control_frame(now)
 
-    def _on_ping_answer(self, now: int, event: Any) -> None:
-        self.ping_at = 0
+    def _on_ping_ack(self, now: int, event: Any) -> None:
+        self.ping_sent_at = 0
 
     def _on_terminated(self, now: int, event: Any) -> None:
-        self.leaving = self.over = True
+        self.going_away = self.closed = True
 
-    def _count(self, now: int) -> None:
-        """Guards against floods of resets, pings and settings, each of which costs more than it is worth."""
+    def _count_control_frame(self, now: int) -> None:
+        """Limits the rate of resets, pings and settings: cheap to send, expensive to handle."""
         if now // SECOND != self._second:
-            self._second, self._frames = now // SECOND, 0
-        self._frames += 1
-        if self._frames > self._limits.control_frames:
+            self._second, self._control_frames = now // SECOND, 0
+        self._control_frames += 1
+        if self._control_frames > self._limits.max_control_frames:
             self._h2.close_connection(ErrorCodes.ENHANCE_YOUR_CALM)
-            self._end_with(f"more than {self._limits.control_frames} control frames in a second")
+            self._fail(
+                f"peer sent more than {self._limits.max_control_frames} control frames in a second"
+            )
 
     _HANDLERS: dict[type, Callable[[Session, int, Any], None]] = {
         RequestReceived: _on_request,
@@ -359,14 +359,14 @@
         StreamReset: _on_stream_reset,
         RemoteSettingsChanged: _on_settings,
         PingReceived: _on_ping,
-        PingAckReceived: _on_ping_answer,
+        PingAckReceived: _on_ping_ack,
         SettingsAcknowledged: _on_settings,
         ConnectionTerminated: _on_terminated,
     }
 
-    # What this side does
+    # Actions of this side
 
-    def call(
+    def start_call(
         self,
         now: int,
         authority: str,
@@ -374,17 +374,18 @@
         deadline: int | None,
         metadata: Iterable[tuple[str, str]] = (),
     ) -> Call:
-        """A client begins a call.
+        """Starts a call of a client.
 
         Raises:
-            RpcError: UNAVAILABLE where the connection takes no further one.
+            RpcError: UNAVAILABLE if the connection is closing, RESOURCE_EXHAUSTED if it has the
+                maximum number of calls.
         """
-        if self.leaving or self.over:
-            raise RpcError(Code.UNAVAILABLE, "the connection takes no further calls")
+        if self.going_away or self.closed:
+            raise RpcError(Code.UNAVAILABLE, "connection is closing")
         if len(self._calls) >= min(
-            self._limits.streams, self._h2.remote_settings.max_concurrent_streams
+            self._limits.max_streams, self._h2.remote_settings.max_concurrent_streams
         ):
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "as many calls as the connection takes")
+            raise RpcError(Code.RESOURCE_EXHAUSTED, "too many concurrent calls on the connection")
         call = Call(self._h2.get_next_available_stream_id(), path, self._limits, now)
         call.deadline = deadline
         headers = [
@@ -393,201 +394,210 @@
             (":path", path),
             (":authority", authority),
             ("te", "trailers"),
-            ("content-type", CONTENT),
+            ("content-type", CONTENT_TYPE),
             ("user-agent", "corklift"),
             *metadata,
         ]
         if deadline is not None:
-            headers.append(("grpc-timeout", time_out_text(deadline - now)))
-        self._h2.send_headers(call.number, headers)
+            headers.append(("grpc-timeout", format_timeout(deadline - now)))
+        self._h2.send_headers(call.stream_id, headers)
         call.headers_sent = True
-        self._calls[call.number] = call
-        self._flush()
+        self._calls[call.stream_id] = call
+        self._collect_output()
         return call
 
     def send(self, now: int, call: Call, message: bytes) -> None:
-        """Queues a message. Callers wait for `call.outbox` to be small: the queue is bounded all the same.
+        """Queues a message. Callers should wait while `call.outbox` is large; its size is limited.
 
         Raises:
-            RpcError: the call is over, or too much waits to be sent.
+            RpcError: the call has ended, or the outbox is full.
         """
         if call.ended or call.finishing:
-            raise call.error or RpcError(Code.CANCELLED, "the call is over")
-        if len(call.outbox) + len(message) > self._limits.outbox:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "too much waits to be sent")
-        call.outbox += packed(message)
-        call.marks.append((call.sent + len(call.outbox), now))
-        self._sending[call.number] = call
+            raise call.error or RpcError(Code.CANCELLED, "call has ended")
+        if len(call.outbox) + len(message) > self._limits.max_outbox_bytes:
+            raise RpcError(Code.RESOURCE_EXHAUSTED, "outbox is full")
+        call.outbox += encode_message(message)
+        call.queued_ends.append((call.sent_bytes + len(call.outbox), now))
+        self._sending[call.stream_id] = call
 
     def take_message(self, call: Call) -> bytes | None:
-        """The next message that has come; its part of the window opens again."""
+        """Returns the next received message, or None, and reopens the window by its size."""
         if not call.inbox:
             return None
-        message, part = call.inbox.popleft()
+        message, size = call.inbox.popleft()
         if not call.ended:
-            self._give_back(
-                call, part + (call._held if len(call.inbox) < self._limits.inbox else 0)
+            self._acknowledge(
+                call,
+                size
+                + (
+                    call._unacknowledged if len(call.inbox) < self._limits.max_inbox_messages else 0
+                ),
+            )
+            call._unacknowledged = (
+                call._unacknowledged if len(call.inbox) >= self._limits.max_inbox_messages else 0
             )
-            call._held = call._held if len(call.inbox) >= self._limits.inbox else 0
         return message
 
-    def finish(self, now: int, call: Call, problem: RpcError | None = None) -> None:
-        """A server ends a call with its status; a client ends its sending, or cancels with a problem."""
+    def finish(self, now: int, call: Call, error: RpcError | None = None) -> None:
+        """Ends a server's call with its status; half-closes a client's call, or resets it."""
         if call.ended or call.finishing:
             return
         if self._client:
-            if problem is not None:
-                self._reset(call, problem)
+            if error is not None:
+                self._reset(call, error)
                 return
             call.finishing = True
         else:
-            code, text = (problem.code, problem.message) if problem else (Code.OK, "")
+            code, text = (error.code, error.message) if error else (Code.OK, "")
             call.trailers = [("grpc-status", str(int(code)))] + (
-                [("grpc-message", status_message(text))] if text else []
+                [("grpc-message", encode_status_message(text))] if text else []
             )
             call.finishing = True
-            if problem is not None:
-                call.outbox.clear()  # the status is told at once
-            call.error = problem
+            if error is not None:
+                call.outbox.clear()  # an error is sent at once
+            call.error = error
         if not call.outbox:
-            call.marks.clear()
-        call.marks.append((call.sent + len(call.outbox) + 1, now))
-        self._sending[call.number] = call
+            call.queued_ends.clear()
+        call.queued_ends.append((call.sent_bytes + len(call.outbox) + 1, now))
+        self._sending[call.stream_id] = call
 
-    def _reset(self, call: Call, problem: RpcError) -> None:
-        if not self.over and not call.ended:
+    def _reset(self, call: Call, error: RpcError) -> None:
+        if not self.closed and not call.ended:
             try:
-                self._h2.reset_stream(call.number, ErrorCodes.CANCEL)
+                self._h2.reset_stream(call.stream_id, ErrorCodes.CANCEL)
             except ProtocolError:
                 pass
-            self._flush()
-        self._ended(call, problem)
+            self._collect_output()
+        self._end_call(call, error)
 
-    def reset(self, call: Call, problem: RpcError) -> None:
-        """Ends a call without waiting for its bytes to leave."""
-        self._reset(call, problem)
+    def reset(self, call: Call, error: RpcError) -> None:
+        """Ends a call at once and discards its outbox."""
+        self._reset(call, error)
 
     def ping(self, now: int) -> None:
-        if not self.over and not self.ping_at:
-            self.ping_at = now
+        if not self.closed and not self.ping_sent_at:
+            self.ping_sent_at = now
             self._h2.ping(b"corklift")
-            self._flush()
+            self._collect_output()
 
     def go_away(self) -> None:
-        """No further calls are taken; those that stand go on. By hand, as h2 would end them."""
-        if not self.leaving and not self.over:
-            self.leaving = True
+        """Sends GOAWAY; calls in progress continue. Built by hand because h2 would end them."""
+        if not self.going_away and not self.closed:
+            self.going_away = True
             frame = GoAwayFrame(0)
-            frame.last_stream_id, frame.error_code = LAST_STREAM, 0
-            self._flush()
-            self._out += frame.serialize()
+            frame.last_stream_id, frame.error_code = MAX_STREAM_ID, 0
+            self._collect_output()
+            self._output += frame.serialize()
 
-    def lost(self, why: str) -> None:
-        """The connection is gone: so are its calls."""
-        self.over = True
+    def connection_lost(self, reason: str) -> None:
+        """Ends all calls with UNAVAILABLE."""
+        self.closed = True
         for call in list(self._calls.values()):
-            self._ended(call, RpcError(Code.UNAVAILABLE, why))
+            self._end_call(call, RpcError(Code.UNAVAILABLE, reason))
 
-    def stalled(self, now: int) -> Call | None:
-        """A call whose bytes have waited too long for the peer to read, if any."""
+    def find_stalled_call(self, now: int) -> Call | None:
+        """Returns a call whose oldest queued message exceeds the stall timeout, or None."""
         for call in self._sending.values():
-            if call.marks and now - call.marks[0][1] >= self._limits.stall_time:
+            if call.queued_ends and now - call.queued_ends[0][1] >= self._limits.stall_timeout:
                 return call
         return None
 
     @property
-    def calls(self) -> int:
+    def call_count(self) -> int:
         return len(self._calls)
 
     @property
-    def waiting(self) -> bool:
-        """Whether a call has something to send that the peer's window may not let go."""
+    def has_unsent_calls(self) -> bool:
+        """Whether a call has something to send, which its flow-control window may not allow yet."""
         return bool(self._sending)
 
     @property
-    def has_bytes(self) -> bool:
-        return bool(self._out)
-
-    def take(self, most: int) -> bytes:
-        """Up to so many bytes for the peer: what HTTP/2 itself has to say first, then the calls in turn."""
-        self._flush()
-        if len(self._out) < most and self._sending and not self.over:
-            self._cut_frames(most)
-        part = bytes(self._out[:most])
-        del self._out[: len(part)]
+    def has_output(self) -> bool:
+        return bool(self._output)
+
+    def data_to_send(self, max_bytes: int) -> bytes:
+        """Returns bytes for the peer: control frames first, then the calls in round robin."""
+        self._collect_output()
+        if len(self._output) < max_bytes and self._sending and not self.closed:
+            self._write_frames(max_bytes)
+        part = bytes(self._output[:max_bytes])
+        del self._output[: len(part)]
         return part
 
-    def _cut_frames(self, most: int) -> None:
-        moved = True
-        while moved and len(self._out) < most:
-            moved = False
+    def _write_frames(self, max_bytes: int) -> None:
+        progress = True
+        while progress and len(self._output) < max_bytes:
+            progress = False
             for number, call in list(self._sending.items()):
                 try:
-                    went = self._send_some(call)
-                except H2Error as problem:
-                    self._ended(call, RpcError(Code.INTERNAL, str(problem)))
+                    wrote = self._write_frame(call)
+                except H2Error as error:
+                    self._end_call(call, RpcError(Code.INTERNAL, str(error)))
                     continue
-                moved = moved or went
-                self._flush()
-                if len(self._out) >= most:
+                progress = progress or wrote
+                self._collect_output()
+                if len(self._output) >= max_bytes:
                     if number in self._sending:
                         self._sending[number] = self._sending.pop(number)  # behind the others
                     return
 
-    def _send_some(self, call: Call) -> bool:
-        """One frame of a call, and its end; returns whether anything went."""
-        went = False
+    def _write_frame(self, call: Call) -> bool:
+        """Writes one frame of a call, or its end; returns whether anything was written."""
+        wrote = False
         if not call.headers_sent and (call.outbox or call.trailers is None):
-            self._h2.send_headers(call.number, [(":status", "200"), ("content-type", CONTENT)])
-            call.headers_sent = went = True
+            self._h2.send_headers(
+                call.stream_id, [(":status", "200"), ("content-type", CONTENT_TYPE)]
+            )
+            call.headers_sent = wrote = True
         if call.outbox:
-            number = min(
+            size = min(
                 len(call.outbox),
-                self._h2.local_flow_control_window(call.number),
+                self._h2.local_flow_control_window(call.stream_id),
                 self._h2.max_outbound_frame_size,
             )
-            if number <= 0:
-                return went
-            self._h2.send_data(call.number, bytes(call.outbox[:number]))
-            del call.outbox[:number]
-            call.sent += number
-            while call.marks and call.marks[0][0] <= call.sent:
-                call.marks.popleft()
-            went = True
+            if size <= 0:
+                return wrote
+            self._h2.send_data(call.stream_id, bytes(call.outbox[:size]))
+            del call.outbox[:size]
+            call.sent_bytes += size
+            while call.queued_ends and call.queued_ends[0][0] <= call.sent_bytes:
+                call.queued_ends.popleft()
+            wrote = True
         if not call.outbox:
-            self._sending.pop(call.number, None)
+            self._sending.pop(call.stream_id, None)
             if call.finishing:
                 if self._client:
-                    self._h2.end_stream(call.number)
+                    self._h2.end_stream(call.stream_id)
                 else:
                     self._send_trailers(call)
-                went = True
-            call.wake()
-        return went
+                wrote = True
+            call.on_change()
+        return wrote
 
     def _send_trailers(self, call: Call) -> None:
         assert call.trailers is not None
-        head = [] if call.headers_sent else [(":status", "200"), ("content-type", CONTENT)]
-        self._h2.send_headers(call.number, head + call.trailers, end_stream=True)
-        if not call.remote_ended:
-            self._h2.reset_stream(
-                call.number, ErrorCodes.NO_ERROR
-            )  # so that the peer stops sending
-        self._ended(call, call.error)
-
-    def _ended(self, call: Call, problem: RpcError | None) -> None:
+        response_headers = (
+            [] if call.headers_sent else [(":status", "200"), ("content-type", CONTENT_TYPE)]
+        )
+        self._h2.send_headers(call.stream_id, response_headers + call.trailers, end_stream=True)
+        if not call.remote_closed:
+            # Makes the peer stop sending.
+            self._h2.reset_stream(call.stream_id, ErrorCodes.NO_ERROR)
+        self._end_call(call, call.error)
+
+    def _end_call(self, call: Call, error: RpcError | None) -> None:
         if not call.ended:
-            call.ended, call.remote_ended, call.finishing = True, True, True
-            call.error = problem
+            call.ended, call.remote_closed, call.finishing = True, True, True
+            call.error = error
             call.outbox.clear()
-            held = call._held + sum(part for _, part in call.inbox)
-            self._calls.pop(call.number, None)
-            self._sending.pop(call.number, None)
-            if held and not self.over:
-                # What was not read must not keep the connection's window shut.
-                self._give_back(call, held)
-            call._held = 0
-            call.wake()
-
-    def _flush(self) -> None:
-        self._out += self._h2.data_to_send()
+            unacknowledged = call._unacknowledged + sum(size for _, size in call.inbox)
+            self._calls.pop(call.stream_id, None)
+            self._sending.pop(call.stream_id, None)
+            if unacknowledged and not self.closed:
+                # Unread messages must not keep the window of the connection closed.
+                self._acknowledge(call, unacknowledged)
+            call._unacknowledged = 0
+            call.on_change()
+
+    def _collect_output(self) -> None:
+        self._output += self._h2.data_to_send()
--- a/corklift/standins/proxy.py
+++ b/corklift/standins/proxy.py
@@ -26,8 +26,8 @@
 from corklift.net.scheduler import READ, WRITE, Scheduler
 from corklift.net.stream import LineTooLongError, Stream
 from corklift.rpc.client import Channel
+from corklift.rpc.connection import RpcCall
 from corklift.rpc.core import RpcError, RpcLimits
-from corklift.rpc.link import LiveCall
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LRS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
@@ -265,7 +265,7 @@
         node: str,
         rng: Random,
         habits: Habits = Habits(),
-        limits: RpcLimits = RpcLimits(ping_after=0, back_off=200 * MS, ring=8192),
+        limits: RpcLimits = RpcLimits(ping_after=0, initial_backoff=200 * MS, ring=8192),
     ) -> None:
         self._scheduler, self.node, self._rng, self.habits, self._counters = (
             scheduler,
@@ -315,7 +315,7 @@
         while not self.stopped:
             self._scheduler.sleep(int(self.habits.drops_every * self._rng.uniform(0.5, 1.5)))
             if self.habits.drops_every < 3600 * SECOND:  # it may have been told to stop doing so
-                self.channel.drop()
+                self.channel.abort_connection()
 
     def _follow(self) -> None:
         path = ADS + (
@@ -323,7 +323,7 @@
         )
         call = self.channel.call(path, self._scheduler.now() + 60 * SECOND)
         for request in self.held.stream_opened():
-            call.post(request)
+            call.send_nowait(request)
         while True:
             message = call.receive()
             if message is None:
@@ -332,7 +332,7 @@
                 self.connected, self.connected_at = True, self._scheduler.now()
             before = self._names() if self.view_changed else set()
             for answer in self.held.came(message):
-                call.post(answer)
+                call.send_nowait(answer)
             if self.view_changed and (after := self._names()) != before:
                 self.view_changed(self, before, after)
             for cluster in self.held.resources[EDS]:
@@ -423,7 +423,7 @@
         call = self.channel.call(LRS, self._scheduler.now() + 60 * SECOND)
         first = lrs_pb2.LoadStatsRequest()
         first.node.id = self.node
-        call.post(first.SerializeToString())
+        call.send_nowait(first.SerializeToString())
         content = call.receive()
         if content is None:
             return
@@ -438,7 +438,7 @@
             self._say_loads(call)
             self._scheduler.sleep(every)
 
-    def _say_loads(self, call: LiveCall) -> None:
+    def _say_loads(self, call: RpcCall) -> None:
         issued, failed, turned_away = self._issued, self._failed, self._turned_away
         if not issued and not failed and not turned_away:
             return
@@ -456,5 +456,5 @@
         for cluster, number in turned_away.items():
             stats = by_cluster.get(cluster) or message.cluster_stats.add(cluster_name=cluster)
             stats.dropped_requests.add(category="refused", dropped_count=number)
-        call.post(message.SerializeToString())
+        call.send_nowait(message.SerializeToString())
         self._issued, self._failed, self._turned_away = Counter(), Counter(), Counter()
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -14,9 +14,9 @@
 from corklift.net.limits import SECOND, Counters, Limits
 from corklift.net.scheduler import READ, Scheduler
 from corklift.net.stream import LineTooLongError, Stream
+from corklift.rpc.connection import RpcCall
 from corklift.rpc.core import RpcLimits
-from corklift.rpc.link import LiveCall
-from corklift.rpc.server import Server, unary
+from corklift.rpc.server import RpcServer, unary
 
 LIMITS = Limits(
     clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=2048
@@ -46,9 +46,9 @@
         self.fails = False  # turns down all that is new
         self.silent = False  # answers no probe
         self.ramp, self.started_at = ramp, scheduler.now()
-        self._rpc = Server(
+        self._rpc = RpcServer(
             scheduler,
-            RpcLimits(connections=5000, ping_after=0, streams=1000),
+            RpcLimits(max_connections=5000, ping_after=0, max_streams=1000),
             Counters(),
             {SAY: unary(self._say), HOLD: self._hold},
         )
@@ -85,7 +85,7 @@
                 sock.close()
                 return
         if first == b"PRI":
-            self._rpc.take(sock, peer)
+            self._rpc.serve_connection(sock, peer)
             return
         self._lines(Stream(sock, LIMITS))
 
@@ -147,11 +147,11 @@
     def _ended(self, login: str) -> None:
         pass
 
-    def _say(self, call: LiveCall, request: bytes) -> bytes:
+    def _say(self, call: RpcCall, request: bytes) -> bytes:
         self._note(Placed(self._scheduler.now(), self.name, call.peer, "say"))
         return self.name.encode()
 
-    def _hold(self, call: LiveCall) -> None:
+    def _hold(self, call: RpcCall) -> None:
         """A stream that lasts: its first message is answered with this server's name, all others with themselves."""
         self._note(Placed(self._scheduler.now(), self.name, call.peer, "hold"))
         self.open += 1
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -52,8 +52,8 @@
         """As a crash would: every socket is closed with nothing said."""
         self.program.scheduler.stop()
         self._thread.join(5)
-        for link in list(self.program.server.links):
-            link._stream.abort()
+        for connection in list(self.program.server.connections):
+            connection._stream.abort()
         listener = self.program.server._listener
         if listener is not None:
             listener.close()
@@ -128,7 +128,7 @@
         service: Service | int,
         habits: Habits = Habits(),
         node: str = "",
-        limits: RpcLimits = RpcLimits(ping_after=0, back_off=100 * MS, ring=8192),
+        limits: RpcLimits = RpcLimits(ping_after=0, initial_backoff=100 * MS, ring=8192),
     ) -> Proxy:
         port = service if isinstance(service, int) else service.port
         proxy = Proxy(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -95,7 +95,7 @@
             fleet.holds(proxy, *ALL)
         for round_ in range(3):
             fleet.do(
-                lambda: [proxy.channel.drop() for proxy in proxies]
+                lambda: [proxy.channel.abort_connection() for proxy in proxies]
             )  # lost as the update goes out
             fleet.mark("s1", "leaving")
             for proxy in proxies:
@@ -109,7 +109,7 @@
             def spoil(proxy=proxy):
                 proxy.held.versions = dict.fromkeys(proxy.held.versions, "never issued")
                 proxy.held.resources[EDS] = {"plain": ("never issued", b""), "gone": ("5", b"")}
-                proxy.channel.drop()
+                proxy.channel.abort_connection()
 
             fleet.do(spoil)
             fleet.holds(proxy, *ALL)
@@ -271,7 +271,7 @@
             fleet.proxy(
                 service,
                 Habits(incremental=n % 2 == 1, reports=False),
-                limits=RpcLimits(ping_after=0, back_off=400 * MS, ring=8192),
+                limits=RpcLimits(ping_after=0, initial_backoff=400 * MS, ring=8192),
             )
             for n in range(200)
         ]
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -18,19 +18,19 @@
 from corklift.rpc.core import (
     MS,
     SECOND,
-    BackOff,
     Code,
+    MessageDecoder,
+    ReconnectBackoff,
     RpcError,
     RpcLimits,
-    Unpacker,
-    packed,
-    status_message,
-    status_text,
-    time_out,
-    time_out_text,
+    decode_status_message,
+    encode_message,
+    encode_status_message,
+    format_timeout,
+    parse_timeout,
 )
-from corklift.rpc.server import Server, unary
-from corklift.rpc.session import Broken, Session
+from corklift.rpc.server import RpcServer, unary
+from corklift.rpc.session import Session, SessionError
 
 SAME = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
 
@@ -40,12 +40,12 @@
     st.lists(st.integers(1, 64), min_size=1, max_size=50),
 )
 def test_messages_come_out_alike_in_any_split(messages, cuts):
-    raw, unpacker, found, at = b"".join(map(packed, messages)), Unpacker(300), [], 0
+    raw, unpacker, found, at = b"".join(map(encode_message, messages)), MessageDecoder(300), [], 0
     while at < len(raw):
         step = cuts[at % len(cuts)]
         found += unpacker.feed(raw[at : at + step])
         at += step
-    assert found == messages and not unpacker.partial
+    assert found == messages and not unpacker.has_partial
 
 
 @pytest.mark.parametrize(
@@ -59,13 +59,13 @@
 )
 def test_a_message_that_is_not_taken_is_told_by_its_prefix(raw, code):
     with pytest.raises(RpcError) as problem:
-        Unpacker(300).feed(raw)
+        MessageDecoder(300).feed(raw)
     assert problem.value.code is code
 
 
 @given(st.integers(0, 10**19))
 def test_a_time_out_is_told_no_shorter_than_it_is(span):
-    told = time_out(time_out_text(span).encode())
+    told = parse_timeout(format_timeout(span).encode())
     assert told >= span or span > 99_999_999 * 3600 * SECOND
     assert told - span <= max(1, span // 1000)
 
@@ -73,33 +73,33 @@
 @pytest.mark.parametrize("value", [b"", b"1", b"S", b"-1S", b"123456789S", b"1.5S", b"1s", b"1S "])
 def test_a_time_out_out_of_form_is_refused(value):
     with pytest.raises(RpcError):
-        time_out(value)
+        parse_timeout(value)
 
 
 @given(st.text(max_size=80))
 def test_a_status_message_is_ascii_and_comes_back(text):
-    told = status_message(text)
+    told = encode_status_message(text)
     assert all(" " <= letter <= "~" for letter in told)
-    assert status_text(told.encode()) == text
+    assert decode_status_message(told.encode()) == text
 
 
 def test_back_off_grows_spread_and_bounded():
     limits = RpcLimits()
     waits = []
     for seed in range(200):
-        back_off = BackOff(Random(seed), limits)
-        waits.append([back_off.failed() for _ in range(12)])
+        back_off = ReconnectBackoff(Random(seed), limits)
+        waits.append([back_off.next_delay() for _ in range(12)])
     firsts = sorted(wait[0] for wait in waits)
     assert (
-        limits.back_off / 2
+        limits.initial_backoff / 2
         <= firsts[0]
-        < 0.55 * limits.back_off
-        < 0.95 * limits.back_off
+        < 0.55 * limits.initial_backoff
+        < 0.95 * limits.initial_backoff
         < firsts[-1]
-        <= limits.back_off
+        <= limits.initial_backoff
     )
     assert all(
-        wait[-1] <= limits.back_off_most and wait[-1] >= limits.back_off_most / 2 for wait in waits
+        wait[-1] <= limits.max_backoff and wait[-1] >= limits.max_backoff / 2 for wait in waits
     )
 
 
@@ -113,16 +113,16 @@
 
     def pass_bytes(self, now=0):
         while True:
-            there, back = self.client.take(self.cut), self.server.take(self.cut)
+            there, back = self.client.data_to_send(self.cut), self.server.data_to_send(self.cut)
             if not there and not back:
                 return
             if there:
-                self.server.received(now, there)
+                self.server.receive_data(now, there)
             if back:
-                self.client.received(now, back)
+                self.client.receive_data(now, back)
 
     def call(self, deadline=None):
-        mine = self.client.call(0, "here", "/a/b", deadline)
+        mine = self.client.start_call(0, "here", "/a/b", deadline)
         self.pass_bytes()
         return mine, self.calls[-1]
 
@@ -142,11 +142,11 @@
     assert got == [bytes([number]) * size for number, size in enumerate(sizes)]
     pair.client.finish(0, mine)
     pair.pass_bytes()
-    assert theirs.remote_ended
+    assert theirs.remote_closed
     pair.server.finish(0, theirs, RpcError(Code.ABORTED, "änough"))
     pair.pass_bytes()
     assert mine.ended and (mine.error.code, mine.error.message) == (Code.ABORTED, "änough")
-    assert pair.client.calls == pair.server.calls == 0
+    assert pair.client.call_count == pair.server.call_count == 0
 
 
 def test_a_call_that_is_not_read_stops_its_sender_and_no_other():
@@ -171,7 +171,7 @@
         read += 1
         pair.pass_bytes()
     assert read > 200  # it goes on as it is read
-    assert pair.client.stalled(11 * SECOND) is None or unread.outbox
+    assert pair.client.find_stalled_call(11 * SECOND) is None or unread.outbox
 
 
 def test_going_away_lets_the_calls_that_stand_go_on():
@@ -180,7 +180,7 @@
     pair.server.go_away()
     pair.pass_bytes()
     with pytest.raises(RpcError):
-        pair.client.call(0, "here", "/a/b", None)
+        pair.client.start_call(0, "here", "/a/b", None)
     pair.server.send(0, theirs, b"still")
     pair.server.finish(0, theirs)
     pair.pass_bytes()
@@ -198,19 +198,19 @@
 
 @pytest.mark.parametrize("content", GARBAGE, ids=range(len(GARBAGE)))
 def test_garbage_breaks_the_connection_and_nothing_else(content):
-    with pytest.raises(Broken):
-        Session(RpcLimits(), False, lambda call: None).received(0, content)
+    with pytest.raises(SessionError):
+        Session(RpcLimits(), False, lambda call: None).receive_data(0, content)
 
 
 @given(st.binary(max_size=400), st.booleans())
 def test_any_bytes_are_taken_or_broken_off(content, preface):
     session = Session(RpcLimits(), False, lambda call: None)
     try:
-        session.received(
+        session.receive_data(
             0, (b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0" if preface else b"") + content
         )
-    except Broken:
-        assert session.over or len(session.take(1 << 20)) >= 0
+    except SessionError:
+        assert session.closed or len(session.data_to_send(1 << 20)) >= 0
 
 
 def raw_client():
@@ -231,22 +231,22 @@
 
 def test_rapid_resets_pings_and_oversized_headers_end_the_connection():
     client, session = raw_client(), Session(RpcLimits(), False, lambda call: None)
-    session.received(0, client.data_to_send())
-    with pytest.raises(Broken, match="control frames"):
+    session.receive_data(0, client.data_to_send())
+    with pytest.raises(SessionError, match="control frames"):
         for number in range(300):
             client.send_headers(1 + 2 * number, HEADERS)
             client.reset_stream(1 + 2 * number)
-            session.received(0, client.data_to_send())
-    assert b"" != session.take(1 << 20)
+            session.receive_data(0, client.data_to_send())
+    assert b"" != session.data_to_send(1 << 20)
     client, session = raw_client(), Session(RpcLimits(), False, lambda call: None)
-    with pytest.raises(Broken):
+    with pytest.raises(SessionError):
         for number in range(300):
             client.ping(b"12345678")
-            session.received(5, client.data_to_send())
+            session.receive_data(5, client.data_to_send())
     client, session = raw_client(), Session(RpcLimits(), False, lambda call: None)
     client.send_headers(1, HEADERS + [("x", "y" * 20_000)])
-    with pytest.raises(Broken):
-        session.received(0, client.data_to_send())
+    with pytest.raises(SessionError):
+        session.receive_data(0, client.data_to_send())
 
 
 def test_what_is_no_call_is_refused_and_the_connection_goes_on():
@@ -255,9 +255,9 @@
     client.send_headers(1, [*HEADERS[:4], ("content-type", "text/html")])
     client.send_headers(3, HEADERS + [("grpc-timeout", "soon")])
     client.send_headers(5, HEADERS)
-    session.received(0, client.data_to_send())
-    assert [call.number for call in taken] == [5]
-    events = client.receive_data(session.take(1 << 20))
+    session.receive_data(0, client.data_to_send())
+    assert [call.stream_id for call in taken] == [5]
+    events = client.receive_data(session.data_to_send(1 << 20))
     told = {event.stream_id: dict(event.headers) for event in events if hasattr(event, "headers")}
     assert told[1][b":status"] == b"415" and told[3][b"grpc-status"] == b"3"
 
@@ -286,7 +286,7 @@
     def failing(call):
         raise RpcError(Code.FAILED_PRECONDITION, "not 100 % ready: é")
 
-    server = Server(
+    server = RpcServer(
         loop.scheduler,
         limits,
         loop.counters,
@@ -337,13 +337,13 @@
             stand = channel.stream_stream("/t/Both", **SAME)(iter_of := _Talk(), timeout=20)
             iter_of.say(b"one")
             assert next(stand) == b"eno"
-            loop.do(lambda: loop.scheduler.spawn(server.leave, 3 * SECOND))
+            loop.do(lambda: loop.scheduler.spawn(server.shut_down, 3 * SECOND))
             time.sleep(0.2)
             iter_of.say(b"two")
             assert next(stand) == b"owt"  # a call that stands goes on
             iter_of.say(None)
             assert list(stand) == []
-            wait_for(lambda: not server.links)
+            wait_for(lambda: not server.connections)
 
 
 class _Talk:
@@ -397,7 +397,7 @@
     with Loop() as loop:
         channel = Channel(
             loop.scheduler,
-            RpcLimits(back_off=100 * MS),
+            RpcLimits(initial_backoff=100 * MS),
             loop.counters,
             ("127.0.0.1", port),
             Random(1),
@@ -426,7 +426,7 @@
             for number in range(100):
                 call.send(b"%d" % number * 100)
                 got.append(call.receive())
-            call.done_sending()
+            call.half_close()
             assert call.receive() is None
             return got
 
@@ -442,11 +442,11 @@
 
 def test_peers_that_are_silent_slow_or_speak_otherwise_are_dropped_and_others_served():
     limits = RpcLimits(
-        handshake_time=200 * MS,
-        stall_time=400 * MS,
+        handshake_timeout=200 * MS,
+        stall_timeout=400 * MS,
         ping_after=200 * MS,
-        ping_wait=200 * MS,
-        end_time=50 * MS,
+        ping_timeout=200 * MS,
+        close_timeout=50 * MS,
     )
     with Loop() as loop:
         server, port, _ = serving(loop, limits)
@@ -477,7 +477,7 @@
         for number in range(4):
             client.send_data(
                 1,
-                packed(b"x" * 60_000)[number * 16_000 : (number + 1) * 16_000],
+                encode_message(b"x" * 60_000)[number * 16_000 : (number + 1) * 16_000],
                 end_stream=number == 3,
             )
         sock.sendall(client.data_to_send())
@@ -491,19 +491,19 @@
         sock.close()
         with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
             assert channel.unary_unary("/t/Unary", **SAME)(b"ab", timeout=5) == b"abab"
-        wait_for(lambda: not server.links)
+        wait_for(lambda: not server.connections)
         assert loop.counters["connections broken off"] >= 6 and loop.counters["calls stalled"] == 1
 
 
 def test_a_full_server_turns_connections_away_and_an_exception_ends_its_call_alone():
     with Loop() as loop:
-        server, port, _ = serving(loop, RpcLimits(connections=2))
+        server, port, _ = serving(loop, RpcLimits(max_connections=2))
         server._handlers["/t/Bug"] = unary(lambda call, request: 1 // 0)
         socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(4)]
         wait_for(lambda: loop.counters["connections turned away"] == 2)
         for sock in socks:
             sock.close()
-        wait_for(lambda: not server.links)
+        wait_for(lambda: not server.connections)
         with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
             with pytest.raises(grpc.RpcError) as problem:
                 channel.unary_unary("/t/Bug", **SAME)(b"ab", timeout=5)
