--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -20,7 +20,7 @@
 
 from benchmarks.report import arguments, tell
 from corklift.rig.store_days import KINDS, play
-from corklift.store.files import Disk
+from corklift.store.files import DiskFiles
 from corklift.store.log import Store
 
 VALUE = 300  # bytes
@@ -49,7 +49,7 @@
 
 def speed(folder: str, rng: Random, rounds: int, number: int) -> tuple[float, float, float, float]:
     """Ratio, commits a second, how much more was written than kept, and how much room it took at the most."""
-    disk = Disk(os.path.join(folder, "speed"))
+    disk = DiskFiles(os.path.join(folder, "speed"))
     store = Store(disk)
     plain = os.open(os.path.join(folder, "plain"), os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
     took: dict[str, list[float]] = {"store": [], "plain": []}
@@ -71,9 +71,9 @@
             os.write(plain, rng.randbytes(VALUE + 53))
             os.fdatasync(plain)
         took["plain"].append(time.monotonic() - began)
-    store.end()
+    store.close()
     os.close(plain)
-    disk.end()
+    disk.release()
     return (
         median(took["plain"]) / median(took["store"]),
         number / median(took["store"]),
@@ -83,27 +83,27 @@
 
 
 def recovery(folder: str, rng: Random, size: int, tries: int) -> float:
-    disk = Disk(os.path.join(folder, f"recovery{size}"))
+    disk = DiskFiles(os.path.join(folder, f"recovery{size}"))
     store = Store(disk)
     value = rng.randbytes(2000)
     keys = size // 2010
     for at in range(0, keys, 500):
         store.commit([{b"%010d" % key: value for key in range(at, min(keys, at + 500))}])
-    store.end()
+    store.close()
     took = []
     for _ in range(tries):
         began = time.monotonic()
         store = Store(disk)
         took.append(time.monotonic() - began)
         assert len(store.items()) == keys
-        store.end()
-    disk.end()
+        store.close()
+    disk.release()
     return median(took)
 
 
 def pause(folder: str, rng: Random) -> float:
     """The longest commit while 20 MB are compacted, ms."""
-    disk = Disk(os.path.join(folder, "pause"))
+    disk = DiskFiles(os.path.join(folder, "pause"))
     store = Store(disk)
     for at in range(0, 10_000, 500):
         store.commit([{b"%010d" % key: rng.randbytes(2000) for key in range(at, at + 500)}])
@@ -114,7 +114,7 @@
         began = time.monotonic()
         store.commit([{b"one": b"more"}])
         longest = max(longest, time.monotonic() - began)
-    store.end()
+    store.close()
     return longest * 1000
 
 
--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -14,7 +14,16 @@
 
 from benchmarks.report import arguments, tell
 from corklift.rig.disks import Memory
-from corklift.store.format import BATCH, HEAD, WHOLE, Batch, Frame, Refused, frame_at, load
+from corklift.store.format import (
+    BATCH,
+    HEAD,
+    SNAPSHOT_END,
+    Batch,
+    DamagedStoreError,
+    Frame,
+    decode_frame,
+    load,
+)
 from corklift.store.log import Store
 
 State = dict[bytes, bytes]
@@ -43,10 +52,10 @@
     content = disk.read(name)
     at, found = HEAD.size, []
     while at < len(content):
-        frame = frame_at(content, at)
+        frame = decode_frame(content, at)
         assert isinstance(frame, Frame)
         at = frame.end
-        if frame.kind in (WHOLE, BATCH):
+        if frame.kind in (SNAPSHOT_END, BATCH):
             found.append((at, states[len(found)][1]))
     assert len(found) == len(states)
     return name, content, found
@@ -68,7 +77,7 @@
     def judge(what: str, name: str, content: bytes, wanted: State, all_states: list[State]) -> None:
         try:
             found = load([name], lambda _: content).state
-        except Refused:
+        except DamagedStoreError:
             counts["refused"] += 1
             return
         if found == wanted:
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -116,13 +116,13 @@
 
 
 def _loaded(path: str) -> Any:
-    from corklift.store.files import Disk
-    from corklift.store.format import Refused, load
+    from corklift.store.files import DiskFiles
+    from corklift.store.format import DamagedStoreError, load
 
     try:
-        disk = Disk(path, make=False)
+        disk = DiskFiles(path, create=False)
         return load(disk.names(), disk.read)
-    except (Refused, OSError) as problem:
+    except (DamagedStoreError, OSError) as problem:
         raise click.ClickException(str(problem)) from None
 
 
@@ -136,13 +136,13 @@
 @click.argument("folder", type=_Folder)
 def store_check(folder: str) -> None:
     found = _loaded(folder)
-    if not found.segment:
+    if not found.segment_number:
         click.echo(f"{folder}: no store is here")
         return
     click.echo(
-        f"{folder}: store {found.store.hex()}, {len(found.state)} keys, commit {found.sequence}, segment {found.segment}"
+        f"{folder}: store {found.store_id.hex()}, {len(found.state)} keys, commit {found.sequence}, segment {found.segment_number}"
     )
-    for cut in found.cuts:
+    for cut in found.torn_tails:
         click.echo(f"a torn end, left out: {cut.name} at byte {cut.offset}, {cut.length} bytes")
 
 
@@ -164,18 +164,18 @@
 def _written(state: dict[bytes, bytes], to: str) -> None:
     import os
 
-    from corklift.store.files import Disk
+    from corklift.store.files import DiskFiles
     from corklift.store.log import Store
 
     if os.path.isdir(to) and os.listdir(to):
         raise click.ClickException(f"{to} is not empty")
-    disk = Disk(to)
+    disk = DiskFiles(to)
     made = Store(disk)
     try:
         made.commit([dict(state)])
     finally:
-        made.end()
-        disk.end()
+        made.close()
+        disk.release()
 
 
 @store.command(
@@ -192,18 +192,18 @@
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.facts import ENDED, Fact, encoded
     from corklift.recovery.part import boot_of
-    from corklift.store.format import Refused
-    from corklift.store.log import InUse, NotKept, Store
-    from corklift.store.worker import Folders
+    from corklift.store.format import DamagedStoreError
+    from corklift.store.log import CommitFailedError, Store, StoreInUseError
+    from corklift.store.worker import StoreFolders
 
     try:
-        made = Store(Folders(path).newest())
+        made = Store(StoreFolders(path).newest())
         if made.items():
             raise click.ClickException(f"{path}: there is something to remember")
         made.commit([dict([encoded(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])])
-    except (Refused, InUse, NotKept, OSError) as problem:
+    except (DamagedStoreError, StoreInUseError, CommitFailedError, OSError) as problem:
         raise click.ClickException(f"{path}: {problem}") from None
-    made.end()
+    made.close()
     click.echo(f"{path}: nothing to remember")
 
 
@@ -214,12 +214,12 @@
 @click.argument("folder", type=_Folder)
 @click.option("--to", required=True, type=click.Path(file_okay=False))
 def store_salvage(folder: str, to: str) -> None:
-    from corklift.store.files import Disk
+    from corklift.store.files import DiskFiles
     from corklift.store.format import salvage
 
-    disk = Disk(folder, make=False)
+    disk = DiskFiles(folder, create=False)
     found = salvage(disk.names(), disk.read)
-    for lost in found.lost:
+    for lost in found.losses:
         click.echo(f"lost: {lost}")
     _written(found.state, to)
     click.echo(f"{to}: {len(found.state)} keys")
--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -18,8 +18,8 @@
 from corklift.recovery.facts import LIST, Fact, Server, Unreadable, decoded, encoded, servers
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
-from corklift.store.log import Notes
-from corklift.store.worker import Folders, Keeper
+from corklift.store.log import OpenReport
+from corklift.store.worker import StoreFolders, StoreWorker
 
 WAIT = 100 * MS  # for the disk, before a view follows the list all the same
 
@@ -52,7 +52,7 @@
             expected=1,
             alone=True,
         )
-        self._keeper = Keeper(scheduler, Folders(path), self._opened)
+        self._store_worker = StoreWorker(scheduler, StoreFolders(path), self._opened)
         self._known: Listing | None = None  # as it was told last, whole
         self._waits: list[Task] = []
         self._until = 0
@@ -61,15 +61,15 @@
 
     def jobs(self) -> list[Callable[[], None]]:
         self._until = self._scheduler.now() + self._patience
-        self._keeper.start()
-        return [self._keeper.keep_hearing, self._be_patient]
+        self._store_worker.start()
+        return [self._store_worker.run_callbacks, self._be_patient]
 
     def _be_patient(self) -> None:
         self._scheduler.sleep(self._patience)
         self._go_on()
 
     def _opened(
-        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
     ) -> None:
         now = self._scheduler.now()
         facts = []
@@ -78,11 +78,16 @@
                 facts.append(decoded(value))
             except Unreadable as problem:
                 lost = lost or str(problem)
-        if notes is None:
+        if report is None:
             self._core.unread(now, why)
         else:
             self._core.read(
-                now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+                now,
+                facts,
+                Marker(report.store_id, report.sequence),
+                report.fresh,
+                lost,
+                report.write_error,
             )
         kept = self._core.facts.get(LIST)
         if self._known is None and kept is not None:
@@ -167,8 +172,8 @@
 
     def end(self) -> None:
         self._core.stopping(self._scheduler.now())
-        self._keeper.settle(self._patience)
-        self._keeper.stop()
+        self._store_worker.wait_until_idle(self._patience)
+        self._store_worker.stop()
 
     # Host: there is nobody to ask, and operators speak to discovery
 
@@ -179,10 +184,12 @@
             self._under_way -= 1
             self._core.kept(self._scheduler.now(), number, sequence, why)
 
-        self._keeper.keep(dict(map(encoded, facts)), kept)
+        self._store_worker.submit(dict(map(encoded, facts)), kept)
 
     def forget(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
+        self._store_worker.submit(
+            {encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None
+        )
 
     def log(self, what: str, **fields: Any) -> None:
         self._write_event("store", kind=what, **fields)
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -23,8 +23,8 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.log import Notes
-from corklift.store.worker import Folders, Keeper
+from corklift.store.log import OpenReport
+from corklift.store.worker import StoreFolders, StoreWorker
 
 if TYPE_CHECKING:
     from corklift.service import Process
@@ -62,7 +62,7 @@
         period: int,
         tell: Callable[..., None],
         with_peers: Callable[[dict[str, Any]], Peers] | None,
-        folders: Folders | None = None,
+        folders: StoreFolders | None = None,
     ) -> None:
         """`with_peers`: makes the part with peers, given further calls to answer; None: this balancer is alone."""
         self._process, self._tell, self._given = process, tell, given
@@ -96,7 +96,9 @@
             expected=arguments["balancers"],
             alone=self._peers is None,
         )
-        self._keeper = Keeper(self._scheduler, folders or Folders(given.path), self._opened)
+        self._store_worker = StoreWorker(
+            self._scheduler, folders or StoreFolders(given.path), self._opened
+        )
         self._let_in: set[int] = set()
         self._listing: Listing | None = None  # all that is listed, as it was told last
         self._again = False  # what is listed is no news
@@ -126,8 +128,8 @@
     # Part
 
     def jobs(self) -> Sequence[Callable[[], None]]:
-        self._keeper.start()
-        jobs = [self._keeper.keep_hearing, self._keep_going]
+        self._store_worker.start()
+        jobs = [self._store_worker.run_callbacks, self._keep_going]
         return [*jobs, *self._peers.jobs()] if self._peers else jobs
 
     def leave(self) -> None:
@@ -138,9 +140,9 @@
     def left(self) -> None:
         if self._peers:
             self._peers.left()
-        self._keeper.settle(min(SECOND, self._period))
+        self._store_worker.wait_until_idle(min(SECOND, self._period))
         self._left = True
-        self._keeper.stop()
+        self._store_worker.stop()
 
     @property
     def refused_why(self) -> str:
@@ -239,13 +241,15 @@
                 self._scheduler.sleep(self._period // 8)
 
     def keep(self, number: int, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep(
+        self._store_worker.submit(
             dict(map(encoded, facts)),
             lambda sequence, why: self.core.kept(self._scheduler.now(), number, sequence, why),
         )
 
     def forget(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep({encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None)
+        self._store_worker.submit(
+            {encoded(fact)[0]: None for fact in facts}, lambda sequence, why: None
+        )
 
     def believe(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
@@ -307,10 +311,10 @@
     # The disk
 
     def _opened(
-        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
     ) -> None:
         now = self._scheduler.now()
-        if notes is None:
+        if report is None:
             self.core.unread(now, why)
             return
         facts = []
@@ -319,7 +323,7 @@
                 facts.append(decoded(value))
             except Unreadable as problem:
                 lost = "; ".join(filter(None, (lost, f"{key!r:.80}: {problem}")))
-        for cut in notes.cuts:
+        for cut in report.torn_tails:
             self._tell(
                 "store",
                 kind="a torn end is left out",
@@ -328,7 +332,12 @@
                 length=cut.length,
             )
         self.core.read(
-            now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+            now,
+            facts,
+            Marker(report.store_id, report.sequence),
+            report.fresh,
+            lost,
+            report.write_error,
         )
 
     # The list
@@ -455,7 +464,7 @@
         return (
             f"app.recovery_step:{int(core.step)}|g\napp.store_behind:{int(core.behind)}|g\napp.store_trouble:{int(bool(core.trouble))}|g\n"
             f"app.store_commits:{core.own.sequence}|c\napp.store_waiting_ms:"
-            f"{(self._scheduler.now() - self._keeper.since) // MS if self._keeper.under_way else 0}|g\n"
+            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}|g\n"
         )
 
     # Calls that come in
--- a/corklift/rig/disks.py
+++ b/corklift/rig/disks.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from corklift.store.files import Disk
+from corklift.store.files import DiskFiles
 
 SECTOR = 512
 
@@ -201,11 +201,11 @@
 PLAN, SHADOW = "faults.json", "shadow"
 
 
-class Played(Disk):
+class Played(DiskFiles):
     """A real folder, with faults that the rig says in a file beside it, and a copy of what would outlive a power loss."""
 
-    def __init__(self, path: str, make: bool = True, control: str = "") -> None:
-        super().__init__(path, make)
+    def __init__(self, path: str, create: bool = True, control: str = "") -> None:
+        super().__init__(path, create)
         self._control = control or path + ".rig"
         self._shadow = os.path.join(self._control, SHADOW, os.path.basename(path))
         os.makedirs(self._shadow, exist_ok=True)
--- a/corklift/rig/power_days.py
+++ b/corklift/rig/power_days.py
@@ -14,8 +14,8 @@
 from corklift.recovery.facts import OUT, Fact, decoded
 from corklift.rig.checker import Break, judge
 from corklift.rig.fleet import Rig, Shape
-from corklift.store.files import Disk
-from corklift.store.format import Refused, load, salvage
+from corklift.store.files import DiskFiles
+from corklift.store.format import DamagedStoreError, load, salvage
 
 Way = Literal["serve", "today", "knows"]
 MOST_BAD = 2  # disks at a time, of five or more: a yes means three, and one that comes back asks as many as are bad at the most
@@ -221,13 +221,13 @@
     )
     if not folders:
         return []
-    disk = Disk(os.path.join(base, folders[-1]), make=False)
+    disk = DiskFiles(os.path.join(base, folders[-1]), create=False)
     try:
         state = load(disk.names(), disk.read).state
-    except Refused:
+    except DamagedStoreError:
         state = salvage(disk.names(), disk.read).state
     finally:
-        disk.end()
+        disk.release()
     return [decoded(value) for value in state.values()]
 
 
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -165,10 +165,10 @@
 def played_disks() -> None:
     """No fault of the program: its file layer plays what the rig tells it, in a folder beside the store's."""
 
-    def played(path: str, make: bool = True) -> disks.Played:
-        return disks.Played(path, make, os.path.dirname(path) + ".rig")
+    def played(path: str, create: bool = True) -> disks.Played:
+        return disks.Played(path, create, os.path.dirname(path) + ".rig")
 
-    files.Disk = played  # type: ignore[assignment,misc]
+    files.DiskFiles = played  # type: ignore[assignment,misc]
 
 
 def jumping_clock() -> None:
--- a/corklift/rig/store_days.py
+++ b/corklift/rig/store_days.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from corklift.rig.disks import Faults, Memory, PowerLost
-from corklift.store.format import Batch, Refused
-from corklift.store.log import NotKept, Store
+from corklift.store.format import Batch, DamagedStoreError
+from corklift.store.log import CommitFailedError, Store
 
 FAILING = Faults(append=0.03, sync=0.03, create=0.02, remove=0.05, folder=0.02)
 LYING = FAILING._replace(lies=0.3)
@@ -42,12 +42,14 @@
         disk.cut_at = disk.calls + rng.randrange(1, 90) if rng.random() < 0.9 else 0
         opened = None
         try:
-            opened = store(disk, rng.randbytes(16), least=rng.choice((200, 3000, 1 << 20)))
+            opened = store(
+                disk, rng.randbytes(16), min_compaction_bytes=rng.choice((200, 3000, 1 << 20))
+            )
             found = dict(opened.items())
             if found != state and found not in maybe:
                 gone = disk.lied or kind == "lying"
                 shown = marker is not None and (
-                    marker[0] != opened.store or marker[1] > opened.sequence
+                    marker[0] != opened.store_id or marker[1] > opened.sequence
                 )
                 invented += not gone
                 lost += not gone
@@ -57,8 +59,8 @@
                     or f"seed {seed} {kind}, life {life}: found {found!r:.200} where {state!r:.200} was committed"
                 )
             # What was read and could not be written anew may be gone at the next cut, if it had not returned before.
-            state, maybe = found, [state, *maybe] if opened.notes.trouble else []
-            marker = (opened.store, opened.sequence)
+            state, maybe = found, [state, *maybe] if opened.open_report.write_error else []
+            marker = (opened.store_id, opened.sequence)
             for _ in range(rng.randrange(25)):
                 batch: Batch = {
                     b"k%d" % rng.randrange(5): None
@@ -70,16 +72,16 @@
                 maybe.append(after)
                 try:
                     opened.commit([batch])
-                except NotKept:
+                except CommitFailedError:
                     continue
                 state, maybe = after, []
-                marker = (opened.store, opened.sequence)
+                marker = (opened.store_id, opened.sequence)
                 commits += 1
                 while opened.compact(lambda: rng.random() < 0.3) and rng.random() < 0.7:
                     pass
         except PowerLost:
             pass
-        except Refused as problem:
+        except DamagedStoreError as problem:
             refused += 1
             if not disk.lied and state:
                 lost += 1
--- a/corklift/store/__init__.py
+++ b/corklift/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must last: a small embedded store. See docs/design/store.md."""
+"""The durable store: a small embedded key-value store. See docs/design/store.md."""
--- a/corklift/store/files.py
+++ b/corklift/store/files.py
@@ -1,8 +1,8 @@
-"""The file layer: everything that lasts goes through these few calls on one folder.
+"""The file layer: the few operations on one folder through which everything durable goes.
 
-Owns the folder's descriptors and its lock. Each call either did what it says or raises OSError; what was appended lasts only once
-`sync` has returned, what was created or removed only once `sync_folder` has. There is no rename, so none can fail to last. Must never
-know what is in a file. Tests and the rig put faults here.
+Each call either did what it says or raises OSError. Appended bytes are durable only once `sync` has
+returned; created and removed files only once `sync_folder` has. There is deliberately no rename,
+whose durability would be one more thing to ensure. Tests and the rig inject faults here.
 """
 
 from __future__ import annotations
@@ -11,36 +11,47 @@
 import os
 from typing import Protocol
 
-MOST_READ = 1 << 30  # bytes of a file
+MAX_FILE_BYTES = 1 << 30
 
 
-class Files(Protocol):
-    """One folder, without folders in it."""
+class FileLayer(Protocol):
+    """One folder without subfolders."""
 
     def names(self) -> list[str]: ...
     def read(self, name: str) -> bytes: ...
-    def create(
-        self, name: str
-    ) -> int: ...  # a new, empty file; raises FileExistsError for one that is there
-    def append(
-        self, handle: int, content: bytes
-    ) -> None: ...  # after OSError any part of it may be there
-    def sync(
-        self, handle: int
-    ) -> None: ...  # after OSError nothing is known of what was appended since the last one
+
+    def create(self, name: str) -> int:
+        """Creates an empty file and returns its handle; raises FileExistsError if it exists."""
+        ...
+
+    def append(self, handle: int, content: bytes) -> None:
+        """Appends; after an OSError any part of the content may have been written."""
+        ...
+
+    def sync(self, handle: int) -> None:
+        """Syncs; after an OSError it is unknown which bytes since the last sync are durable."""
+        ...
+
     def sync_folder(self) -> None: ...
     def close(self, handle: int) -> None: ...
     def remove(self, name: str) -> None: ...
-    def lock(self) -> bool: ...  # for this process's life; whether no other process has it
 
+    def lock(self) -> bool:
+        """Locks the folder for the life of the process; returns whether the lock was free."""
+        ...
+
+
+class DiskFiles:
+    """A folder of the file system."""
 
-class Disk:
-    """The system's files."""
+    def __init__(self, path: str, create: bool = True) -> None:
+        """Opens the folder, and creates it if need be.
 
-    def __init__(self, path: str, make: bool = True) -> None:
-        """Raises OSError where the folder can't be made or opened."""
+        Raises:
+            OSError: the folder can't be created or opened.
+        """
         self.path = path
-        if make:
+        if create:
             os.makedirs(path, mode=0o700, exist_ok=True)
         self._folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         self._lock: int | None = None
@@ -50,7 +61,7 @@
 
     def read(self, name: str) -> bytes:
         with open(os.path.join(self.path, name), "rb") as file:
-            return file.read(MOST_READ)
+            return file.read(MAX_FILE_BYTES)
 
     def create(self, name: str) -> int:
         return os.open(
@@ -61,12 +72,13 @@
         )
 
     def append(self, handle: int, content: bytes) -> None:
-        left = memoryview(content)
-        while left:
-            left = left[os.write(handle, left) :]
+        remaining = memoryview(content)
+        while remaining:
+            remaining = remaining[os.write(handle, remaining) :]
 
     def sync(self, handle: int) -> None:
-        os.fdatasync(handle)  # the length too, as it is needed to read what was written
+        # fdatasync includes the file length, as that is needed to read the data back.
+        os.fdatasync(handle)
 
     def sync_folder(self) -> None:
         os.fsync(self._folder)
@@ -84,7 +96,8 @@
                     "lock", os.O_CREAT | os.O_RDWR | os.O_CLOEXEC, 0o600, dir_fd=self._folder
                 )
             except OSError:
-                # A disk that is full or read-only: whoever has the store has the file.
+                # The disk may be full or read-only. If the lock file does not exist, no process
+                # holds the store.
                 try:
                     handle = os.open("lock", os.O_RDONLY | os.O_CLOEXEC, dir_fd=self._folder)
                 except FileNotFoundError:
@@ -100,8 +113,8 @@
             self._lock = handle
         return True
 
-    def end(self) -> None:
-        """Gives the lock and the folder back."""
+    def release(self) -> None:
+        """Releases the lock and closes the folder."""
         for handle in (self._lock, self._folder):
             if handle is not None:
                 os.close(handle)
--- a/corklift/store/log.py
+++ b/corklift/store/log.py
@@ -1,8 +1,10 @@
-"""A store: all that it keeps is in memory, and each batch is on the disk before it counts.
+"""A small durable key-value store: the state is in memory, and each commit is synced to disk.
 
-Owns one folder's segments and their order of writing. A commit that returned lasts; one that raised may or may not. A segment in which
-a write or a sync failed is never written to again: what is known is written anew into the next one. So is it at each start, so
-nothing rests on what another process left in the system's cache. Must never know what it keeps. Blocks on the disk; `keeper` has it in a thread.
+The store owns the segments of one folder and the order in which they are written. A commit that
+returned is durable; a commit that raised may or may not be. A segment in which a write or a sync
+failed is never written to again: the state is rewritten into a new segment. The same happens at
+each start, so that nothing depends on what another process left in the page cache. The store does
+not interpret keys and values. It blocks on the disk; `worker` runs it in a thread.
 """
 
 from __future__ import annotations
@@ -11,64 +13,67 @@
 from collections.abc import Callable, Iterator, Sequence
 from typing import NamedTuple
 
-from corklift.store.files import Files
+from corklift.store.files import FileLayer
 from corklift.store.format import (
     BATCH,
     HEAD,
-    MARK,
-    PART,
-    WHOLE,
+    SNAPSHOT_END,
+    SNAPSHOT_PART,
+    SYNC_MARK,
     Batch,
-    Cut,
-    Head,
-    encode,
-    frame,
-    head,
+    SegmentHeader,
+    TornTail,
+    encode_frame,
+    encode_header,
+    encode_items,
     load,
-    name_of,
-    parts,
+    segment_name,
+    snapshot_parts,
 )
 
-GARBAGE = 2.0  # times what is kept that a segment may have, before what is kept is written anew ...
-LEAST = 64 << 10  # ... and so many bytes
-SLICE = 1 << 20  # bytes of that written between two commits
+# A segment is compacted once its garbage is this multiple of the live bytes, and it is at least so
+# large.
+MAX_GARBAGE_RATIO = 2.0
+MIN_COMPACTION_BYTES = 64 << 10
+# Bytes of a snapshot that a compaction writes between two commits.
+COMPACTION_SLICE_BYTES = 1 << 20
 
 
-class InUse(Exception):
-    """Another process has the store."""
+class StoreInUseError(Exception):
+    """Another process holds the lock of the store."""
 
 
-class NotKept(Exception):
-    """The disk did not take a commit, nor a new segment: what was to be kept is not known to be."""
+class CommitFailedError(Exception):
+    """The disk took neither the commit nor a new segment, so the commit may not be durable."""
 
 
-class Notes(NamedTuple):
-    """What a start found."""
+class OpenReport(NamedTuple):
+    """What opening the store found."""
 
-    fresh: bool  # no store was there
-    cuts: tuple[Cut, ...]
+    fresh: bool  # there was no store
+    torn_tails: tuple[TornTail, ...]
     sequence: int
-    store: bytes
-    trouble: str  # why it can't be written just now; empty: it can
+    store_id: bytes
+    write_error: str  # why the store is not writable at present; empty: it is
 
 
-class _Writing:
-    """A segment that is being written."""
+class _SegmentWriter:
+    """Writes one segment."""
 
-    def __init__(self, files: Files, given: Head) -> None:
-        self.files, self.number = files, given.number
-        self.handle = files.create(name_of(given.number))
-        content = head(given)
+    def __init__(self, files: FileLayer, header: SegmentHeader) -> None:
+        self.files, self.number = files, header.number
+        self.handle = files.create(segment_name(header.number))
+        content = encode_header(header)
         self._chain = int.from_bytes(content[HEAD.size - 4 :], "little")
-        self._held = bytearray(content)
+        self._buffer = bytearray(content)
         self.size, self.synced = 0, 0
 
-    def put(self, kind: int, sequence: int, body: bytes = b"") -> None:
-        content, self._chain = frame(kind, sequence, self.synced, self._chain, body)
-        self._held += content
+    def append_frame(self, kind: int, sequence: int, body: bytes = b"") -> None:
+        content, self._chain = encode_frame(kind, sequence, self.synced, self._chain, body)
+        self._buffer += content
 
     def flush(self) -> None:
-        content, self._held = bytes(self._held), bytearray()
+        content, self._buffer = bytes(self._buffer), bytearray()
         self.files.append(self.handle, content)
         self.size += len(content)
 
@@ -77,224 +82,273 @@
         self.files.sync(self.handle)
         self.synced = sequence + 1
 
-    def mark(self, sequence: int) -> None:
-        """Says in the file what is synced: a bit that flips later is then told from a torn end. Not synced itself."""
-        self.put(MARK, sequence)
+    def write_sync_mark(self, sequence: int) -> None:
+        """Records in the file what is synced, so that a later bit flip differs from a torn end.
+
+        The mark itself is not synced.
+        """
+        self.append_frame(SYNC_MARK, sequence)
         self.flush()
 
 
 class _Compaction:
-    """What is kept, written into the next segment a slice at a time while commits go on in this one."""
+    """Writes a snapshot into the next segment in slices while commits go on in the current one."""
 
-    def __init__(self, writing: _Writing, state: dict[bytes, bytes], sequence: int) -> None:
-        self.writing, self.sequence = writing, sequence
-        self._parts: Iterator[bytes] = parts(dict(state))
-        self.missed: list[tuple[int, bytes]] = []  # batches since
+    def __init__(self, writer: _SegmentWriter, state: dict[bytes, bytes], sequence: int) -> None:
+        self.writer, self.sequence = writer, sequence
+        self._parts: Iterator[bytes] = snapshot_parts(dict(state))
+        self.later_batches: list[tuple[int, bytes]] = []  # committed since the snapshot was taken
 
-    def slice(self) -> bool:
-        """Returns whether that was the last one."""
+    def write_slice(self) -> bool:
+        """Writes a slice; returns whether it was the last one."""
         size = 0
         for body in self._parts:
-            self.writing.put(PART, self.sequence, body)
+            self.writer.append_frame(SNAPSHOT_PART, self.sequence, body)
             size += len(body)
-            if size >= SLICE:
-                self.writing.flush()
+            if size >= COMPACTION_SLICE_BYTES:
+                self.writer.flush()
                 return False
         return True
 
 
 class Store:
-    def __init__(self, files: Files, store: bytes = b"", least: int = LEAST) -> None:
-        """Opens the folder, or makes a store there; `store`: its id then, drawn by default; `least`: bytes, before compaction.
+    """A durable key-value store in one folder."""
+
+    def __init__(
+        self,
+        files: FileLayer,
+        store_id: bytes = b"",
+        min_compaction_bytes: int = MIN_COMPACTION_BYTES,
+    ) -> None:
+        """Opens the store in the folder, or creates one.
+
+        Args:
+            files: the folder.
+            store_id: the id of a store that is created; drawn at random by default.
+            min_compaction_bytes: segments below this size are not compacted.
 
         Raises:
-            InUse: another process has it.
-            Refused: it is damaged; nothing was changed.
-            OSError: it can't be read. One that can't be written is open all the same: see `notes`, and each commit.
+            StoreInUseError: another process holds the lock.
+            DamagedStoreError: the store is damaged; nothing was changed.
+            OSError: the folder can't be read. If it can't be written the store opens all the same:
+                see `open_report`, and each commit.
         """
         if not files.lock():
-            raise InUse("another process has the store")
-        self._files, self._least = files, least
-        found = load(files.names(), files.read)
-        self._state, self.sequence = found.state, found.sequence
-        self._live = sum(len(key) + len(value) for key, value in found.state.items())
-        self.store = found.store or store or os.urandom(16)
-        self._newest, self._before = found.newest, (found.segment, found.read)
-        self._writing: _Writing | None = None
+            raise StoreInUseError("another process has the store")
+        self._files, self._min_compaction_bytes = files, min_compaction_bytes
+        loaded = load(files.names(), files.read)
+        self._state, self.sequence = loaded.state, loaded.sequence
+        self._live_bytes = sum(len(key) + len(value) for key, value in loaded.state.items())
+        self.store_id = loaded.store_id or store_id or os.urandom(16)
+        self._newest_number, self._previous = (
+            loaded.newest_number,
+            (loaded.segment_number, loaded.segment_bytes),
+        )
+        self._writer: _SegmentWriter | None = None
         self._compaction: _Compaction | None = None
         self.failures = 0
         self.compactions = 0
-        self.written = 0  # bytes, all segments
-        trouble = ""
-        if not found.segment:
-            self._clear()
+        self.bytes_written = 0  # size of the largest segment written
+        write_error = ""
+        if not loaded.segment_number:
+            self._remove_torn_creations()
         try:
-            self._anew([])
+            self._rewrite([])
         except OSError as problem:
             self.failures += 1
-            trouble = str(problem)
-        self.notes = Notes(not found.segment, found.cuts, found.sequence, self.store, trouble)
+            write_error = str(problem)
+        self.open_report = OpenReport(
+            not loaded.segment_number,
+            loaded.torn_tails,
+            loaded.sequence,
+            self.store_id,
+            write_error,
+        )
 
-    # What is kept
+    # State
 
     def get(self, key: bytes) -> bytes | None:
         return self._state.get(key)
 
     def items(self, prefix: bytes = b"") -> list[tuple[bytes, bytes]]:
-        """By key, in order."""
+        """Returns the items whose keys have the prefix, sorted by key."""
         return sorted((key, value) for key, value in self._state.items() if key.startswith(prefix))
 
     def commit(self, batches: Sequence[Batch]) -> int:
-        """Each batch whole or not at all, all with one sync; returns the last one's number. Once it returns they last.
+        """Commits batches with a single sync, each of them atomically.
+
+        Returns the sequence number of the last batch. All are durable once it returns.
 
         Raises:
-            NotKept: not known to be kept. What is kept in memory is as before; the next commit tries a new segment.
+            CommitFailedError: the batches may not be durable. The state in memory is unchanged, and
+                the next commit tries a new segment.
             ValueError: a key or a value is too long; nothing was written.
         """
-        bodies = [encode(batch.items()) for batch in batches]
-        writing = self._writing
-        if writing is not None:
+        bodies = [encode_items(batch.items()) for batch in batches]
+        writer = self._writer
+        if writer is not None:
             try:
                 for number, body in enumerate(bodies, self.sequence + 1):
-                    writing.put(BATCH, number, body)
-                writing.sync(self.sequence + len(bodies))
+                    writer.append_frame(BATCH, number, body)
+                writer.sync(self.sequence + len(bodies))
             except OSError:
-                # Never tried again: after a sync that failed the system may hold what the disk does not for written.
+                # A failed sync is never retried: the kernel may have marked the pages as clean
+                # although the disk does not hold them.
                 self.failures += 1
-                self.give_up()
-                writing = None
-        if writing is None:
+                self.abandon_segments()
+                writer = None
+        if writer is None:
             try:
-                self._anew(bodies)
+                self._rewrite(bodies)
             except OSError as problem:
                 self.failures += 1
-                raise NotKept(str(problem)) from problem
+                raise CommitFailedError(str(problem)) from problem
         else:
-            self._mark(self.sequence + len(bodies))
+            self._write_sync_mark(self.sequence + len(bodies))
         for number, (batch, body) in enumerate(zip(batches, bodies), self.sequence + 1):
-            self._take(batch)
+            self._apply(batch)
             if self._compaction is not None:
-                self._compaction.missed.append((number, body))
+                self._compaction.later_batches.append((number, body))
         self.sequence += len(bodies)
         return self.sequence
 
-    def _mark(self, sequence: int) -> None:
-        assert self._writing is not None
+    def _write_sync_mark(self, sequence: int) -> None:
+        assert self._writer is not None
         try:
-            self._writing.mark(sequence)
-            self.written = max(self.written, self._writing.size)
+            self._writer.write_sync_mark(sequence)
+            self.bytes_written = max(self.bytes_written, self._writer.size)
         except OSError:
+            # What was committed is synced; the next commit begins a new segment.
             self.failures += 1
-            self.give_up()  # what was committed is synced; the next commit begins a new segment
+            self.abandon_segments()
 
-    def _take(self, batch: Batch) -> None:
+    def _apply(self, batch: Batch) -> None:
         for key, value in batch.items():
-            before = self._state.pop(key, None)
-            if before is not None:
-                self._live -= len(key) + len(before)
+            old_value = self._state.pop(key, None)
+            if old_value is not None:
+                self._live_bytes -= len(key) + len(old_value)
             if value is not None:
                 self._state[key] = value
-                self._live += len(key) + len(value)
+                self._live_bytes += len(key) + len(value)
 
     # Segments
 
-    def _clear(self) -> None:
-        """Creations that were cut short, before there was a store. Guards against their numbers, by which a store had been there."""
+    def _remove_torn_creations(self) -> None:
+        """Removes the files of interrupted creations in a folder without a store.
+
+        Their numbers would later make it look as if there had been a store before.
+        """
         try:
             for name in self._files.names():
                 if name.endswith(".seg"):
                     self._files.remove(name)
-            self._newest = 0
+            self._newest_number = 0
         except OSError:
-            pass  # the next number, then
-
-    def _next(self, sequence: int) -> _Writing:
-        self._newest += 1
-        return _Writing(self._files, Head(self.store, self._newest, *self._before, sequence))
-
-    def _anew(self, bodies: list[bytes]) -> None:
-        """What is kept and these batches, in a segment of its own; then the older ones go."""
-        self.give_up()
-        writing = self._next(self.sequence)
+            pass  # the next free number is used instead
+
+    def _create_segment(self, sequence: int) -> _SegmentWriter:
+        self._newest_number += 1
+        return _SegmentWriter(
+            self._files,
+            SegmentHeader(self.store_id, self._newest_number, *self._previous, sequence),
+        )
+
+    def _rewrite(self, bodies: list[bytes]) -> None:
+        """Writes the state and these batches into a new segment, then removes the older ones."""
+        self.abandon_segments()
+        writer = self._create_segment(self.sequence)
         try:
-            for body in parts(self._state):
-                writing.put(PART, self.sequence, body)
-                writing.flush()
-            self._finish(writing, self.sequence, list(enumerate(bodies, self.sequence + 1)))
+            for body in snapshot_parts(self._state):
+                writer.append_frame(SNAPSHOT_PART, self.sequence, body)
+                writer.flush()
+            self._finish_snapshot(writer, self.sequence, list(enumerate(bodies, self.sequence + 1)))
         except OSError:
-            self._close(writing)
-            if not self._before[0]:
-                self._clear()
+            self._close_writer(writer)
+            if not self._previous[0]:
+                self._remove_torn_creations()
             else:
-                self._remove(name_of(writing.number))
+                self._remove_file(segment_name(writer.number))
             raise
-        self._writing = writing
-        self._mark(self.sequence + len(bodies))
+        self._writer = writer
+        self._write_sync_mark(self.sequence + len(bodies))
+
+    def _finish_snapshot(
+        self, writer: _SegmentWriter, sequence: int, batches: list[tuple[int, bytes]]
+    ) -> None:
+        """Completes a segment's snapshot, writes these batches behind it, and syncs both.
 
-    def _finish(self, writing: _Writing, sequence: int, batches: list[tuple[int, bytes]]) -> None:
-        """Its snapshot ends; from here on it stands alone, once the folder is synced too. Only then older ones are removed."""
-        writing.put(WHOLE, sequence)
+        The segment replaces the older ones once the folder is synced too. Only then are they
+        removed.
+        """
+        writer.append_frame(SNAPSHOT_END, sequence)
         for number, body in batches:
-            writing.put(BATCH, number, body)
-        writing.sync(batches[-1][0] if batches else sequence)
+            writer.append_frame(BATCH, number, body)
+        writer.sync(batches[-1][0] if batches else sequence)
         self._files.sync_folder()
-        self._before = writing.number, writing.size
+        self._previous = writer.number, writer.size
         for name in self._files.names():
-            if name.endswith(".seg") and name < name_of(writing.number):
-                self._remove(name)
+            if name.endswith(".seg") and name < segment_name(writer.number):
+                self._remove_file(name)
 
-    def _remove(self, name: str) -> None:
+    def _remove_file(self, name: str) -> None:
         try:
             self._files.remove(name)
         except OSError:
-            pass  # of no harm: the newest whole one counts
+            pass  # harmless: the newest complete segment takes precedence
 
-    def give_up(self) -> None:
-        """Nothing more goes into what is written now; the next commit begins a new segment."""
-        for writing in (self._writing, self._compaction.writing if self._compaction else None):
-            if writing is not None:
-                self._close(writing)
-        self._writing = self._compaction = None
+    def abandon_segments(self) -> None:
+        """Stops writing to the current segments; the next commit begins a new one."""
+        for writer in (self._writer, self._compaction.writer if self._compaction else None):
+            if writer is not None:
+                self._close_writer(writer)
+        self._writer = self._compaction = None
 
-    def _close(self, writing: _Writing) -> None:
+    def _close_writer(self, writer: _SegmentWriter) -> None:
         try:
-            self._files.close(writing.handle)
+            self._files.close(writer.handle)
         except OSError:
             pass
 
-    def compact(self, wanted: Callable[[], bool] = lambda: False) -> bool:
-        """Does a slice of what is due; returns whether more is. `wanted`: whether a commit waits, which then goes first."""
-        writing = self._writing
-        if writing is None:
+    def compact(self, commit_waits: Callable[[], bool] = lambda: False) -> bool:
+        """Does a part of the compaction that is due; returns whether more is left.
+
+        It returns early when `commit_waits` returns true, so that the commit goes first.
+        """
+        writer = self._writer
+        if writer is None:
             return False
         if self._compaction is None:
-            if writing.size < self._least or writing.size < (1 + GARBAGE) * self._live:
+            if (
+                writer.size < self._min_compaction_bytes
+                or writer.size < (1 + MAX_GARBAGE_RATIO) * self._live_bytes
+            ):
                 return False
             try:
                 self._compaction = _Compaction(
-                    self._next(self.sequence), self._state, self.sequence
+                    self._create_segment(self.sequence), self._state, self.sequence
                 )
             except OSError:
                 self.failures += 1
                 return False
-        due = self._compaction
+        compaction = self._compaction
         try:
-            while not due.slice():
-                if wanted():
+            while not compaction.write_slice():
+                if commit_waits():
                     return True
-            due.writing.flush()
-            self._finish(due.writing, due.sequence, due.missed)
+            compaction.writer.flush()
+            self._finish_snapshot(compaction.writer, compaction.sequence, compaction.later_batches)
         except OSError:
-            # The new one may be whole on the disk, and would count: nothing more may go into the old one either.
+            # The new segment may be complete on the disk and would then take precedence, so
+            # nothing more may be written to the old one either.
             self.failures += 1
-            self.give_up()
+            self.abandon_segments()
             return False
         self._compaction = None
-        self._close(writing)
-        self._writing = due.writing
+        self._close_writer(writer)
+        self._writer = compaction.writer
         self.compactions += 1
-        self._mark(self.sequence)
+        self._write_sync_mark(self.sequence)
         return False
 
-    def end(self) -> None:
-        self.give_up()
+    def close(self) -> None:
+        self.abandon_segments()
--- a/corklift/store/worker.py
+++ b/corklift/store/worker.py
@@ -1,7 +1,8 @@
-"""A store in a thread of its own: whoever keeps something is called back when it lasts, and no disk delays a tick.
+"""Runs a store in its own thread, so that a slow disk does not block the scheduler.
 
-Owns the thread and the queue to it, which holds each key once. Must never call back from the thread, or keep the process from ending
-because a disk stalls.
+The worker owns the thread and the queue to it, which holds each key once. Callbacks run on the
+scheduler, never in the thread. The thread is a daemon: a stalled disk does not keep the process
+from ending.
 """
 
 from __future__ import annotations
@@ -16,19 +17,25 @@
 from corklift.net.limits import SECOND
 from corklift.net.scheduler import READ, Scheduler
 from corklift.store import files
-from corklift.store.files import Files
-from corklift.store.format import Batch, Refused, salvage
-from corklift.store.log import InUse, Notes, NotKept, Store
+from corklift.store.files import FileLayer
+from corklift.store.format import Batch, DamagedStoreError, salvage
+from corklift.store.log import CommitFailedError, OpenReport, Store, StoreInUseError
 
-Opened = Callable[[Notes | None, list[tuple[bytes, bytes]], str, str], None]
-Kept = Callable[[int, str], None]  # the batch's number, and why it is not kept; empty: it is
+# Called with the report, the stored items, what was lost of a damaged store, and why there is no
+# store; in that last case the report is None.
+OpenCallback = Callable[[OpenReport | None, list[tuple[bytes, bytes]], str, str], None]
+# Called with the sequence number of the commit, and why it failed; empty: it did not.
+CommitCallback = Callable[[int, str], None]
 
 
-class Folders:
-    """Where one store after the other lies: a damaged one is left as it is, and the next has what could be read of it."""
+class StoreFolders:
+    """The numbered store folders below a path; the highest number is in use.
 
-    def __init__(self, path: str, kind: Callable[[str], Files] | None = None) -> None:
-        self._path, self._kind = path, kind or files.Disk
+    A damaged store is left as it is, and its readable part is copied into the next folder.
+    """
+
+    def __init__(self, path: str, open_folder: Callable[[str], FileLayer] | None = None) -> None:
+        self._path, self._open_folder = path, open_folder or files.DiskFiles
 
     def _numbers(self) -> list[int]:
         os.makedirs(self._path, mode=0o700, exist_ok=True)
@@ -36,138 +43,151 @@
             int(name[6:]) for name in os.listdir(self._path) if re.fullmatch(r"store-\d{1,6}", name)
         )
 
-    def newest(self) -> Files:
-        return self._kind(os.path.join(self._path, f"store-{max(self._numbers(), default=1)}"))
-
-    def another(self) -> Files:
-        return self._kind(os.path.join(self._path, f"store-{max(self._numbers(), default=0) + 1}"))
-
-
-class Keeper:
-    def __init__(self, scheduler: Scheduler, folders: Folders, opened: Opened) -> None:
-        """`opened`: once it is, with what a start found, what is kept, what of a damaged one is lost, and why there is none (then
-        the notes are None)."""
-        self._scheduler, self._folders, self._opened = scheduler, folders, opened
-        self._bell = threading.Condition()
-        self._next: Batch = {}
-        self._calls: list[Kept] = []
-        self._over = False
-        self._done: deque[Callable[[], None]] = deque()
-        self._ends = socket.socketpair()
-        for end in self._ends:
+    def newest(self) -> FileLayer:
+        return self._open_folder(
+            os.path.join(self._path, f"store-{max(self._numbers(), default=1)}")
+        )
+
+    def create_next(self) -> FileLayer:
+        return self._open_folder(
+            os.path.join(self._path, f"store-{max(self._numbers(), default=0) + 1}")
+        )
+
+
+class StoreWorker:
+    """The asynchronous interface of a store."""
+
+    def __init__(self, scheduler: Scheduler, folders: StoreFolders, on_open: OpenCallback) -> None:
+        """Prepares the worker; `on_open` is called once the store is open or can't be opened."""
+        self._scheduler, self._folders, self._on_open = scheduler, folders, on_open
+        self._condition = threading.Condition()
+        self._next_batch: Batch = {}
+        self._next_callbacks: list[CommitCallback] = []
+        self._stopping = False
+        self._completions: deque[Callable[[], None]] = deque()
+        self._wakeup_sockets = socket.socketpair()
+        for end in self._wakeup_sockets:
             end.setblocking(False)
-        self.under_way = 0  # commits that were asked for and not called back yet
-        self.since = 0  # when the oldest of them was asked for
+        self.pending_commits = 0  # submitted and not called back yet
+        self.pending_since = 0  # when the oldest was submitted, or the last commit completed
 
     def start(self) -> None:
-        threading.Thread(target=self._work, name="store", daemon=True).start()
-
-    def keep(self, batch: Batch, done: Kept) -> None:
-        """Later batches of a key take an earlier one's place if that has not gone out; all called back together."""
-        if not self.under_way:
-            self.since = self._scheduler.now()
-        self.under_way += 1
-        with self._bell:
-            self._next.update(batch)
-            self._calls.append(done)
-            self._bell.notify()
-
-    def keep_hearing(self) -> None:
-        """Calls back, on the scheduler."""
-        while not self._over:
-            self._scheduler.wait({self._ends[0].fileno(): READ})
+        threading.Thread(target=self._run_thread, name="store", daemon=True).start()
+
+    def submit(self, batch: Batch, callback: CommitCallback) -> None:
+        """Queues a batch for the next commit, and its callback, which runs on the scheduler.
+
+        Batches that are queued together are committed as one; the last value of a key counts.
+        """
+        if not self.pending_commits:
+            self.pending_since = self._scheduler.now()
+        self.pending_commits += 1
+        with self._condition:
+            self._next_batch.update(batch)
+            self._next_callbacks.append(callback)
+            self._condition.notify()
+
+    def run_callbacks(self) -> None:
+        """Runs the callbacks as their commits complete; this is a task of the scheduler."""
+        while not self._stopping:
+            self._scheduler.wait({self._wakeup_sockets[0].fileno(): READ})
             try:
-                while self._ends[0].recv(4096):
+                while self._wakeup_sockets[0].recv(4096):
                     pass
             except BlockingIOError:
                 pass
-            while self._done:
-                self._done.popleft()()
+            while self._completions:
+                self._completions.popleft()()
 
-    def settle(self, span: int = SECOND) -> bool:
-        """Waits for what was asked for, not for long; returns whether all has come to an end."""
-        until = self._scheduler.now() + span
-        while self.under_way and self._scheduler.now() < until:
+    def wait_until_idle(self, timeout: int = SECOND) -> bool:
+        """Waits until no commit is pending, up to the timeout in ns; returns whether none is."""
+        until = self._scheduler.now() + timeout
+        while self.pending_commits and self._scheduler.now() < until:
             self._scheduler.sleep(SECOND // 200)
-        return not self.under_way
+        return not self.pending_commits
 
     def stop(self) -> None:
-        with self._bell:
-            self._over = True
-            self._bell.notify()
+        with self._condition:
+            self._stopping = True
+            self._condition.notify()
 
-    # In the thread
+    # The following methods run in the thread
 
-    def _tell(self, call: Callable[[], None]) -> None:
-        self._done.append(call)
+    def _run_on_scheduler(self, call: Callable[[], None]) -> None:
+        self._completions.append(call)
         try:
-            self._ends[1].send(b".")
+            self._wakeup_sockets[1].send(b".")
         except BlockingIOError:
-            pass  # it is awake already
+            pass  # a wake-up is already pending
 
-    def _open(self) -> tuple[Store, Notes, str]:
-        there = self._folders.newest()
+    def _open(self) -> tuple[Store, OpenReport, str]:
+        folder = self._folders.newest()
         try:
-            store = Store(there)
-            return store, store.notes, ""
-        except Refused as problem:
-            saved = salvage(there.names(), there.read)
-            store = Store(self._folders.another())
-            if saved.state and not store.items():
-                store.commit([dict(saved.state)])
-            # The folder is new, what was read of the old one is not.
+            store = Store(folder)
+            return store, store.open_report, ""
+        except DamagedStoreError as problem:
+            salvaged = salvage(folder.names(), folder.read)
+            store = Store(self._folders.create_next())
+            if salvaged.state and not store.items():
+                store.commit([dict(salvaged.state)])
+            # The folder is new, but the state salvaged from the old one is not.
             return (
                 store,
-                store.notes._replace(fresh=not store.items(), sequence=store.sequence),
-                "; ".join((str(problem), *saved.lost)),
+                store.open_report._replace(fresh=not store.items(), sequence=store.sequence),
+                "; ".join((str(problem), *salvaged.losses)),
             )
 
-    def _work(self) -> None:
+    def _run_thread(self) -> None:
         store = None
         try:
-            store, notes, lost = self._open()
-        except (Refused, InUse, NotKept, OSError) as problem:
-            why = f"{type(problem).__name__}: {problem}"
-            self._tell(lambda: self._opened(None, [], "", why))
+            store, report, losses = self._open()
+        except (DamagedStoreError, StoreInUseError, CommitFailedError, OSError) as problem:
+            open_error = f"{type(problem).__name__}: {problem}"
+            self._run_on_scheduler(lambda: self._on_open(None, [], "", open_error))
         else:
             items = store.items()
-            self._tell(lambda: self._opened(notes, items, lost, ""))
+            self._run_on_scheduler(lambda: self._on_open(report, items, losses, ""))
         while (
-            taken := self._wait(store is not None and store.compact(lambda: bool(self._next)))
+            queued := self._take_queued(
+                store is not None and store.compact(lambda: bool(self._next_batch))
+            )
         ) is not None:
-            batch, calls = taken
-            if not calls:
+            batch, callbacks = queued
+            if not callbacks:
                 continue
-            number, told = 0, why if store is None else ""
+            number, commit_error = 0, open_error if store is None else ""
             if store is not None:
                 try:
                     number = store.commit([batch])
-                except (NotKept, ValueError) as problem:
-                    told = f"{type(problem).__name__}: {problem}"
+                except (CommitFailedError, ValueError) as problem:
+                    commit_error = f"{type(problem).__name__}: {problem}"
                 except Exception as problem:
-                    # Guards against callers who wait for ever: the thread goes on, in a segment of its own.
-                    store.give_up()
-                    told = repr(problem)
-            self._answer(calls, number, told)
+                    # The thread must go on, in a new segment: otherwise callers would wait forever.
+                    store.abandon_segments()
+                    commit_error = repr(problem)
+            self._complete(callbacks, number, commit_error)
         if store is not None:
-            store.end()
-
-    def _wait(self, more: bool) -> tuple[Batch, list[Kept]] | None:
-        """Until there is something to do, or `more` is; None: nothing ever is."""
-        with self._bell:
-            while not more and not self._calls and not self._over:
-                self._bell.wait()
-            if self._over and not self._calls:
+            store.close()
+
+    def _take_queued(self, compaction_pending: bool) -> tuple[Batch, list[CommitCallback]] | None:
+        """Takes what is queued, and waits for something unless a compaction is pending.
+
+        Returns None once the worker is stopped and nothing is queued.
+        """
+        with self._condition:
+            while not compaction_pending and not self._next_callbacks and not self._stopping:
+                self._condition.wait()
+            if self._stopping and not self._next_callbacks:
                 return None
-            taken = self._next, self._calls
-            self._next, self._calls = {}, []
-            return taken
-
-    def _answer(self, calls: list[Kept], number: int, why: str) -> None:
-        def back() -> None:
-            self.under_way -= len(calls)
-            self.since = self._scheduler.now()
-            for call in calls:
-                call(number, why)
-
-        self._tell(back)
+            queued = self._next_batch, self._next_callbacks
+            self._next_batch, self._next_callbacks = {}, []
+            return queued
+
+    def _complete(self, callbacks: list[CommitCallback], number: int, error: str) -> None:
+        def call_back() -> None:
+            self.pending_commits -= len(callbacks)
+            self.pending_since = self._scheduler.now()
+            for callback in callbacks:
+                callback(number, error)
+
+        self._run_on_scheduler(call_back)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -263,7 +263,7 @@
     empty.core.tick(600 * SECOND)
     assert empty.core.step is Step.ASK
     for act in (
-        lambda core: core.unread(0, "InUse"),
+        lambda core: core.unread(0, "StoreInUseError"),
         lambda core: core.tick(4 * SECOND),
     ):  # in use elsewhere; stalled
         unread = Host()
