--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -594,7 +594,11 @@
     def _server_id(self, name: str) -> int:
         number = stable_id(name)
         # Guards against two servers taken for one, as their names differ only in the word before the number.
-        return number if self._names.get(number, name) == name else stable_id(name, plain=False)
+        return (
+            number
+            if self._names.get(number, name) == name
+            else stable_id(name, allow_hexadecimal=False)
+        )
 
     def _ticket(self, time_limit_at: int) -> Ticket:
         ticket = Ticket(self._next_login, self._scheduler.current, time_limit_at)
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -1,7 +1,8 @@
-"""Lines of the protocol, HTTP/1.1 as discovery answers it and operators call by it, and JSON.
+"""Parsers for the line protocol, for HTTP/1.1 and for the JSON of discovery.
 
-Pure: bytes in, values out, for any split of the bytes. Owns no socket, no clock and no state beyond one message
-that is still coming in. Must never guess: what doesn't follow the form raises `Malformed`.
+Clients and servers speak the line protocol; discovery and operators use HTTP. The parsers do no
+I/O. The HTTP parsers accept a message in any split and keep no state beyond it. Input that does
+not follow the protocol raises `Malformed`; nothing is guessed.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 PING, PONG, STATS = b"PING\r\n", b"PONG\r\n", b"STATS\r\n"
 MOVE, FAILED, BUSY, ERR = b"MOVE\r\n", b"FAILED\r\n", b"BUSY\r\n", b"ERR\r\n"
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -29,29 +30,34 @@
     500: "Internal Server Error",
     503: "Service Unavailable",
 }
-STATUSES = {"active": Status.READY, "leaving": Status.DRAINING, "left": Status.GONE}
-_OPENING = re.compile(rb"OPEN ([!-~]+) ([!-~]+) ([!-~]+)\r\n", re.ASCII)
-_NAME = re.compile(r"[a-z_][a-z0-9_]*")
-_TIME_LEFT = re.compile(rb"((?: |,)d=)[0-9]+(?=[,\r])")
-_NUMBERED = re.compile(r"(?:[A-Za-z]+-)?([0-9a-f]{8,16})")
+SERVER_STATUSES = {"active": Status.READY, "leaving": Status.DRAINING, "left": Status.GONE}
+_OPEN_LINE = re.compile(rb"OPEN ([!-~]+) ([!-~]+) ([!-~]+)\r\n", re.ASCII)
+_KEY = re.compile(r"[a-z_][a-z0-9_]*")
+_TIME_LIMIT_VALUE = re.compile(rb"((?: |,)d=)[0-9]+(?=[,\r])")
+_HEXADECIMAL_NAME = re.compile(r"(?:[A-Za-z]+-)?([0-9a-f]{8,16})")
 _ADDRESS = re.compile(r"((?:\d{1,3}\.){3}\d{1,3}):(\d{1,5})")
 
 
 class Malformed(Exception):
-    """What came does not follow the form."""
+    """The input does not follow the protocol.
+
+    The class name is printed in log lines that a tool matches, and the texts become parts of
+    counter names.
+    """
 
 
 class MessageTooLongError(Malformed):
-    """What came is longer than it may be."""
+    """The message, its header or its body exceeds the limit."""
 
 
-def stable_id(text: str, plain: bool = True) -> int:
-    """The same number for a name at every balancer: the decisions compare ids and order servers by them.
+def stable_id(text: str, allow_hexadecimal: bool = True) -> int:
+    """Returns the id of a name. It is the same at every balancer, as decisions order servers by it.
 
-    A name that is a number in hexadecimal, behind a word or not, is that number, as on the simulator's wire, so
-    that both order servers alike; any other, or one whose number another name has too, is hashed.
+    The id of a hexadecimal name, with or without a word in front, is that number, as on the
+    simulator's wire; both then order servers alike. Any other name is hashed. For a name whose
+    number another name has too, call with `allow_hexadecimal=False` to hash it.
     """
-    found = _NUMBERED.fullmatch(text) if plain else None
+    found = _HEXADECIMAL_NAME.fullmatch(text) if allow_hexadecimal else None
     number = (
         int(found[1], 16)
         if found
@@ -61,53 +67,54 @@
 
 
 class LoginRequest(NamedTuple):
-    """A client's first line."""
+    """A client's first line, the request to log in."""
 
     line: bytes
-    connection_name: str  # of this connection, new with each
+    connection_name: str  # unique to each connection
     workload: str
-    max_wait: int | None  # how long the client waits, ns
+    max_wait: int | None  # how long the client waits for an answer, in ns
     subject: str
     group: str
-    came_back: bool
-    previous_server: str  # the server that held it before the start, or nothing
-    cost: float | None
+    came_back: bool  # the client returns after its connection broke or was moved
+    previous_server: str  # the server the client was connected to before a restart, or empty
+    cost: float | None  # expected work per second, in the unit of load reports
 
-    def with_time_limit(self, wait: int) -> bytes:
-        """The line for a server, unchanged but for how long the balancer will wait."""
-        left = b"%d" % max(1, wait // 1_000_000)
-        return _TIME_LEFT.sub(lambda found: found[1] + left, self.line, count=1)
+    def with_time_limit(self, time_limit: int) -> bytes:
+        """Returns the line for a server: unchanged except for the time limit, which is in ns."""
+        milliseconds = b"%d" % max(1, time_limit // 1_000_000)
+        return _TIME_LIMIT_VALUE.sub(lambda found: found[1] + milliseconds, self.line, count=1)
 
 
 def parse_login_request(line: bytes) -> LoginRequest:
-    found = _OPENING.fullmatch(line)
+    """Parses `OPEN NAME SUBJECT key=value,...`."""
+    found = _OPEN_LINE.fullmatch(line)
     if found is None:
         raise Malformed("no OPEN line")
     values: dict[str, str] = {}
     for item in found[3].decode("ascii").split(","):
         name, equals, value = item.partition("=")
-        if not equals or not _NAME.fullmatch(name) or name in values:
+        if not equals or not _KEY.fullmatch(name) or name in values:
             raise Malformed("no list of names and values")
         values[name] = value
     if "c" not in values:
         raise Malformed("no workload")
-    wait = values.get("d")
-    if wait is not None and not (wait.isdecimal() and len(wait) <= 12):
+    max_wait = values.get("d")
+    if max_wait is not None and not (max_wait.isdecimal() and len(max_wait) <= 12):
         raise Malformed("absurd time to wait")
     return LoginRequest(
         line,
         found[1].decode("ascii"),
         values["c"],
-        None if wait is None else int(wait) * 1_000_000,
+        None if max_wait is None else int(max_wait) * 1_000_000,
         found[2].decode("ascii"),
         values.get("g", ""),
         values.get("again") == "1",
         values.get("at", ""),
-        _number(values["h"]) if "h" in values else None,
+        _parse_number(values["h"]) if "h" in values else None,
     )
 
 
-def _number(text: str) -> float:
+def _parse_number(text: str) -> float:
     try:
         value = float(text)
     except ValueError:
@@ -118,11 +125,13 @@
 
 
 def format_busy(retry_in: int) -> bytes:
-    """The answer that trying again is harmless, with the time after which to come, if any."""
+    """Returns the BUSY answer: a retry is harmless, after `retry_in` ns rounded down to ms."""
     return b"BUSY %d\r\n" % (retry_in // 1_000_000) if retry_in >= 1_000_000 else BUSY
 
 
 class ServerLine(NamedTuple):
+    """A line of a server: a keyword, and arguments after a space."""
+
     keyword: str
     arguments: str
 
@@ -131,29 +140,31 @@
     if not line.endswith(b"\r\n"):
         raise Malformed("no CRLF")
     try:
-        word, _, rest = line[:-2].decode("ascii").partition(" ")
+        keyword, _, arguments = line[:-2].decode("ascii").partition(" ")
     except UnicodeDecodeError:
         raise Malformed("not ASCII") from None
-    return ServerLine(word, rest)
+    return ServerLine(keyword, arguments)
 
 
 def parse_load_report(text: str) -> dict[str, float] | None:
-    """`inflight=7,util=0.61`; None where no report came."""
+    """Parses `inflight=7,util=0.61`; returns None for an empty report."""
     if not text:
         return None
     values = {}
     for item in text.split(","):
         name, _, value = item.partition("=")
-        values[name] = _number(value)
+        values[name] = _parse_number(value)
     return values
 
 
 def parse_load_value(text: str) -> float:
-    """What `LOAD` tells."""
-    return _number(text)
+    """Parses the argument of `LOAD`."""
+    return _parse_number(text)
 
 
 class ServerEntry(NamedTuple):
+    """A server in discovery's list."""
+
     name: str
     address: tuple[str, int]
     zone: str
@@ -161,23 +172,25 @@
     cell: int
     status: Status
     weight: float
-    started_at: int
+    started_at: int  # Unix time in ns
 
 
 class Listing(NamedTuple):
+    """A server list as discovery sends it."""
+
     version: int
-    is_full: bool
+    is_full: bool  # all servers; False: only changes
     entries: tuple[ServerEntry, ...]
-    unreadable_count: int  # entries that could not be read
+    unreadable_count: int  # entries that could not be parsed
 
 
-def _entry(item: Any) -> ServerEntry:
+def _parse_entry(item: Any) -> ServerEntry:
     try:
         found = _ADDRESS.fullmatch(item["address"])
         if (
             found is None
             or int(found[2]) > 65535
-            or any(int(part) > 255 for part in found[1].split("."))
+            or any(int(octet) > 255 for octet in found[1].split("."))
         ):
             raise Malformed("address")
         started = item.get("since_ms", 0)
@@ -187,7 +200,7 @@
             str(item.get("zone", "")),
             str(item.get("type", "")),
             int(item.get("group", 0)),
-            STATUSES[item["status"]],
+            SERVER_STATUSES[item["status"]],
             float(item.get("weight", 1.0)),
             int(started) * 1_000_000,
         )
@@ -199,22 +212,22 @@
 
 
 def parse_listing(content: Any) -> Listing:
-    """The list of servers in discovery's form."""
+    """Parses the decoded JSON of discovery's answer."""
     if not isinstance(content, dict) or not isinstance(content.get("endpoints"), list):
         raise Malformed("no list of servers")
-    index, whole = content.get("index"), content.get("snapshot", False)
-    if not isinstance(index, int) or isinstance(index, bool) or not isinstance(whole, bool):
+    index, is_full = content.get("index"), content.get("snapshot", False)
+    if not isinstance(index, int) or isinstance(index, bool) or not isinstance(is_full, bool):
         raise Malformed("index or snapshot")
     entries, unreadable_count = [], 0
     for item in content["endpoints"]:
         try:
-            entries.append(_entry(item))
+            entries.append(_parse_entry(item))
         except Malformed:
             unreadable_count += 1
-    if unreadable_count and whole:
-        # Guards against taking a server for gone because its entry could not be read.
+    if unreadable_count and is_full:
+        # Otherwise a server would count as gone because its entry could not be parsed.
         raise Malformed("an entry of the whole list")
-    return Listing(index, whole, tuple(entries), unreadable_count)
+    return Listing(index, is_full, tuple(entries), unreadable_count)
 
 
 def format_http_get(path: str, host: str) -> bytes:
@@ -224,110 +237,110 @@
 
 
 class HttpMessage(ABC):
-    """One message of HTTP/1.1, fed as it comes; its first line is for the kind of message to read."""
+    """An incremental parser of one HTTP/1.1 message; subclasses parse the first line."""
 
-    HEAD_MOST = 16384
+    MAX_HEADER_BYTES = 16384
 
-    def __init__(self, body_most: int) -> None:
-        self._most = body_most
+    def __init__(self, max_body_bytes: int) -> None:
+        self._max_body_bytes = max_body_bytes
         self._bytes = bytearray()
-        self._left: int | None = None  # of the body, or of the chunk
-        self._chunked = self._to_end = False
+        self._remaining: int | None = None  # bytes of the body, or of the current chunk
+        self._chunked = self._until_close = False
         self._body = bytearray()
         self.header_done = self.done = False
-        self.fields: dict[bytes, bytes] = {}
-        self.keep_alive = True  # the connection may be used again
+        self.headers: dict[bytes, bytes] = {}
+        self.keep_alive = True  # the connection can be used again
 
     def feed(self, content: bytes) -> None:
         self._bytes += content
         if not self.header_done:
-            self._read_head()
+            self._parse_header()
         if self.header_done and not self.done:
             if self._chunked:
-                self._read_chunks()
+                self._parse_chunks()
             else:
-                self._read_plain()
-        if len(self._body) > self._most:
+                self._parse_plain_body()
+        if len(self._body) > self._max_body_bytes:
             raise MessageTooLongError("body too long")
 
     def connection_closed(self) -> None:
-        """The connection has ended; that ends a message of unstated length, and spoils any other."""
+        """Ends a message without a stated length; any other incomplete message is invalid."""
         self.keep_alive = False
         if not self.done:
-            if not (self.header_done and self._to_end):
+            if not (self.header_done and self._until_close):
                 raise Malformed("message cut off")
             self.done = True
 
-    def _decoded(self) -> Any:
+    def _decode_json(self) -> Any:
         try:
             return json.loads(self._body)
         except (ValueError, RecursionError):
             raise Malformed("no JSON") from None
 
     @abstractmethod
-    def _first_line(self, line: bytes) -> None:
-        """Reads the first line of a head."""
+    def _parse_first_line(self, line: bytes) -> None:
+        """Parses the first line of a header."""
 
-    def _without_length(self) -> None:
-        """Nothing in the head says how long the body is."""
-        self._to_end = True
+    def _no_length_given(self) -> None:
+        """Called when the header does not give the length of the body."""
+        self._until_close = True
 
-    def _read_head(self) -> None:
+    def _parse_header(self) -> None:
         end = self._bytes.find(b"\r\n\r\n")
-        if end > self.HEAD_MOST or (end < 0 and len(self._bytes) > self.HEAD_MOST):
+        if end > self.MAX_HEADER_BYTES or (end < 0 and len(self._bytes) > self.MAX_HEADER_BYTES):
             raise MessageTooLongError("head too long")
         if end < 0:
             return
         first, *lines = bytes(self._bytes[:end]).split(b"\r\n")
         del self._bytes[: end + 4]
-        self._first_line(first)
-        self.fields = fields = {}
+        self._parse_first_line(first)
+        self.headers = headers = {}
         for line in lines:
             name, colon, value = line.partition(b":")
             if not colon or not name or name != name.strip():
                 raise Malformed("header")
-            fields[name.lower()] = value.strip()
-        if fields.get(b"connection", b"").lower() == b"close":
+            headers[name.lower()] = value.strip()
+        if headers.get(b"connection", b"").lower() == b"close":
             self.keep_alive = False
-        if self._goes_on():
-            return self._read_head()
+        if self._is_interim():
+            return self._parse_header()
         self.header_done = True
-        if fields.get(b"transfer-encoding", b"").lower() == b"chunked":
+        if headers.get(b"transfer-encoding", b"").lower() == b"chunked":
             self._chunked = True
-        elif self._bodiless():
-            self._left = 0
-        elif b"content-length" in fields:
-            length = fields[b"content-length"]
+        elif self._has_no_body():
+            self._remaining = 0
+        elif b"content-length" in headers:
+            length = headers[b"content-length"]
             if not length.isdigit():
                 raise Malformed("length")
-            if len(length) > 12 or int(length) > self._most:
+            if len(length) > 12 or int(length) > self._max_body_bytes:
                 raise MessageTooLongError("length")
-            self._left = int(length)
+            self._remaining = int(length)
         else:
-            self._without_length()
+            self._no_length_given()
 
-    def _goes_on(self) -> bool:
-        """Whether another head follows this one."""
+    def _is_interim(self) -> bool:
+        """Returns whether another header follows this one."""
         return False
 
-    def _bodiless(self) -> bool:
+    def _has_no_body(self) -> bool:
         return False
 
-    def _read_plain(self) -> None:
-        if self._to_end:
+    def _parse_plain_body(self) -> None:
+        if self._until_close:
             self._body += self._bytes
             self._bytes.clear()
             return
-        assert self._left is not None
-        part = self._bytes[: self._left]
-        del self._bytes[: len(part)]
-        self._body += part
-        self._left -= len(part)
-        self.done = not self._left
-
-    def _read_chunks(self) -> None:
+        assert self._remaining is not None
+        content = self._bytes[: self._remaining]
+        del self._bytes[: len(content)]
+        self._body += content
+        self._remaining -= len(content)
+        self.done = not self._remaining
+
+    def _parse_chunks(self) -> None:
         while not self.done:
-            if self._left is None:
+            if self._remaining is None:
                 end = self._bytes.find(b"\r\n")
                 if end > 1024 or (end < 0 and len(self._bytes) > 1024):
                     raise Malformed("chunk")
@@ -337,12 +350,12 @@
                 del self._bytes[: end + 2]
                 if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size):
                     raise Malformed("chunk")
-                self._left = int(size, 16)
-                if len(self._body) + self._left > self._most:
+                self._remaining = int(size, 16)
+                if len(self._body) + self._remaining > self._max_body_bytes:
                     raise MessageTooLongError("body too long")
-                if not self._left:
-                    self._left = -1  # trailers, up to an empty line
-            if self._left < 0:
+                if not self._remaining:
+                    self._remaining = -1  # trailers follow, up to an empty line
+            if self._remaining < 0:
                 end = self._bytes.find(b"\r\n")
                 if end > 1024 or (end < 0 and len(self._bytes) > 1024):
                     raise Malformed("trailer")
@@ -351,59 +364,59 @@
                 del self._bytes[: end + 2]
                 self.done = end == 0
                 continue
-            if len(self._bytes) < self._left + 2:
+            if len(self._bytes) < self._remaining + 2:
                 return
-            if self._bytes[self._left : self._left + 2] != b"\r\n":
+            if self._bytes[self._remaining : self._remaining + 2] != b"\r\n":
                 raise Malformed("chunk")
-            self._body += self._bytes[: self._left]
-            del self._bytes[: self._left + 2]
-            self._left = None
+            self._body += self._bytes[: self._remaining]
+            del self._bytes[: self._remaining + 2]
+            self._remaining = None
 
 
 class HttpResponse(HttpMessage):
-    """An answer to a GET."""
+    """A response to a GET request."""
 
-    def __init__(self, body_most: int) -> None:
-        super().__init__(body_most)
+    def __init__(self, max_body_bytes: int) -> None:
+        super().__init__(max_body_bytes)
         self.status = 0
 
     def json(self) -> Any:
         if self.status != 200:
             raise Malformed(f"status {self.status}")
-        return self._decoded()
+        return self._decode_json()
 
-    def _first_line(self, line: bytes) -> None:
+    def _parse_first_line(self, line: bytes) -> None:
         found = re.fullmatch(rb"HTTP/1\.([01]) (\d{3})(?: .*)?", line)
         if found is None:
             raise Malformed("no HTTP/1.1")
         self.status, self.keep_alive = int(found[2]), found[1] == b"1"
 
-    def _goes_on(self) -> bool:
+    def _is_interim(self) -> bool:
         return 100 <= self.status < 200
 
-    def _bodiless(self) -> bool:
+    def _has_no_body(self) -> bool:
         return self.status in (204, 304)
 
 
 class HttpRequest(HttpMessage):
-    """A call that comes in."""
+    """A request of an operator."""
 
-    def __init__(self, body_most: int) -> None:
-        super().__init__(body_most)
+    def __init__(self, max_body_bytes: int) -> None:
+        super().__init__(max_body_bytes)
         self.method = self.path = ""
 
     @property
     def expects_continue(self) -> bool:
-        """Whether the caller sends the body only when told to go on."""
-        return self.fields.get(b"expect", b"").lower() == b"100-continue" and not self.done
+        """Returns whether the client waits for `100 Continue` before it sends the body."""
+        return self.headers.get(b"expect", b"").lower() == b"100-continue" and not self.done
 
     def json_object(self) -> dict[str, Any]:
-        content = self._decoded()
+        content = self._decode_json()
         if not isinstance(content, dict):
             raise Malformed("no JSON object")
         return content
 
-    def _first_line(self, line: bytes) -> None:
+    def _parse_first_line(self, line: bytes) -> None:
         found = re.fullmatch(rb"([A-Z]{1,16}) ([!-~]{1,2048}) HTTP/1\.[01]", line)
         if found is None:
             raise Malformed("no HTTP/1.1")
@@ -412,14 +425,14 @@
             found[2].decode("ascii").partition("?")[0],
         )
 
-    def _without_length(self) -> None:
-        self._left = 0
+    def _no_length_given(self) -> None:
+        self._remaining = 0
 
 
-def format_http_response(status: int, text: str, more: str = "") -> bytes:
-    """The one answer on its connection, which then ends."""
+def format_http_response(status: int, text: str, extra_headers: str = "") -> bytes:
+    """Returns a response that closes its connection."""
     body = text.encode()
     return (
-        f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
-        f"Content-Length: {len(body)}\r\n{more}Connection: close\r\n\r\n"
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n"
+        f"Content-Length: {len(body)}\r\n{extra_headers}Connection: close\r\n\r\n"
     ).encode("ascii") + body
