--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -29,7 +29,7 @@
 from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
-from corklift.net.upkeep import Probes, Watch
+from corklift.net.monitoring import ServerProbes, DiscoveryWatch
 from corklift.rpc.server import Server
 
 TURN = 50 * MS  # between two looks at what is due
@@ -133,7 +133,7 @@
         self.views = self.service.views
         self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
-        self.probes = Probes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
+        self.probes = ServerProbes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
         printer = Printer(config.net, scheduler.now, self.counters)
         printer.say = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
@@ -142,7 +142,7 @@
             if store
             else None
         )
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             scheduler,
             config.net,
             self.counters,
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -425,7 +425,7 @@
     def stand_by(self, wanted: bool) -> None:
         self._balancer.stand_by(wanted)
 
-    # What upkeep calls
+    # Called by the monitoring tasks
 
     def listed(self, scope: Scope, content: Listing) -> None:
         content = self.believed(scope, content)
--- a/corklift/net/overlap.py
+++ b/corklift/net/handover_driver.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 
 from corklift.net.facade import Facade
-from corklift.net.kin import Kin
+from corklift.net.handover_files import HandoverFiles
 from corklift.net.limits import Counters, Limits
 from corklift.net.relay import Relay
 from corklift.net.scheduler import Scheduler
 from corklift.succession import Life, Stage, Succession
 
 
-class Overlap:
+class HandoverDriver:
     def __init__(
         self,
         scheduler: Scheduler,
@@ -32,7 +32,7 @@
         """`path`: where the processes meet, if anywhere; `shares`: whether the clients' socket is shared with them."""
         self._scheduler, self._limits, self._counters, self._log = scheduler, limits, counters, log
         self._facade, self._relay, self._path, self._shares = facade, relay, path, shares
-        self._kin: Kin | None = None
+        self._files: HandoverFiles | None = None
         self._place = Succession(0)
         self._yielded = False  # what this process has learned is told
         self._held = 0  # as last told
@@ -57,14 +57,14 @@
                 self._shares = False  # alone, as far as can be known
                 self._relay.take_clients(True)
             return
-        living, ended = self._kin.others()
+        living, ended = self._files.others()
         self._take_words(living + ended)
         self._tell()
-        self._kin.forget(ended)
+        self._files.forget(ended)
 
     def keep_looking(self) -> None:
         """Where the clients' socket is shared: follows an earlier process, and yields to a later one."""
-        while self._shares and self._kin is not None:
+        while self._shares and self._files is not None:
             try:
                 self._look()
             except OSError as problem:
@@ -90,23 +90,23 @@
     def leave(self) -> None:
         """Told to stop: whoever follows need not wait for this one."""
         self._place.leave()
-        if self._shares and self._kin is not None:
+        if self._shares and self._files is not None:
             self._relay.take_clients(False)
             self._tell()
 
     # Within
 
     def _enter(self) -> bool:
-        if self._kin is None and self._path is not None:
+        if self._files is None and self._path is not None:
             try:
-                self._kin = Kin(self._path, self._log)
+                self._files = HandoverFiles(self._path, self._log)
                 stage, words = self._place.stage, self._place.words
-                self._place = Succession(self._kin.generation)
+                self._place = Succession(self._files.generation)
                 self._place.stage, self._place.words = stage, words
             except OSError as problem:
                 self._path = None
                 self._log(f"words of operators end with this process: {problem}")
-        return self._kin is not None
+        return self._files is not None
 
     def _say(self, name: str, out: bool) -> None:
         if self._enter():
@@ -114,11 +114,11 @@
             self._tell()
 
     def _tell(self) -> None:
-        if self._kin is not None:
+        if self._files is not None:
             self._held = self._relay.held
             learned = self._facade.learned() if self._yielded else {}
             try:
-                self._kin.tell(
+                self._files.tell(
                     Life(
                         self._place.generation,
                         self._place.stage,
@@ -138,10 +138,14 @@
             self._facade.word_of(name, out)
 
     def _look(self) -> None:
-        assert self._kin is not None
-        if not self._kin.changed() and not self._others_live and self._place.stage is Stage.SERVING:
+        assert self._files is not None
+        if (
+            not self._files.changed()
+            and not self._others_live
+            and self._place.stage is Stage.SERVING
+        ):
             return  # alone, as before
-        living, ended = self._kin.others()
+        living, ended = self._files.others()
         if self._others_live and not living:
             self._facade.alone()
         self._others_live = bool(living)
@@ -152,7 +156,7 @@
         while self._place.step(living, self._relay.ready):
             self._change(living)
             self._tell()
-            living, _ = self._kin.others()
+            living, _ = self._files.others()
         if living and self._held != self._relay.held:
             self._tell()
 
--- a/corklift/net/kin.py
+++ b/corklift/net/handover_files.py
@@ -24,7 +24,7 @@
     return os.path.join(base, "corklift-" + re.sub(r"[^A-Za-z0-9_.-]", "_", name))
 
 
-class Kin:
+class HandoverFiles:
     def __init__(self, path: str, log: Callable[[str], None]) -> None:
         """Takes the next generation's number; raises OSError where nothing can be written."""
         self._path, self._log = path, log
--- a/corklift/net/upkeep.py
+++ b/corklift/net/monitoring.py
@@ -42,7 +42,7 @@
     """Nothing more is to be asked."""
 
 
-class Probes:
+class ServerProbes:
     """One task a server that is probed; it ends when the server has not been for a while."""
 
     IDLE = (
@@ -188,7 +188,7 @@
             self._scheduler.wait({stream.fd: READ}, until)
 
 
-class Watch:
+class DiscoveryWatch:
     """Follows the list: the whole of it first, then each change; anew wherever discovery is said to be."""
 
     def __init__(
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -120,7 +120,7 @@
         )
         process.words = self._word
         process.may_serve = lambda: self.core.step >= Step.OPEN
-        process.overlap.words_elsewhere = True
+        process.handover.words_elsewhere = True
         process.more_figures.append(self._figures)
 
     # Part
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -20,13 +20,13 @@
 from corklift.interface import Scope
 from corklift.net.admin import Admin, Desk, figures
 from corklift.net.facade import Facade
-from corklift.net.kin import folder
+from corklift.net.handover_files import folder
 from corklift.net.limits import MS, SECOND, BadConfig, Counters, Printer, Seconds
-from corklift.net.overlap import Overlap
+from corklift.net.handover_driver import HandoverDriver
 from corklift.net.relay import Relay
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.stream import Stream
-from corklift.net.upkeep import Probes, Watch
+from corklift.net.monitoring import ServerProbes, DiscoveryWatch
 from corklift.settings import left_out
 
 
@@ -102,7 +102,7 @@
             "%s:%d" % given.listen if given.listen[1] else ""
         )
         place = folder(os.environ.get("TMPDIR"), name)
-        self.overlap = Overlap(
+        self.handover = HandoverDriver(
             scheduler,
             limits,
             self.counters,
@@ -112,8 +112,8 @@
             place,
             self._shares,
         )
-        self.probes = Probes(scheduler, limits, self.counters, self.facade, given.kept_for)
-        self.watch = Watch(
+        self.probes = ServerProbes(scheduler, limits, self.counters, self.facade, given.kept_for)
+        self.watch = DiscoveryWatch(
             scheduler,
             limits,
             self.counters,
@@ -128,7 +128,7 @@
         self._stopping = False
         self.words: Callable[[str, bool], bool] = (
             lambda name, out: (  # a part that keeps operators' words sets it
-                self.overlap.take_out(name) if out else self.overlap.put_back(name)
+                self.handover.take_out(name) if out else self.handover.put_back(name)
             )
         )
         self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
@@ -144,7 +144,7 @@
         scheduler = self.scheduler
         printing = scheduler.spawn(self._keep_printing)
         self.printer.wake = lambda: scheduler.wake(printing)
-        self.overlap.join()
+        self.handover.join()
         self.facade.listed(Scope.CACHED, self._configuration.known)
         for job in (
             self.facade.keep_ticking,
@@ -154,7 +154,7 @@
             self.relay.keep_accepting,
             self._get_ready,
             self._keep_telling,
-            self.overlap.keep_looking,
+            self.handover.keep_looking,
             *(job for part in self._parts for job in part.jobs()),
         ):
             scheduler.spawn(self._keep, job)
@@ -217,7 +217,9 @@
     # What operators ask and tell
 
     def serves(self) -> bool:
-        return self.relay.serves and self.overlap.serves and self.may_serve() and not self._stopping
+        return (
+            self.relay.serves and self.handover.serves and self.may_serve() and not self._stopping
+        )
 
     def figures(self) -> str:
         known, avoided = self.facade.known_and_avoided()
@@ -268,7 +270,7 @@
         if not self._stopping:
             self._stopping = True
             self.printer.say("told to stop")
-            self.overlap.leave()
+            self.handover.leave()
             for part in self._parts:
                 part.leave()
             self.scheduler.spawn(self._see_out)
--- a/tests/test_overlap.py
+++ b/tests/test_handover.py
@@ -16,7 +16,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import ColdRule, Outcome, Report
-from corklift.net.kin import Kin
+from corklift.net.handover_files import HandoverFiles
 from corklift.net.limits import BadConfig
 from corklift.service import inherited
 from corklift.succession import Life, Stage, Succession, Unreadable, Word, decode, encode
@@ -91,13 +91,13 @@
         (tmp_path / f"{number}.life").write_bytes(
             whole if number == 3 else encode(life._replace(generation=7))[:-1]
         )
-    kin = Kin(str(tmp_path), said.append)
-    assert kin.generation == 8 and kin.others() == ([], []) and kin.others() == ([], [])
+    files = HandoverFiles(str(tmp_path), said.append)
+    assert files.generation == 8 and files.others() == ([], []) and files.others() == ([], [])
     assert len(said) == 2 and "7.life" in said[1]
-    kin.tell(life._replace(generation=8))
-    other = Kin(str(tmp_path), said.append)
+    files.tell(life._replace(generation=8))
+    other = HandoverFiles(str(tmp_path), said.append)
     assert other.others() == ([life._replace(generation=8)], [])
-    os.close(kin._lock)  # as when its process has ended
+    os.close(files._lock)  # as when its process has ended
     assert other.others() == ([], [life._replace(generation=8)])
     other.forget(other.others()[1])
     assert other.others() == ([], []) and other.changed() and not other.changed()
