--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -27,7 +27,7 @@
 )
 
 
-class Place(NamedTuple):
+class HandOffTarget(NamedTuple):
     """Where a login is handed to, and when that hand-off is given up."""
 
     server: int
@@ -35,20 +35,20 @@
     cut_at: int
 
 
-class Refusal(NamedTuple):
+class Rejection(NamedTuple):
     """The final answer: whether trying again is harmless, and after what time."""
 
     harmless: bool
     retry_in: int
 
 
-class Ticket:
+class LoginHandle:
     """A login, or the connection that it became, as the relay holds it."""
 
     def __init__(self, number: int, task: Task, time_limit_at: int) -> None:
         self.number, self.task, self.time_limit_at = number, task, time_limit_at
-        self.decided: Place | Refusal | None = None
-        self.place: Place | None = None
+        self.decided: HandOffTarget | Rejection | None = None
+        self.target: HandOffTarget | None = None
         self.hand_offs = 0
         self.sent_at = 0
         self.to_move = self.cancelled = False
@@ -83,7 +83,7 @@
             Workload
         ] = []  # and those that connections of before a new configuration have
         arguments = self._take(arguments, report_names, told, localities, kinds)
-        self._tickets: dict[int, Ticket] = {}
+        self._logins: dict[int, LoginHandle] = {}
         self._standing = 0  # of them, connections
         self._next_login = 1
         self.before_placing: Callable[[], None] = lambda: (
@@ -107,7 +107,7 @@
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.door: Callable[[Opening, int], Refusal | None] = lambda opening, number: None
+        self.door: Callable[[Opening, int], Rejection | None] = lambda opening, number: None
         self.went: Callable[[int, bool | None], None] = lambda number, up: None
         self.missed: Callable[[int], None] = lambda server: (
             None
@@ -171,123 +171,125 @@
 
     @property
     def in_flight(self) -> int:
-        return len(self._tickets)
+        return len(self._logins)
 
     def time_limit(self, opening: Opening) -> int:
         return self._all_workloads[self._workloads[opening.workload]].time_limit
 
-    def pick(self, opening: Opening, time_limit_at: int) -> tuple[Ticket, Place | Refusal]:
+    def pick(
+        self, opening: Opening, time_limit_at: int
+    ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
         """A login has come; blocks until it is decided where it goes."""
         self.before_placing()
-        refused = self.door(opening, self._next_login)
-        ticket = self._ticket(time_limit_at)
-        if refused is not None:
-            return ticket, refused
+        rejection = self.door(opening, self._next_login)
+        handle = self._new_login(time_limit_at)
+        if rejection is not None:
+            return handle, rejection
         now = self._scheduler.now()
         self._settled_at = self._settled_at or now + self._settle_time
-        self._balancer.login_arrived(now, self._login(ticket, opening))
-        return ticket, self._decision(ticket)
+        self._balancer.login_arrived(now, self._login(handle, opening))
+        return handle, self._decision(handle)
 
     def report(
-        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
-    ) -> Place | Refusal:
+        self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
+    ) -> HandOffTarget | Rejection:
         """A hand-off has ended without a connection; blocks until it is decided what comes next."""
-        assert ticket.place is not None
+        assert handle.target is not None
         now = self._scheduler.now()
-        ticket.decided = None
-        self.went(ticket.number, False)
-        self._lost(ticket.place.server, outcome)
+        handle.decided = None
+        self.went(handle.number, False)
+        self._lost(handle.target.server, outcome)
         self._balancer.hand_off_ended(
             now,
-            ticket.number,
+            handle.number,
             False,
-            ticket.place.server,
+            handle.target.server,
             outcome,
-            ticket.hand_offs - 1,
-            now - ticket.sent_at,
+            handle.hand_offs - 1,
+            now - handle.sent_at,
             self._report(values),
         )
-        return self._decision(ticket)
+        return self._decision(handle)
 
-    def report_up(self, ticket: Ticket) -> None:
+    def report_up(self, handle: LoginHandle) -> None:
         """The hand-off has become a connection."""
-        assert ticket.place is not None
+        assert handle.target is not None
         now = self._scheduler.now()
         self._standing += 1
-        self.went(ticket.number, True)
+        self.went(handle.number, True)
         self._balancer.hand_off_started(
-            now, ticket.number, ticket.hand_offs - 1, ticket.place.server, now - ticket.sent_at
+            now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
         )
 
-    def report_carried(self, opening: Opening, server: int) -> Ticket:
+    def report_carried(self, opening: Opening, server: int) -> LoginHandle:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
-        ticket = self._ticket(now)
-        ticket.place, ticket.hand_offs, ticket.sent_at = (
-            Place(server, self._addresses[server], now),
+        handle = self._new_login(now)
+        handle.target, handle.hand_offs, handle.sent_at = (
+            HandOffTarget(server, self._addresses[server], now),
             1,
             now,
         )
         self._standing += 1
-        self._balancer.connection_carried(now, self._login(ticket, opening), server)
-        return ticket
+        self._balancer.connection_carried(now, self._login(handle, opening), server)
+        return handle
 
     def report_end(
-        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
+        self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> None:
         """A connection has ended."""
-        if self._tickets.pop(ticket.number, None) is not None:
-            assert ticket.place is not None
+        if self._logins.pop(handle.number, None) is not None:
+            assert handle.target is not None
             now = self._scheduler.now()
             self._standing -= 1
-            self._lost(ticket.place.server, outcome)
+            self._lost(handle.target.server, outcome)
             self._balancer.hand_off_ended(
                 now,
-                ticket.number,
+                handle.number,
                 True,
-                ticket.place.server,
+                handle.target.server,
                 outcome,
-                ticket.hand_offs - 1,
-                now - ticket.sent_at,
+                handle.hand_offs - 1,
+                now - handle.sent_at,
                 self._report(values),
             )
 
-    def report_left(self, ticket: Ticket) -> None:
+    def report_left(self, handle: LoginHandle) -> None:
         """The client has gone before its answer."""
-        self.went(ticket.number, None)
-        if self._tickets.pop(ticket.number, None) is not None:
-            self._balancer.login_dropped(self._scheduler.now(), ticket.number)
+        self.went(handle.number, None)
+        if self._logins.pop(handle.number, None) is not None:
+            self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
-    def report_told(self, ticket: Ticket, value: float) -> None:
+    def report_told(self, handle: LoginHandle, value: float) -> None:
         """A server has told a figure on this connection; the settings say what of."""
         if self._told is not None:
-            assert ticket.place is not None
+            assert handle.target is not None
             kind, unit = self._told
             self._counters[f"notes of {kind.name.lower()}"] += 1
             self._balancer.hand_off_noted(
                 self._scheduler.now(),
-                ticket.number,
-                ticket.hand_offs - 1,
-                ticket.place.server,
+                handle.number,
+                handle.hand_offs - 1,
+                handle.target.server,
                 kind,
                 value * unit,
             )
 
-    def report_unanswered(self, ticket: Ticket, span: int) -> None:
+    def report_unanswered(self, handle: LoginHandle, span: int) -> None:
         """A client's line has brought nothing back for so long: messages there take that long at the least."""
-        assert ticket.place is not None
+        assert handle.target is not None
         self._counters["lines unanswered"] += 1
-        now, server = self._scheduler.now(), ticket.place.server
+        now, server = self._scheduler.now(), handle.target.server
         self._balancer.hand_off_noted(
-            now, ticket.number, ticket.hand_offs - 1, server, NoteKind.DELAY, float(span)
+            now, handle.number, handle.hand_offs - 1, server, NoteKind.DELAY, float(span)
         )
         self._balancer.hand_off_silent(now, server)
 
-    def server_named(self, name: str) -> Place | None:
+    def server_named(self, name: str) -> HandOffTarget | None:
         server = self._server_id(name)
         address = self._addresses.get(server)
-        return None if address is None else Place(server, address, 0)
+        return None if address is None else HandOffTarget(server, address, 0)
 
     # What a front calls whose clients are placed by others
 
@@ -454,7 +456,7 @@
             (self._ready.add if line.status is Status.READY else self._ready.discard)(line.server)
         self._balancer.servers_listed(self._scheduler.now(), scope, content.version, tuple(lines))
         used = {
-            ticket.place.server for ticket in self._tickets.values() if ticket.place is not None
+            handle.target.server for handle in self._logins.values() if handle.target is not None
         }
         for server in (
             gone - used - self._out.keys()
@@ -463,14 +465,14 @@
                 held.pop(server, None)
             self._heard.discard(server)
 
-    def next_probe(self) -> Place:
+    def next_probe(self) -> HandOffTarget:
         """Blocks until a server is to be probed."""
         self._prober = self._scheduler.current
         while True:
             while self._probes:
                 server = self._probes.popleft()
                 if server in self._addresses:
-                    return Place(server, self._addresses[server], 0)
+                    return HandOffTarget(server, self._addresses[server], 0)
                 self.probed(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
@@ -516,34 +518,34 @@
     # What the decisions call
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
-        ticket = self._tickets[login]
-        place = Place(
+        handle = self._logins[login]
+        target = HandOffTarget(
             server,
             self._addresses[server],
-            min(cut_at or ticket.time_limit_at, ticket.time_limit_at),
+            min(cut_at or handle.time_limit_at, handle.time_limit_at),
         )
-        ticket.place, ticket.decided = place, place
-        ticket.hand_offs += 1
-        ticket.sent_at = self._scheduler.now()
-        self._scheduler.wake(ticket.task)
+        handle.target, handle.decided = target, target
+        handle.hand_offs += 1
+        handle.sent_at = self._scheduler.now()
+        self._scheduler.wake(handle.task)
 
     def cancel(self, login: int, attempt: int) -> None:
-        ticket = self._tickets.get(login)
-        if ticket is not None and attempt == ticket.hand_offs - 1:
-            ticket.cancelled = True
-            self._scheduler.wake(ticket.task)
+        handle = self._logins.get(login)
+        if handle is not None and attempt == handle.hand_offs - 1:
+            handle.cancelled = True
+            self._scheduler.wake(handle.task)
 
     def bounce(self, login: int, retry_in: int) -> None:
-        self._answer(login, Refusal(True, retry_in))
+        self._answer(login, Rejection(True, retry_in))
 
     def terminate(self, login: int) -> None:
-        self._answer(login, Refusal(False, 0))
+        self._answer(login, Rejection(False, 0))
 
     def move(self, login: int) -> None:
-        ticket = self._tickets.get(login)
-        if ticket is not None:
-            ticket.to_move = True
-            self._scheduler.wake(ticket.task)
+        handle = self._logins.get(login)
+        if handle is not None:
+            handle.to_move = True
+            self._scheduler.wake(handle.task)
 
     def probe(self, server: int) -> None:
         self._probes.append(server)
@@ -583,45 +585,45 @@
         # Guards against two servers taken for one, as their names differ only in the word before the number.
         return number if self._names.get(number, name) == name else stable_id(name, plain=False)
 
-    def _ticket(self, time_limit_at: int) -> Ticket:
-        ticket = Ticket(self._next_login, self._scheduler.current, time_limit_at)
+    def _new_login(self, time_limit_at: int) -> LoginHandle:
+        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
         self._next_login += 1
-        self._tickets[ticket.number] = ticket
-        return ticket
+        self._logins[handle.number] = handle
+        return handle
 
-    def _login(self, ticket: Ticket, opening: Opening) -> Login:
+    def _login(self, handle: LoginHandle, opening: Opening) -> Login:
         return Login(
-            ticket.number,
+            handle.number,
             self._workloads[opening.workload],
             0,
             stable_id(opening.subject),
-            ticket.time_limit_at,
+            handle.time_limit_at,
             None if opening.cost is None else round(opening.cost * COST_UNIT),
             stable_id(opening.group) if opening.group and self._grouped else 0,
             False,
             opening.came_back,
         )
 
-    def _decision(self, ticket: Ticket) -> Place | Refusal:
-        while ticket.decided is None:
+    def _decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
+        while handle.decided is None:
             now = self._scheduler.now()
-            if now >= ticket.time_limit_at:
+            if now >= handle.time_limit_at:
                 # Guards against a login without an answer, whatever the decisions wait for.
                 self._counters["undecided at the time limit"] += 1
-                self.report_left(ticket)
-                return Refusal(False, 0)
-            self._scheduler.wait({}, ticket.time_limit_at)
-        return ticket.decided
+                self.report_left(handle)
+                return Rejection(False, 0)
+            self._scheduler.wait({}, handle.time_limit_at)
+        return handle.decided
 
     def _lost(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
             self.missed(server)
 
-    def _answer(self, login: int, refusal: Refusal) -> None:
-        ticket = self._tickets.pop(login, None)
-        if ticket is not None:
-            ticket.decided = refusal
-            self._scheduler.wake(ticket.task)
+    def _answer(self, login: int, rejection: Rejection) -> None:
+        handle = self._logins.pop(login, None)
+        if handle is not None:
+            handle.decided = rejection
+            self._scheduler.wake(handle.task)
 
     def _report(self, values: dict[str, float] | None) -> Report | None:
         if not values:
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -13,7 +13,7 @@
 from corklift.interface import Outcome, Scope
 from corklift.net.backoff import Backoff
 from corklift.net.blocking import Gone, Late, connected, send
-from corklift.net.facade import Facade, Place
+from corklift.net.facade import Facade, HandOffTarget
 from corklift.net.limits import Counters, Limits, Printer
 from corklift.net.parsers import (
     STATS,
@@ -65,7 +65,7 @@
         )
         self._kept_for = kept_for
         self._tasks: dict[int, Task] = {}
-        self._asked: dict[int, deque[Place]] = {}
+        self._asked: dict[int, deque[HandOffTarget]] = {}
         self._kept: dict[int, Stream] = {}
         facade.close_probes = self.close
 
@@ -74,17 +74,17 @@
 
     def keep_probing(self) -> None:
         while True:
-            place = self._facade.next_probe()
+            target = self._facade.next_probe()
             self._counters["probes"] += 1
-            if place.server in self._tasks:
-                self._asked[place.server].append(place)
-                self._scheduler.wake(self._tasks[place.server])
+            if target.server in self._tasks:
+                self._asked[target.server].append(target)
+                self._scheduler.wake(self._tasks[target.server])
             elif len(self._tasks) >= self._limits.probes and not self._make_way():
                 self._counters["probes without a descriptor"] += 1
-                self._facade.probed(place.server, Outcome.NOT_SENT, 0, None)
+                self._facade.probed(target.server, Outcome.NOT_SENT, 0, None)
             else:
-                self._asked[place.server] = deque([place])
-                self._tasks[place.server] = self._scheduler.spawn(self._probe_one, place.server)
+                self._asked[target.server] = deque([target])
+                self._tasks[target.server] = self._scheduler.spawn(self._probe_one, target.server)
 
     def close(self, server: int) -> None:
         """Nothing more is asked of this server for now."""
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -13,7 +13,7 @@
 
 from corklift.interface import Outcome
 from corklift.net.blocking import door, see_off
-from corklift.net.facade import Facade, Place, Refusal, Ticket
+from corklift.net.facade import Facade, HandOffTarget, Rejection, LoginHandle
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
     BUSY,
@@ -71,7 +71,7 @@
         self._past: dict[
             str, int
         ] = {}  # names of those that have ended, oldest first, and until when they are known
-        self._open: dict[int, Ticket] = {}
+        self._open: dict[int, LoginHandle] = {}
         self._turning_away = False
         self._taking = True  # clients are taken in, not left in the queue
         self._shared = False  # other processes take clients from the same socket
@@ -281,22 +281,22 @@
         ):
             raise Malformed("absurd time to wait")
         time_limit = min(first.wait, self._facade.time_limit(first))
-        ticket, decided = self._facade.pick(
+        handle, decided = self._facade.pick(
             first, self._now() + time_limit - self._limits.answer_margin
         )
         answer, word = FAILED, "failed"
         try:
-            while isinstance(decided, Place):
+            while isinstance(decided, HandOffTarget):
                 tried = self._hand_off(client, decided, first)
                 if tried.server is not None:
                     try:
-                        self._facade.report_up(ticket)
+                        self._facade.report_up(handle)
                         answer, word = b"", "served"
-                        return self._connected(client, tried.server, tried.line, ticket, first)
+                        return self._connected(client, tried.server, tried.line, handle, first)
                     finally:
                         tried.server.close()
                 self._counters[f"hand-offs {tried.outcome.value}"] += 1
-                decided = self._facade.report(ticket, tried.outcome, tried.values)
+                decided = self._facade.report(handle, tried.outcome, tried.values)
             if decided.harmless:
                 answer, word = busy(decided.retry_in), "refused"
             self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
@@ -307,7 +307,7 @@
             answer = b""  # `_serve` turns it away
             raise
         finally:
-            self._facade.report_left(ticket)
+            self._facade.report_left(handle)
             if word and word != "served":  # that was counted when it came up
                 self._counters.answered(word, first.workload)
             if answer:
@@ -321,14 +321,14 @@
         self._standing, counted = self._standing + 1, True
         try:
             while self._now() < until:
-                place = self._facade.server_named(first.stands_at)
-                if place is not None:
-                    tried = self._hand_off(client, place._replace(cut_at=until), first)
+                target = self._facade.server_named(first.stands_at)
+                if target is not None:
+                    tried = self._hand_off(client, target._replace(cut_at=until), first)
                     if tried.server is not None:
                         try:
-                            ticket = self._facade.report_carried(first, place.server)
+                            handle = self._facade.report_carried(first, target.server)
                             self._standing, counted = self._standing - 1, False
-                            return self._connected(client, tried.server, tried.line, ticket, first)
+                            return self._connected(client, tried.server, tried.line, handle, first)
                         finally:
                             tried.server.close()
                     self._counters[f"standing connections {tried.outcome.value}"] += 1
@@ -343,42 +343,42 @@
 
     # One hand-off
 
-    def _hand_off(self, client: Stream, place: Place, first: Opening) -> Tried:
+    def _hand_off(self, client: Stream, target: HandOffTarget, first: Opening) -> Tried:
         try:
-            server = Stream.connect(place.address, self._limits)
+            server = Stream.connect(target.address, self._limits)
         except OSError:
             # Guards against a login without an answer where the system has no descriptor or memory for its hand-off.
             self._counters["no descriptor for a server"] += 1
             return Tried(None, b"", Outcome.NOT_SENT)
         up = False
         try:
-            tried = self._try(client, server, place, first)
+            tried = self._try(client, server, target, first)
             up = tried.server is not None
             return tried
         finally:
             if not up:
                 server.close()
 
-    def _try(self, client: Stream, server: Stream, place: Place, first: Opening) -> Tried:
+    def _try(self, client: Stream, server: Stream, target: HandOffTarget, first: Opening) -> Tried:
         def without(outcome: Outcome, values: dict[str, float] | None = None) -> Tried:
             return Tried(None, b"", outcome, values)
 
         self._counters["hand-offs"] += 1
-        until = min(place.cut_at, self._now() + self._limits.connect_time)
+        until = min(target.cut_at, self._now() + self._limits.connect_time)
         while not server.broken and not self._await(client, server, WRITE, until):
             if self._now() >= until:
                 return without(Outcome.NOT_CONNECTED)
         if server.failed():
             return without(Outcome.NOT_CONNECTED)
-        if not (first.stands_at or self._facade.takes_new(place.server)):
+        if not (first.stands_at or self._facade.takes_new(target.server)):
             # Guards against a line on its way to a server that has begun to drain while it was connected to.
             return without(Outcome.NOT_SENT)
-        server.write(first.with_wait(place.cut_at - self._now()))
+        server.write(first.with_wait(target.cut_at - self._now()))
         while len(server.outbox):
             # The line's last byte has not left, so it has never run.
-            if server.broken or self._now() >= place.cut_at:
+            if server.broken or self._now() >= target.cut_at:
                 return without(Outcome.NOT_CONNECTED)
-            self._await(client, server, WRITE, place.cut_at)
+            self._await(client, server, WRITE, target.cut_at)
             server.flush()
         self._counters["hand-offs written"] += 1
         while True:
@@ -398,10 +398,10 @@
                 return without(Outcome.ERROR)
             if line is None and (server.ended or server.broken):
                 return without(Outcome.BROKEN)
-            if self._now() >= place.cut_at:
+            if self._now() >= target.cut_at:
                 return without(Outcome.TIMED_OUT)
             if line is None:
-                self._await(client, server, READ, place.cut_at)
+                self._await(client, server, READ, target.cut_at)
             else:
                 self._scheduler.wait(
                     {}, self._now()
@@ -419,25 +419,27 @@
     # One connection
 
     def _connected(
-        self, client: Stream, server: Stream, line: bytes, ticket: Ticket, first: Opening
+        self, client: Stream, server: Stream, line: bytes, handle: LoginHandle, first: Opening
     ) -> None:
         self._counters["connections up"] += 1
         self._counters.answered("served", first.workload)
-        self._open[ticket.number] = ticket
+        self._open[handle.number] = handle
         outcome, last = Outcome.BROKEN, b""
         try:
             client.write(line)
-            outcome, last = self._pass_on(client, server, ticket)
+            outcome, last = self._pass_on(client, server, handle)
         except OverLong:
             self._counters["bad lines on connections (over-long)"] += 1
         finally:
-            del self._open[ticket.number]
-            self._facade.report_end(ticket, outcome)
+            del self._open[handle.number]
+            self._facade.report_end(handle, outcome)
             server.close()
             self._counters[f"connections {outcome.value}"] += 1
             self._finish(client, last)
 
-    def _pass_on(self, client: Stream, server: Stream, ticket: Ticket) -> tuple[Outcome, bytes]:
+    def _pass_on(
+        self, client: Stream, server: Stream, handle: LoginHandle
+    ) -> tuple[Outcome, bytes]:
         """Passes whole lines on, both ways, until one side ends or the client is to move."""
         last_word = ""
         asked_at = 0  # when the oldest line that has brought nothing back was passed on; 0: none
@@ -452,7 +454,7 @@
                 return Outcome.ERROR, MOVE
             for line in lines:
                 if line.startswith(b"LOAD "):
-                    self._take_told(ticket, line)
+                    self._take_told(handle, line)
                     continue
                 last_word = line.rstrip(b"\r\n").split(b" ")[0].decode("latin-1")
                 asked_at = 0
@@ -461,7 +463,7 @@
                 doubt_at = asked_at + self._limits.doubt_time
             if asked_at and doubt_at <= self._now():
                 # Guards against a silent server that is not probed soon: its own connections show it first.
-                self._facade.report_unanswered(ticket, self._now() - asked_at)
+                self._facade.report_unanswered(handle, self._now() - asked_at)
                 doubt_at = self._now() + self._limits.doubt_time
             if client.broken:
                 server.abort()
@@ -474,7 +476,7 @@
             if client.ended and not len(client.inbox) and not len(server.outbox):
                 server.end_sending()
             silent = asked_at and self._now() >= asked_at + self._limits.silent_time
-            if (ticket.to_move or silent) and client.outbox.room >= len(MOVE):
+            if (handle.to_move or silent) and client.outbox.room >= len(MOVE):
                 self._counters["clients moved from silence" if silent else "clients moved"] += 1
                 return Outcome.TIMED_OUT if silent else Outcome.CANCELLED, MOVE
             if (client.ended or server.ended) and not end_by:
@@ -517,9 +519,9 @@
         sink.flush()
         return lines
 
-    def _take_told(self, ticket: Ticket, line: bytes) -> None:
+    def _take_told(self, handle: LoginHandle, line: bytes) -> None:
         try:
-            self._facade.report_told(ticket, figure(server_line(line).rest))
+            self._facade.report_told(handle, figure(server_line(line).rest))
         except Malformed:
             self._counters["bad lines of servers (figure)"] += 1
 
@@ -558,7 +560,7 @@
         self._turning_away = not self._shared
         moving, most = self._limits.stop_moving(accepting), 0
         while self._now() < began + self._limits.stop_time and (self._held or self._waiting):
-            still = sorted(number for number, ticket in self._open.items() if not ticket.to_move)
+            still = sorted(number for number, handle in self._open.items() if not handle.to_move)
             left = max(0, began + accepting + moving - self._now())
             # Over all the time there is, slowly at first. Guards against a flood at those who take them in, and
             # against clients sent away while a balancer that was stopped before this one is not back yet. Evenly
@@ -566,7 +568,7 @@
             most = max(most, len(still))
             part = moving**2 - (moving - left) ** 2 if not self._shared else left * moving
             number = len(still) - most * part // moving**2
-            for ticket in [self._open[at] for at in still[: max(0, number)]]:
-                ticket.to_move = True
-                self._scheduler.wake(ticket.task)
+            for handle in [self._open[at] for at in still[: max(0, number)]]:
+                handle.to_move = True
+                self._scheduler.wake(handle.task)
             self._scheduler.sleep(20 * MS)
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -13,7 +13,7 @@
 from corklift.membership.peers import Peers
 from corklift.net.admin import Answer as Reply
 from corklift.net.admin import Otherwise
-from corklift.net.facade import Refusal
+from corklift.net.facade import Rejection
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.parsers import Entry, Listing, Opening
 from corklift.net.scheduler import Task
@@ -393,7 +393,7 @@
         facade = self._process.facade
         return facade.importance(opening) / self._importance if self._importance else 1.0
 
-    def _door(self, opening: Opening, number: int) -> Refusal | None:
+    def _door(self, opening: Opening, number: int) -> Rejection | None:
         if self.core.step is Step.FULL:
             return None
         wait = self.core.login(self._scheduler.now(), self._importance_of(opening))
@@ -402,7 +402,7 @@
                 self._let_in.add(number)
             return None
         self._counters["logins refused while the door opens"] += 1
-        return Refusal(True, wait) if self._bounces else Refusal(False, 0)
+        return Rejection(True, wait) if self._bounces else Rejection(False, 0)
 
     def _went(self, number: int, up: bool | None) -> None:
         if number in self._let_in:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -481,7 +481,7 @@
     wire.client("c1", OPEN, 1000, "x\r\n")
     wire.run(500)
     real = wire.process.facade.report_up
-    wire.process.facade.report_up = lambda ticket: 1 / 0
+    wire.process.facade.report_up = lambda handle: 1 / 0
     wire.client("c2", OPEN)
     wire.run(300)
     wire.process.facade.report_up = real
@@ -492,7 +492,7 @@
         ["<", "FAILED"],
         ["ended"],
     ]
-    assert len(wire.process.facade._tickets) == 1
+    assert len(wire.process.facade._logins) == 1
 
 
 def test_what_all_connections_live_on_outlives_an_exception():
@@ -618,9 +618,9 @@
     ]
     for _ in range(2):
         facade.listed(Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries}))
-    places = [facade.server_named(entry["name"]) for entry in entries]
-    assert [place.address[1] for place in places] == [1, 2, 3] and len(
-        {place.server for place in places}
+    targets = [facade.server_named(entry["name"]) for entry in entries]
+    assert [target.address[1] for target in targets] == [1, 2, 3] and len(
+        {target.server for target in targets}
     ) == 3
 
 
