--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -26,7 +26,7 @@
 from corklift.control.weights import Told, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, allow_sockets
+from corklift.net.limits import MS, SECOND, Counters, LogWriter, allow_sockets
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.monitoring import ServerProbes, DiscoveryWatch
@@ -134,8 +134,8 @@
         self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
         self.probes = ServerProbes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
-        printer = Printer(config.net, scheduler.now, self.counters)
-        printer.say = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
+        log_writer = LogWriter(config.net, scheduler.now, self.counters)
+        log_writer.write = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
         self.kept = (
             Kept(scheduler, store.path, store.patience_ms * MS, self.listed, self.lines.say)
@@ -146,7 +146,7 @@
             scheduler,
             config.net,
             self.counters,
-            printer,
+            log_writer,
             self.kept or self,
             config.discovery,  # type: ignore[arg-type]
             Random(config.table.seed ^ 1),
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -185,7 +185,7 @@
         return "counters: " + " ".join(f"{name}={self[name]}" for name in sorted(self))
 
 
-class Seconds:
+class SecondSummary:
     """What a second brought, as one short line, where it brought trouble; `tools/fleet_count.py` adds up a fleet's."""
 
     SHOWN = {
@@ -208,7 +208,7 @@
         "list calls": ("discovery answers", "discovery failures"),
         "list failures": ("discovery failures",),
     }
-    TROUBLE = ("bounced", "terminated", "full", "failed", "moved", "broken", "list failures")
+    SHOWN_IF_ANY = ("bounced", "terminated", "full", "failed", "moved", "broken", "list failures")
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
@@ -217,18 +217,18 @@
     def _now(self) -> dict[str, int]:
         return {name: sum(self._counters[key] for key in keys) for name, keys in self.SHOWN.items()}
 
-    def line(self) -> str | None:
+    def next_line(self) -> str | None:
         """What has come since the last call; None where that was no trouble."""
         now, last = self._now(), self._last
         self._last = now
-        if not any(now[name] > last[name] for name in self.TROUBLE):
+        if not any(now[name] > last[name] for name in self.SHOWN_IF_ANY):
             return None
         return "second: " + " ".join(
             f"{name}={now[name] - last[name]}" for name in now if now[name] > last[name]
         )
 
 
-class Printer:
+class LogWriter:
     """Lines for standard error: so many a second, never waiting for whoever reads them."""
 
     def __init__(self, limits: Limits, now: Callable[[], int], counters: Counters) -> None:
@@ -237,7 +237,7 @@
         self._left, self._second, self._dropped = limits.printed, 0, 0
         self.wake: Callable[[], None] = lambda: None
 
-    def say(self, text: str, always: bool = False) -> None:
+    def write(self, text: str, always: bool = False) -> None:
         second = self._now() // SECOND
         if second != self._second:
             self._second, self._left = second, self.limits.printed
@@ -248,23 +248,23 @@
         self._left -= 1
         if self._dropped:
             text, self._dropped = f"{text} ({self._dropped} lines before this were dropped)", 0
-        self._queue.append(self.form(text))
+        self._queue.append(self.format_line(text))
         self.wake()
 
-    def form(self, text: str) -> str:
+    def format_line(self, text: str) -> str:
         """A line as it is written."""
         return f"corklift: {text}"[:2000].replace("\n", " | ")
 
     @property
-    def waiting(self) -> bool:
+    def has_pending_lines(self) -> bool:
         return bool(self._queue)
 
-    def print_all(self) -> None:
+    def flush(self) -> None:
         """At exit, when nothing is left to delay."""
         while self._queue:
-            self.print_one()
+            self.write_next()
 
-    def print_one(self) -> None:
+    def write_next(self) -> None:
         """Called when standard error takes a line at once."""
         if self._queue:
             try:
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -14,7 +14,7 @@
 from corklift.net.backoff import Backoff
 from corklift.net.blocking import Gone, Late, connected, send
 from corklift.net.facade import Facade, HandOffTarget
-from corklift.net.limits import Counters, Limits, Printer
+from corklift.net.limits import Counters, Limits, LogWriter
 from corklift.net.parsers import (
     STATS,
     HttpAnswer,
@@ -196,7 +196,7 @@
         scheduler: Scheduler,
         limits: Limits,
         counters: Counters,
-        printer: Printer,
+        log_writer: LogWriter,
         facade: Facade,
         address: tuple[str, int],
         rng: Random,
@@ -208,7 +208,7 @@
             counters,
             facade,
         )
-        self._printer, self._address = printer, address
+        self._log_writer, self._address = log_writer, address
         self._stream: Stream | None = None
         self._index = (
             known  # the version of the list that is known; None: the whole of it is asked for
@@ -258,7 +258,7 @@
             try:
                 self._call()
                 if self._failures:
-                    self._printer.say(f"discovery answers again after {self._failures} calls")
+                    self._log_writer.write(f"discovery answers again after {self._failures} calls")
                     self._failures = 0
                     self._set_backoff(self._limits)
             except (Gone, Late, Malformed, Overbooked) as problem:
@@ -267,7 +267,7 @@
                 self._failures += 1
                 self._counters["discovery failures"] += 1
                 if self._failures & (self._failures - 1) == 0:
-                    self._printer.say(
+                    self._log_writer.write(
                         f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
                         "the known list stays in force"
                     )
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -20,7 +20,7 @@
 
 from corklift.configuration import Configuration
 from corklift.membership.peers import Peers, split
-from corklift.net.limits import MS, BadConfig, Counters, Limits, Printer, allow_sockets
+from corklift.net.limits import MS, BadConfig, Counters, Limits, LogWriter, allow_sockets
 from corklift.service import Part, Process, carry_on
 from corklift.typed import Table, fault
 
@@ -124,7 +124,7 @@
     return found
 
 
-class JsonPrinter(Printer):
+class JsonLogWriter(LogWriter):
     """Each line a JSON object, by structlog's renderers: `at_ns` on the one clock, `event`, and what the event brings."""
 
     def __init__(
@@ -135,12 +135,12 @@
         self._fields: dict[str, Any] = {}
         self._render = structlog.processors.JSONRenderer()
 
-    def tell(self, event: str, **fields: Any) -> None:
+    def write_event(self, event: str, **fields: Any) -> None:
         self._fields = fields
-        self.say(event, always=True)
+        self.write(event, always=True)
         self._fields = {}
 
-    def form(self, text: str) -> str:
+    def format_line(self, text: str) -> str:
         line = self._render(
             None,
             "info",
@@ -161,8 +161,8 @@
         name = given.peers.name if given.peers else ""
 
         def part(process: Process) -> Part:
-            assert isinstance(process.printer, JsonPrinter)
-            tell, peers, store = process.printer.tell, given.peers, given.store
+            assert isinstance(process.log_writer, JsonLogWriter)
+            tell, peers, store = process.log_writer.write_event, given.peers, given.store
             if store is None:
                 assert peers is not None
                 made.append(Peers(process, peers, tell))
@@ -188,7 +188,7 @@
         return Process(
             given.whole(),
             read_anew=lambda: read(path).whole(),
-            printer=partial(JsonPrinter, name=name),
+            log_writer=partial(JsonLogWriter, name=name),
             parts=[part] if given.peers or given.store else [],
         )
 
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -21,7 +21,7 @@
 from corklift.net.admin import Admin, Desk, figures
 from corklift.net.facade import Facade
 from corklift.net.handover_files import folder
-from corklift.net.limits import MS, SECOND, BadConfig, Counters, Printer, Seconds
+from corklift.net.limits import MS, SECOND, BadConfig, Counters, LogWriter, SecondSummary
 from corklift.net.handover_driver import HandoverDriver
 from corklift.net.relay import Relay
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
@@ -66,7 +66,7 @@
         poller: Any = None,
         *,
         read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
-        printer: Callable[..., Printer] = Printer,
+        log_writer: Callable[..., LogWriter] = LogWriter,
         parts: Sequence[Callable[[Process], Part]] = (),
     ) -> None:
         """`read_anew`: the configuration anew, at SIGHUP; `parts`: what this program has beside those of `run`."""
@@ -78,7 +78,7 @@
         )  # of this process, so it goes before the file's
         self._configuration = given = Configuration.of(config, self._admin_told)
         self.limits = limits = given.limits
-        self.printer = printer(limits, now, self.counters)
+        self.log_writer = log_writer(limits, now, self.counters)
         self.scheduler = scheduler = Scheduler(now, self._failed, poller)
         self.facade = Facade(
             scheduler,
@@ -89,7 +89,7 @@
             given.localities,
             given.kinds,
             limits.settle_time,
-            self.printer.say,
+            self.log_writer.write,
             self.counters,
         )
         self.relay = Relay(scheduler, limits, self.counters, self.facade)
@@ -106,7 +106,7 @@
             scheduler,
             limits,
             self.counters,
-            lambda text: self.printer.say(text, always=True),
+            lambda text: self.log_writer.write(text, always=True),
             self.facade,
             self.relay,
             place,
@@ -117,7 +117,7 @@
             scheduler,
             limits,
             self.counters,
-            self.printer,
+            self.log_writer,
             self.facade,
             given.discovery,
             Random(given.seed ^ 1),
@@ -143,7 +143,7 @@
     def start(self) -> None:
         scheduler = self.scheduler
         printing = scheduler.spawn(self._keep_printing)
-        self.printer.wake = lambda: scheduler.wake(printing)
+        self.log_writer.wake = lambda: scheduler.wake(printing)
         self.handover.join()
         self.facade.listed(Scope.CACHED, self._configuration.known)
         for job in (
@@ -189,10 +189,10 @@
         except (BadConfig, OSError) as problem:
             self.counters["configurations refused"] += 1
             what = problem if isinstance(problem, BadConfig) else f"config: listen: {problem}"
-            self.printer.say(f"{what}; the old configuration stays in force", always=True)
+            self.log_writer.write(f"{what}; the old configuration stays in force", always=True)
             return
         self._configuration, self.limits = new, new.limits
-        self.printer.limits = new.limits
+        self.log_writer.limits = new.limits
         self.facade.settings_changed(
             new.arguments, new.report_names, new.told, new.localities, new.kinds
         )
@@ -210,7 +210,7 @@
             }
         )
         self.counters["configurations taken"] += 1
-        self.printer.say(
+        self.log_writer.write(
             f"configuration read anew, changed: {' '.join(changed) or 'nothing'}", always=True
         )
 
@@ -253,11 +253,11 @@
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
         self._tell_counters()
-        self.printer.print_all()
+        self.log_writer.flush()
 
     def _tell_counters(self) -> None:
         self.counters["sockets open"] = Stream.open_now
-        self.printer.say(self.counters.text(), always=True)
+        self.log_writer.write(self.counters.text(), always=True)
 
     def _get_ready(self) -> None:
         """Serves, as PING is told, once the list and a first count of each server are there, or soon anyway."""
@@ -269,7 +269,7 @@
     def leave(self) -> None:
         if not self._stopping:
             self._stopping = True
-            self.printer.say("told to stop")
+            self.log_writer.write("told to stop")
             self.handover.leave()
             for part in self._parts:
                 part.leave()
@@ -285,22 +285,22 @@
 
     def _failed(self, trace: str) -> None:
         self.counters["exceptions"] += 1
-        self.printer.say(f"exception: {trace}")
+        self.log_writer.write(f"exception: {trace}")
 
     def _keep_telling(self) -> None:
-        seconds = Seconds(self.counters)
+        summary = SecondSummary(self.counters)
         while True:
             self.scheduler.sleep(SECOND)
-            line = seconds.line()
+            line = summary.next_line()
             if line is not None:
-                self.printer.say(line)
+                self.log_writer.write(line)
 
     def _keep_printing(self) -> None:
         while True:
-            if not self.printer.waiting:
+            if not self.log_writer.has_pending_lines:
                 self.scheduler.wait({})
             elif self.scheduler.wait({sys.stderr.fileno(): WRITE}):
-                self.printer.print_one()
+                self.log_writer.write_next()
 
 
 def balance() -> int:
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -211,7 +211,7 @@
         self.seconds: list[
             str
         ] = []  # the lines that sum up a second; the traces hold what they sum up
-        self.process.printer.say = lambda text, always=False: (
+        self.process.log_writer.write = lambda text, always=False: (
             self.seconds.append(text) if text.startswith("second: ") else self.say(f"log: {text}")
         )
         self.process.start()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import Login, NoteKind, Outcome, Report, Scope
-from corklift.net.limits import BadConfig, Counters, Limits, Printer
+from corklift.net.limits import BadConfig, Counters, Limits, LogWriter
 from corklift.net.parsers import (
     HttpAnswer,
     Malformed,
@@ -670,12 +670,12 @@
     limits = Limits.of(
         {"sockets": 100, "memory_mb": 64}, 200 * MS, 3, 3200 * MS, 10_000 * MS, False
     )
-    printer = Printer(limits, lambda: now[0], counters)
+    log_writer = LogWriter(limits, lambda: now[0], counters)
     for number in range(1000):
-        printer.say(f"line {number}")
+        log_writer.write(f"line {number}")
     now[0] = 2000 * MS
-    printer.say("later")
-    printer.print_all()
+    log_writer.write("later")
+    log_writer.flush()
     lines = capsys.readouterr().err.splitlines()
     assert (
         len(lines) == limits.printed + 1 and counters["log lines dropped"] == 1000 - limits.printed
