--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -25,7 +25,7 @@
 from corklift.rpc.server import Server, unary
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 CALL, STATUS, FORGET = "/corklift.Peers/Call", "/corklift.Peers/Status", "/corklift.Peers/Forget"
 MOST_CALLS = 64  # under way at a time; further ones fail at once
@@ -145,7 +145,7 @@
 
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         given: Given,
         tell: Callable[..., None],
         *,
@@ -213,15 +213,15 @@
             until,
         )
 
-    # Part
+    # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
         return self._keep_accepting, self._keep_ticking, self._keep_holding
 
-    def leave(self) -> None:
+    def on_stop_requested(self) -> None:
         """Clients come for a moment yet: nothing is told before the last has gone."""
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         for ask, name in self.core.leave(self._scheduler.now()):
             self._tell("leaving", told=name)
         self._left = True
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -27,7 +27,7 @@
 from corklift.store.log import Notes
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 ASK, TELL = "/corklift.Peers/Ask", "/corklift.Peers/Tell"
 MESSAGE = 1 << 20  # bytes, of a list of some 15,000 servers
@@ -56,7 +56,7 @@
 class Return:
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         given: Given,
         name: str,
         period: int,
@@ -123,21 +123,21 @@
         process.handover.words_elsewhere = True
         process.more_figures.append(self._figures)
 
-    # Part
+    # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
         self._keeper.start()
         jobs = [self._keeper.keep_hearing, self._keep_going]
-        return [*jobs, *self._peers.jobs()] if self._peers else jobs
+        return [*jobs, *self._peers.background_tasks()] if self._peers else jobs
 
-    def leave(self) -> None:
+    def on_stop_requested(self) -> None:
         self.core.stopping(self._scheduler.now())
         if self._peers:
-            self._peers.leave()
+            self._peers.on_stop_requested()
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         if self._peers:
-            self._peers.left()
+            self._peers.on_clients_drained()
         self._keeper.settle(min(SECOND, self._period))
         self._left = True
         self._keeper.stop()
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -21,7 +21,7 @@
 from corklift.configuration import Configuration
 from corklift.membership.peers import Peers, split
 from corklift.net.limits import MS, BadConfig, Counters, Limits, LogWriter, allow_sockets
-from corklift.service import Part, Process, carry_on
+from corklift.service import BalancerProcess, Component, carry_on
 from corklift.typed import Table, fault
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[!-~]+$")]
@@ -152,7 +152,7 @@
 def main(path: str) -> int:
     made: list[Any] = []
 
-    def make() -> Process:
+    def make() -> BalancerProcess:
         given = read(path)
         if given.peers is not None and os.environ.get("BALANCER_LISTEN_FD"):
             raise BadConfig(
@@ -160,7 +160,7 @@
             )
         name = given.peers.name if given.peers else ""
 
-        def part(process: Process) -> Part:
+        def component(process: BalancerProcess) -> Component:
             assert isinstance(process.log_writer, JsonLogWriter)
             tell, peers, store = process.log_writer.write_event, given.peers, given.store
             if store is None:
@@ -185,11 +185,11 @@
                 )
             return made[0]
 
-        return Process(
+        return BalancerProcess(
             given.whole(),
             read_anew=lambda: read(path).whole(),
             log_writer=partial(JsonLogWriter, name=name),
-            parts=[part] if given.peers or given.store else [],
+            components=[component] if given.peers or given.store else [],
         )
 
     code = carry_on(make)
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -48,15 +48,23 @@
     raise BadConfig(f"environment: BALANCER_LISTEN_FD holds {text!r:.40}: {problem}")
 
 
-class Part(Protocol):
-    """What a program has beside the parts of `run`."""
+class Component(Protocol):
+    """An optional component of a balancer process, such as peer membership or recovery."""
 
-    def jobs(self) -> Sequence[Callable[[], None]]: ...  # tasks that last as long as the process
-    def leave(self) -> None: ...  # told to stop: new clients come for a moment yet
-    def left(self) -> None: ...  # the last client has gone; may wait, not for long
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
+        """Returns functions that run as tasks for the lifetime of the process."""
+        ...
 
+    def on_stop_requested(self) -> None:
+        """Called when the process is asked to stop; new clients still arrive for a moment."""
+        ...
 
-class Process:
+    def on_clients_drained(self) -> None:
+        """Called after the last client has disconnected; may block briefly."""
+        ...
+
+
+class BalancerProcess:
     """The parts of one balancer, put together."""
 
     def __init__(
@@ -67,7 +75,7 @@
         *,
         read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
         log_writer: Callable[..., LogWriter] = LogWriter,
-        parts: Sequence[Callable[[Process], Part]] = (),
+        components: Sequence[Callable[[BalancerProcess], Component]] = (),
     ) -> None:
         """`read_anew`: the configuration anew, at SIGHUP; `parts`: what this program has beside those of `run`."""
         self.counters = Counters()
@@ -133,7 +141,7 @@
         )
         self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
         self.more_figures: list[Callable[[], str]] = []
-        self._parts = [part(self) for part in parts]
+        self._components = [component(self) for component in components]
 
     @property
     def configuration(self) -> Configuration:
@@ -155,7 +163,7 @@
             self._get_ready,
             self._keep_telling,
             self.handover.keep_looking,
-            *(job for part in self._parts for job in part.jobs()),
+            *(job for component in self._components for job in component.background_tasks()),
         ):
             scheduler.spawn(self._keep, job)
 
@@ -271,15 +279,15 @@
             self._stopping = True
             self.log_writer.write("told to stop")
             self.handover.leave()
-            for part in self._parts:
-                part.leave()
+            for component in self._components:
+                component.on_stop_requested()
             self.scheduler.spawn(self._see_out)
 
     def _see_out(self) -> None:
         try:
             self.relay.stop()
-            for part in self._parts:
-                part.left()
+            for component in self._components:
+                component.on_clients_drained()
         finally:
             self.scheduler.stop()
 
@@ -305,10 +313,10 @@
 
 def balance() -> int:
     """`run`: the balancer alone, from BALANCER_CONFIG."""
-    return carry_on(lambda: Process(read(os.environ.get("BALANCER_CONFIG"))))
+    return carry_on(lambda: BalancerProcess(read(os.environ.get("BALANCER_CONFIG"))))
 
 
-def carry_on(make: Callable[[], Process]) -> int:
+def carry_on(make: Callable[[], BalancerProcess]) -> int:
     """Makes a process and serves until it is told to stop; returns how the program ends."""
     # Guards against the signal's usual effect, an end, and its loss before the first configuration is in use.
     early: list[int] = []
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -13,7 +13,7 @@
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 from corklift.policy import Balancer
-from corklift.service import Process
+from corklift.service import BalancerProcess
 
 MS = 1_000_000
 TRACES = Path(__file__).parent / "traces"
@@ -206,7 +206,7 @@
             }
             | settings,
         } | (more or {})
-        self.process = Process(self.config, lambda: self.now, VirtualPoll(self))
+        self.process = BalancerProcess(self.config, lambda: self.now, VirtualPoll(self))
         self.limits, self.counters = self.process.limits, self.process.counters
         self.seconds: list[
             str
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -660,7 +660,7 @@
     code = (
         "import sys, runpy, os, signal\n"
         "import corklift.__main__ as m, corklift.service as s\n"
-        "s.Process.run = lambda self, early: None\n"
+        "s.BalancerProcess.run = lambda self, early: None\n"
         "sys.argv = ['corklift']\n"
         "assert m.main() == 0\n"
         "names = {name.partition('.')[0] for name in sys.modules}\n"
