--- a/corklift/control/kept.py
+++ b/corklift/control/kept.py
@@ -107,7 +107,7 @@
             self._scheduler.wake(task)
         self._waits = []
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         """Discovery tells; blocks its watch until what was kept is known, and then until this is kept, neither for long."""
         while not self._open:
             self._waits.append(self._scheduler.current)
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -138,7 +138,7 @@
         log_writer.write = lambda text, always=False: self.lines.say("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
         self.kept = (
-            Kept(scheduler, store.path, store.patience_ms * MS, self.listed, self.lines.say)
+            Kept(scheduler, store.path, store.patience_ms * MS, self.apply_listing, self.lines.say)
             if store
             else None
         )
@@ -159,10 +159,10 @@
 
     # What the watch calls
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         """The list's word: who drains or is gone has left every view when this returns."""
         now = self.scheduler.now()
-        self.facade.listed(scope, content)
+        self.facade.apply_listing(scope, content)
         named = {entry.name for entry in content.entries}
         left = {entry.name for entry in content.entries if entry.status is not Status.READY}
         gone = {entry.name for entry in content.entries if entry.status is Status.GONE}
@@ -217,7 +217,7 @@
         if self._known_at is None:
             return
         if not self.views.known and not (
-            self.facade.all_heard() or now - self._known_at >= READY_TIME
+            self.facade.all_servers_probed() or now - self._known_at >= READY_TIME
         ):
             return
         ready = [name for name, state in self._states.items() if state is Status.READY]
@@ -293,7 +293,7 @@
         self.weights.forget([workload.name for workload in new.workloads])
         self.service.ttl, self.service.report_every = new.ttl, new.table.load_reports.every_ms * MS
         self.probes.reconfigure(new.net, KEPT_FOR)
-        self.watch.follow(new.discovery, new.net)
+        self.watch.reconfigure(new.discovery, new.net)
         self.counters["configurations taken"] += 1
         if self.views.known:
             now = self.scheduler.now()
@@ -310,9 +310,9 @@
         spawn = self.scheduler.spawn
         spawn(self.lines.keep_printing)
         for job in (
-            self.facade.keep_ticking,
-            self.probes.keep_probing,
-            self.watch.keep_watching,
+            self.facade.timer_loop,
+            self.probes.probe_loop,
+            self.watch.watch_loop,
             self.keep_weighing,
             self.server.keep_accepting,
             *(self.kept.jobs() if self.kept else ()),
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -187,10 +187,10 @@
         self._next_call = self._under_way = 0
         self._left = False
         self._waits = self._gated = waits
-        process.facade.reported = self._reported
-        process.facade.before_placing = lambda: self.core.woke(self._scheduler.now())
+        process.facade.load_reported = self._reported
+        process.facade.before_placement = lambda: self.core.woke(self._scheduler.now())
         if not waits:
-            process.relay.take_clients(False)
+            process.relay.set_accepting(False)
 
     def resume(self, incarnation: int, turn: int, expected: int) -> None:
         """What the disk says of before is known, or is not waited for."""
@@ -247,13 +247,13 @@
         opened = False
         self._await_resume()
         while not self._left:
-            self.core.holds(self._scheduler.now(), self._process.facade.standing)
+            self.core.holds(self._scheduler.now(), self._process.facade.connection_count)
             if not opened and self.core.admitted:
                 # No span of time opens the door: a peer let it in, or none answers.
                 opened = True
                 self._tell("serving", joined=self.core.joined, members=len(self.core.living) + 1)
                 if not self._gated:
-                    self._process.relay.take_clients(True)
+                    self._process.relay.set_accepting(True)
             self._scheduler.sleep(self._given.period_ms * MS // LOOKS)
 
     def _reported(self, server: int, connections: float) -> None:
@@ -316,7 +316,7 @@
 
     def counted(self, number: int) -> None:
         self._tell("count", balancers=number)
-        self._process.facade.balancers(number)
+        self._process.facade.set_balancer_count(number)
 
     def refused(self, why: str) -> None:
         self._tell("refused", why=why)
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -18,40 +18,40 @@
 from corklift.net.stream import Stream
 
 
-class Answer(NamedTuple):
+class AdminResponse(NamedTuple):
     status: int
     text: str
 
 
-class Otherwise(Exception):
+class IncompleteOperationError(Exception):
     """What was asked for is answered in another way than by yes or no."""
 
-    def __init__(self, answer: Answer) -> None:
+    def __init__(self, answer: AdminResponse) -> None:
         super().__init__(answer.text)
         self.answer = answer
 
 
-class Balance(Protocol):
+class ManagedBalancer(Protocol):
     """What operators may ask of a balancer and tell it."""
 
-    def serves(self) -> bool: ...
-    def figures(self) -> str: ...
+    def is_serving(self) -> bool: ...
+    def stats(self) -> str: ...
     def take_out(self, name: str) -> bool: ...  # whether there is such a server
     def put_back(self, name: str) -> bool: ...
 
 
-class Desk:
+class AdminHandler:
     """Answers whole calls."""
 
-    def __init__(self, balance: Balance) -> None:
-        self._balance = balance
-        self._calls: dict[str, tuple[str, Callable[[HttpCall], Answer]]] = {
+    def __init__(self, balancer: ManagedBalancer) -> None:
+        self._balancer = balancer
+        self._calls: dict[str, tuple[str, Callable[[HttpCall], AdminResponse]]] = {
             "/admin/health": ("GET", self._health),
-            "/admin/stats": ("GET", lambda call: Answer(200, balance.figures())),
-            "/admin/cordon": ("POST", lambda call: self._member(call, balance.take_out, "out")),
+            "/admin/stats": ("GET", lambda call: AdminResponse(200, balancer.stats())),
+            "/admin/cordon": ("POST", lambda call: self._member(call, balancer.take_out, "out")),
             "/admin/uncordon": (
                 "POST",
-                lambda call: self._member(call, balance.put_back, "free to serve"),
+                lambda call: self._member(call, balancer.put_back, "free to serve"),
             ),
         }
 
@@ -59,35 +59,35 @@
         """The one that a path is called by; empty where there is no such path."""
         return self._calls[path][0] if path in self._calls else ""
 
-    def answer(self, call: HttpCall) -> Answer:
+    def answer(self, call: HttpCall) -> AdminResponse:
         method = self.method(call.path)
         if not method:
-            return Answer(404, f"There is no {call.path:.80} here.\n")
+            return AdminResponse(404, f"There is no {call.path:.80} here.\n")
         if call.method != method:
-            return Answer(405, f"{call.path} is called by {method}.\n")
+            return AdminResponse(405, f"{call.path} is called by {method}.\n")
         return self._calls[call.path][1](call)
 
-    def _health(self, call: HttpCall) -> Answer:
+    def _health(self, call: HttpCall) -> AdminResponse:
         return (
-            Answer(200, "It serves.\n")
-            if self._balance.serves()
-            else Answer(503, "It does not serve.\n")
+            AdminResponse(200, "It serves.\n")
+            if self._balancer.is_serving()
+            else AdminResponse(503, "It does not serve.\n")
         )
 
-    def _member(self, call: HttpCall, act: Callable[[str], bool], what: str) -> Answer:
+    def _member(self, call: HttpCall, act: Callable[[str], bool], what: str) -> AdminResponse:
         name = call.table().get("member")
         if not isinstance(name, str) or not name:
             raise Malformed("member is no name of a server")
         try:
             known = act(name)
-        except Otherwise as other:
+        except IncompleteOperationError as other:
             return other.answer
         if not known:
-            return Answer(404, f"No server has the name {name!r:.80}.\n")
-        return Answer(200, f"Server {name:.80} is {what}.\n")
+            return AdminResponse(404, f"No server has the name {name!r:.80}.\n")
+        return AdminResponse(200, f"Server {name:.80} is {what}.\n")
 
 
-def figures(
+def format_stats(
     counters: Counters, workloads: list[str], in_flight: int, known: int, excluded: int
 ) -> str:
     """A line a figure, from the counts that the program itself keeps: `|c` has grown since the start, `|g` stands now."""
@@ -118,7 +118,7 @@
     """The door for operators."""
 
     def __init__(
-        self, scheduler: Scheduler, limits: Limits, counters: Counters, desk: Desk
+        self, scheduler: Scheduler, limits: Limits, counters: Counters, desk: AdminHandler
     ) -> None:
         self._scheduler, self._limits, self._counters, self._desk = (
             scheduler,
@@ -143,7 +143,7 @@
     def reconfigure(self, limits: Limits) -> None:
         self._limits = limits
 
-    def keep_accepting(self) -> None:
+    def accept_loop(self) -> None:
         self._acceptor = self._scheduler.current
         while True:
             try:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -86,7 +86,7 @@
         self._logins: dict[int, LoginHandle] = {}
         self._standing = 0  # of them, connections
         self._next_login = 1
-        self.before_placing: Callable[[], None] = lambda: (
+        self.before_placement: Callable[[], None] = lambda: (
             None
         )  # whoever must see that this process was stopped sets it
         self._names: dict[int, str] = {}
@@ -101,8 +101,10 @@
         self._ticker: Task | None = None
         self._probes: deque[int] = deque()
         self._prober: Task | None = None
-        self.close_probes: Callable[[int], None] = lambda server: None  # whoever probes sets it
-        self.reported: Callable[[int, float], None] = lambda server, count: (
+        self.close_probe_connection: Callable[[int], None] = lambda server: (
+            None
+        )  # whoever probes sets it
+        self.load_reported: Callable[[int, float], None] = lambda server, count: (
             None
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
@@ -162,10 +164,10 @@
 
     # What the relay calls
 
-    def workload(self, name: str) -> int | None:
+    def workload_index(self, name: str) -> int | None:
         return self._workloads.get(name)
 
-    def workloads(self) -> list[str]:
+    def workload_names(self) -> list[str]:
         """All that were ever in force, for counts."""
         return [workload.name for workload in self._all_workloads]
 
@@ -176,11 +178,11 @@
     def time_limit(self, opening: Opening) -> int:
         return self._all_workloads[self._workloads[opening.workload]].time_limit
 
-    def pick(
+    def place_login(
         self, opening: Opening, time_limit_at: int
     ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
         """A login has come; blocks until it is decided where it goes."""
-        self.before_placing()
+        self.before_placement()
         rejection = self.door(opening, self._next_login)
         handle = self._new_login(time_limit_at)
         if rejection is not None:
@@ -190,7 +192,7 @@
         self._balancer.login_arrived(now, self._login(handle, opening))
         return handle, self._decision(handle)
 
-    def report(
+    def report_failed_hand_off(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> HandOffTarget | Rejection:
         """A hand-off has ended without a connection; blocks until it is decided what comes next."""
@@ -211,7 +213,7 @@
         )
         return self._decision(handle)
 
-    def report_up(self, handle: LoginHandle) -> None:
+    def report_connected(self, handle: LoginHandle) -> None:
         """The hand-off has become a connection."""
         assert handle.target is not None
         now = self._scheduler.now()
@@ -221,7 +223,7 @@
             now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
         )
 
-    def report_carried(self, opening: Opening, server: int) -> LoginHandle:
+    def report_restored(self, opening: Opening, server: int) -> LoginHandle:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
@@ -235,7 +237,7 @@
         self._balancer.connection_carried(now, self._login(handle, opening), server)
         return handle
 
-    def report_end(
+    def report_connection_end(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> None:
         """A connection has ended."""
@@ -255,13 +257,13 @@
                 self._report(values),
             )
 
-    def report_left(self, handle: LoginHandle) -> None:
+    def report_abandoned(self, handle: LoginHandle) -> None:
         """The client has gone before its answer."""
         self.went(handle.number, None)
         if self._logins.pop(handle.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
-    def report_told(self, handle: LoginHandle, value: float) -> None:
+    def report_measurement(self, handle: LoginHandle, value: float) -> None:
         """A server has told a figure on this connection; the settings say what of."""
         if self._told is not None:
             assert handle.target is not None
@@ -276,7 +278,7 @@
                 value * unit,
             )
 
-    def report_unanswered(self, handle: LoginHandle, span: int) -> None:
+    def report_unanswered_line(self, handle: LoginHandle, span: int) -> None:
         """A client's line has brought nothing back for so long: messages there take that long at the least."""
         assert handle.target is not None
         self._counters["lines unanswered"] += 1
@@ -286,7 +288,7 @@
         )
         self._balancer.hand_off_silent(now, server)
 
-    def server_named(self, name: str) -> HandOffTarget | None:
+    def find_server(self, name: str) -> HandOffTarget | None:
         server = self._server_id(name)
         address = self._addresses.get(server)
         return None if address is None else HandOffTarget(server, address, 0)
@@ -310,7 +312,7 @@
 
     # What a part calls that knows the other balancers
 
-    def balancers(self, number: int) -> None:
+    def set_balancer_count(self, number: int) -> None:
         """So many balancers place logins, this one too: whatever the settings told or tell later."""
         if number != self._counted:
             self._counted = number
@@ -319,7 +321,7 @@
             )
 
     @property
-    def standing(self) -> int:
+    def connection_count(self) -> int:
         """Connections that stand at servers through this balancer."""
         return self._standing
 
@@ -355,7 +357,7 @@
             self._log(f"server {name:.80} is out by operators' word")
             self._balancer.server_out(self._scheduler.now(), server)
 
-    def sizes(self) -> dict[str, float]:
+    def server_sizes(self) -> dict[str, float]:
         """By server's name, how many connections fill it, where that is known."""
         return {
             self._names[number]: size
@@ -363,7 +365,7 @@
             if size is not None and number in self._names
         }
 
-    def hint(self, sizes: dict[str, float]) -> None:
+    def apply_size_hints(self, sizes: dict[str, float]) -> None:
         """What servers could do before this process: taken until one shows what it can."""
         self.follow(
             {
@@ -377,7 +379,7 @@
         )
         self.alone()
 
-    def ages(self) -> dict[str, int]:
+    def server_start_times(self) -> dict[str, int]:
         """By server's name, when it started as the decisions know it; 0: long past."""
         return {
             self._names[number]: int(started_at)
@@ -388,7 +390,7 @@
     def importance(self, opening: Opening) -> float:
         return self._all_workloads[self._workloads[opening.workload]].importance
 
-    def knows(self, name: str) -> bool:
+    def knows_server(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
         server = self._server_id(name)
         return server in self._listed or server in self._out
@@ -402,7 +404,7 @@
     def known_and_avoided(self) -> tuple[int, int]:
         return self._balancer.known_and_avoided(self._scheduler.now())
 
-    def takes_new(self, server: int) -> bool:
+    def accepts_logins(self, server: int) -> bool:
         """Whether it has not begun to drain, by the list's word or operators'."""
         return server in self._ready and server not in self._out
 
@@ -429,7 +431,7 @@
 
     # Called by the monitoring tasks
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         content = self.believed(scope, content)
         lines = []
         for entry in content.entries:
@@ -473,10 +475,10 @@
                 server = self._probes.popleft()
                 if server in self._addresses:
                     return HandOffTarget(server, self._addresses[server], 0)
-                self.probed(server, Outcome.NOT_CONNECTED, 0, None)
+                self.probe_finished(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
-    def probed(
+    def probe_finished(
         self, server: int, outcome: Outcome, took: int, values: dict[str, float] | None
     ) -> None:
         self._heard.add(server)
@@ -496,13 +498,13 @@
         self._lost(server, outcome)
         self._balancer.probe_answered(self._scheduler.now(), server, took, outcome, report)
         if report is not None and report.count is not None:
-            self.reported(server, report.count)
+            self.load_reported(server, report.count)
 
-    def all_heard(self) -> bool:
+    def all_servers_probed(self) -> bool:
         """Whether a probe of every ready server has come to an end."""
         return bool(self._ready) and self._ready - self._out.keys() <= self._heard
 
-    def tick(self) -> int | None:
+    def run_due_timers(self) -> int | None:
         """Runs what is due; returns when the next is."""
         now = self._scheduler.now()
         while self._timers and self._timers[0][0] <= now:
@@ -510,10 +512,10 @@
             self._balancer.timer_due(now, mark)
         return self._timers[0][0] if self._timers else None
 
-    def keep_ticking(self) -> None:
+    def timer_loop(self) -> None:
         self._ticker = self._scheduler.current
         while True:
-            self._scheduler.wait({}, self.tick())
+            self._scheduler.wait({}, self.run_due_timers())
 
     # What the decisions call
 
@@ -554,7 +556,7 @@
 
     def close_idle(self, server: int) -> None:
         """No connection idles but a server's one for probes."""
-        self.close_probes(server)
+        self.close_probe_connection(server)
 
     def set_timer(self, after: int, mark: int) -> None:
         # Never due in the round of ticks that set it.
@@ -610,7 +612,7 @@
             if now >= handle.time_limit_at:
                 # Guards against a login without an answer, whatever the decisions wait for.
                 self._counters["undecided at the time limit"] += 1
-                self.report_left(handle)
+                self.report_abandoned(handle)
                 return Rejection(False, 0)
             self._scheduler.wait({}, handle.time_limit_at)
         return handle.decided
--- a/corklift/net/handover_driver.py
+++ b/corklift/net/handover_driver.py
@@ -41,12 +41,12 @@
         ] = {}  # by process and server, what earlier ones have told of it
         self._followed: set[int] = set()  # processes whose learning has been taken over
         self._others_live = True  # until a look has shown it
-        self.words_elsewhere = (
+        self.overrides_stored_elsewhere = (
             False  # operators' words are kept by another part, which knows better
         )
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return not self._shares or self._place.stage in (Stage.SERVING, Stage.YIELDED)
 
     def join(self) -> None:
@@ -55,14 +55,14 @@
             if self._shares:
                 # Guards against a door that nobody opens, where the system gives the processes no place to meet.
                 self._shares = False  # alone, as far as can be known
-                self._relay.take_clients(True)
+                self._relay.set_accepting(True)
             return
         living, ended = self._files.others()
         self._take_words(living + ended)
         self._tell()
         self._files.forget(ended)
 
-    def keep_looking(self) -> None:
+    def poll_loop(self) -> None:
         """Where the clients' socket is shared: follows an earlier process, and yields to a later one."""
         while self._shares and self._files is not None:
             try:
@@ -91,7 +91,7 @@
         """Told to stop: whoever follows need not wait for this one."""
         self._place.leave()
         if self._shares and self._files is not None:
-            self._relay.take_clients(False)
+            self._relay.set_accepting(False)
             self._tell()
 
     # Within
@@ -115,7 +115,7 @@
 
     def _tell(self) -> None:
         if self._files is not None:
-            self._held = self._relay.held
+            self._held = self._relay.client_count
             learned = self._facade.learned() if self._yielded else {}
             try:
                 self._files.tell(
@@ -133,7 +133,7 @@
 
     def _take_words(self, lives: list[Life]) -> None:
         for name, out in (
-            sorted(self._place.hear(lives).items()) if not self.words_elsewhere else ()
+            sorted(self._place.hear(lives).items()) if not self.overrides_stored_elsewhere else ()
         ):
             self._facade.word_of(name, out)
 
@@ -150,14 +150,14 @@
             self._facade.alone()
         self._others_live = bool(living)
         self._take_words(living + ended)
-        self._relay.held_elsewhere = sum(life.held for life in living)
+        self._relay.clients_elsewhere = sum(life.held for life in living)
         for life in living + ended if self._place.stage is Stage.SERVING else []:
             self._take_ended(life)
         while self._place.step(living, self._relay.ready):
             self._change(living)
             self._tell()
             living, _ = self._files.others()
-        if living and self._held != self._relay.held:
+        if living and self._held != self._relay.client_count:
             self._tell()
 
     def _take_ended(self, life: Life) -> None:
@@ -171,7 +171,7 @@
     def _change(self, living: list[Life]) -> None:
         stage = self._place.stage
         self._log(f"process {self._place.generation} of this balancer is {stage.value}")
-        self._relay.take_clients(stage is Stage.SERVING)
+        self._relay.set_accepting(stage is Stage.SERVING)
         if stage is Stage.SERVING:
             for life in living:
                 if life.learned and life.generation not in self._followed:
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -67,12 +67,12 @@
         self._tasks: dict[int, Task] = {}
         self._asked: dict[int, deque[HandOffTarget]] = {}
         self._kept: dict[int, Stream] = {}
-        facade.close_probes = self.close
+        facade.close_probe_connection = self.close
 
     def reconfigure(self, limits: Limits, kept_for: int) -> None:
         self._limits, self._kept_for = limits, kept_for
 
-    def keep_probing(self) -> None:
+    def probe_loop(self) -> None:
         while True:
             target = self._facade.next_probe()
             self._counters["probes"] += 1
@@ -81,7 +81,7 @@
                 self._scheduler.wake(self._tasks[target.server])
             elif len(self._tasks) >= self._limits.probes and not self._make_way():
                 self._counters["probes without a descriptor"] += 1
-                self._facade.probed(target.server, Outcome.NOT_SENT, 0, None)
+                self._facade.probe_finished(target.server, Outcome.NOT_SENT, 0, None)
             else:
                 self._asked[target.server] = deque([target])
                 self._tasks[target.server] = self._scheduler.spawn(self._probe_one, target.server)
@@ -123,7 +123,7 @@
             self._close(server)
             del self._tasks[server], self._asked[server]
             for _ in asked:
-                self._facade.probed(server, left, 0, None)
+                self._facade.probe_finished(server, left, 0, None)
 
     def _close(self, server: int) -> None:
         kept = self._kept.pop(server, None)
@@ -166,7 +166,7 @@
                 # A kept connection may have been closed for idling: that says nothing of the server.
                 stream, fresh = None, True
         self._counters[f"probes {outcome.value}"] += 1
-        self._facade.probed(server, outcome, self._scheduler.now() - began, values)
+        self._facade.probe_finished(server, outcome, self._scheduler.now() - began, values)
 
     def _ask(self, stream: Stream, until: int) -> tuple[Outcome, dict[str, float] | None]:
         stream.receive()
@@ -216,7 +216,7 @@
         self._rng = rng
         self._failures = 0  # in a row
         self._set_backoff(limits)
-        self.told = False  # whether discovery has answered yet
+        self.has_answered = False  # whether discovery has answered yet
         self._task: Task | None = None
 
     def _set_backoff(self, limits: Limits) -> None:
@@ -224,7 +224,7 @@
         self._faults = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
         self._refusals = Backoff(self._rng, limits.overbooked_pause, limits.overbooked_pause_most)
 
-    def follow(self, address: tuple[str, int], limits: Limits) -> None:
+    def reconfigure(self, address: tuple[str, int], limits: Limits) -> None:
         """Discovery may be elsewhere by a new configuration; the list that is known stays in force."""
         self._limits = limits
         self._set_backoff(limits)
@@ -234,7 +234,7 @@
                 # Guards against a watch that waits on at the old address: that tells nothing more.
                 self._scheduler.interrupt(self._task, Redirected())
 
-    def keep_watching(self) -> None:
+    def watch_loop(self) -> None:
         self._task = self._scheduler.current
         # Guards against balancers that start together and ask together; the known list is in force meanwhile.
         spread = self._limits.first_call_spread if self._index is not None else 0
@@ -286,7 +286,7 @@
         path, until = LIST, now + self._limits.watch_slack
         if self._index is not None:
             # The first answer tells that the list known at the start is the one in force: it is not waited for.
-            wait = self._limits.watch_wait if self.told else 0
+            wait = self._limits.watch_wait if self.has_answered else 0
             path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
@@ -319,5 +319,5 @@
         self._counters["discovery answers"] += 1
         if content.spoiled:
             self._counters["discovery entries that can't be read"] += content.spoiled
-        self._facade.listed(Scope.FULL if content.whole else Scope.DELTA, content)
-        self._index, self.told = content.version, True
+        self._facade.apply_listing(Scope.FULL if content.whole else Scope.DELTA, content)
+        self._index, self.has_answered = content.version, True
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -75,7 +75,7 @@
         self._turning_away = False
         self._taking = True  # clients are taken in, not left in the queue
         self._shared = False  # other processes take clients from the same socket
-        self.held_elsewhere = 0  # clients that other processes of this balancer hold
+        self.clients_elsewhere = 0  # clients that other processes of this balancer hold
         self._standing = 0  # connections of before the start that are being brought up
 
     @property
@@ -84,11 +84,11 @@
         return self._facade.in_flight + self._standing
 
     @property
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return self.ready and not self._turning_away
 
     @property
-    def held(self) -> int:
+    def client_count(self) -> int:
         return len(self._held)
 
     # The door
@@ -97,12 +97,12 @@
         """Opens the door at once, so that no client is refused while the rest starts; returns its port."""
         return self._listen(door(address))
 
-    def share(self, sock: socket.socket) -> int:
+    def listen_on_inherited_socket(self, sock: socket.socket) -> int:
         """The door is a socket that is held for this process; clients stay in its queue until they are taken."""
         self._shared, self._taking = True, False
         return self._listen(sock)
 
-    def take_clients(self, wanted: bool) -> None:
+    def set_accepting(self, wanted: bool) -> None:
         """Whether clients are taken in, or left for another process of this balancer, where the door is shared."""
         self._taking = wanted
         if self._acceptor is not None:
@@ -118,7 +118,7 @@
         """What is held beyond new limits stays until it ends; nothing further is taken meanwhile."""
         self._limits = limits
 
-    def keep_accepting(self) -> None:
+    def accept_loop(self) -> None:
         self._acceptor = self._scheduler.current
         while True:
             if not self._taking:
@@ -231,8 +231,8 @@
         return not client.broken and not len(client.outbox)
 
     def _admit(self, client: Stream, first: Opening) -> None:
-        if self._facade.workload(first.workload) is None:
-            if first.workload in self._facade.workloads():
+        if self._facade.workload_index(first.workload) is None:
+            if first.workload in self._facade.workload_names():
                 self._counters.answered(
                     "failed", first.workload
                 )  # one that a new configuration has taken away
@@ -247,7 +247,7 @@
             self._counters["standing connections in"] += 1
         else:
             self._counters["logins in"] += 1
-        if len(self._held) + self.held_elsewhere >= self._limits.clients or (
+        if len(self._held) + self.clients_elsewhere >= self._limits.clients or (
             self._turning_away and not first.stands_at
         ):
             self._counters["logins bounced without room"] += 1
@@ -260,7 +260,7 @@
             if first.stands_at:
                 self._stand(client, first)
             else:
-                self._place(client, first)
+                self._place_login(client, first)
         finally:
             self._held.discard(first.name)
             self._know(first.name)
@@ -274,14 +274,14 @@
             del self._past[oldest]
             oldest = next(iter(self._past))
 
-    def _place(self, client: Stream, first: Opening) -> None:
+    def _place_login(self, client: Stream, first: Opening) -> None:
         if (
             first.wait is None
             or not self._limits.answer_margin < first.wait <= self._limits.longest_wait
         ):
             raise Malformed("absurd time to wait")
         time_limit = min(first.wait, self._facade.time_limit(first))
-        handle, decided = self._facade.pick(
+        handle, decided = self._facade.place_login(
             first, self._now() + time_limit - self._limits.answer_margin
         )
         answer, word = FAILED, "failed"
@@ -290,13 +290,13 @@
                 tried = self._hand_off(client, decided, first)
                 if tried.server is not None:
                     try:
-                        self._facade.report_up(handle)
+                        self._facade.report_connected(handle)
                         answer, word = b"", "served"
                         return self._connected(client, tried.server, tried.line, handle, first)
                     finally:
                         tried.server.close()
                 self._counters[f"hand-offs {tried.outcome.value}"] += 1
-                decided = self._facade.report(handle, tried.outcome, tried.values)
+                decided = self._facade.report_failed_hand_off(handle, tried.outcome, tried.values)
             if decided.harmless:
                 answer, word = busy(decided.retry_in), "refused"
             self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
@@ -307,7 +307,7 @@
             answer = b""  # `_serve` turns it away
             raise
         finally:
-            self._facade.report_left(handle)
+            self._facade.report_abandoned(handle)
             if word and word != "served":  # that was counted when it came up
                 self._counters.answered(word, first.workload)
             if answer:
@@ -321,12 +321,12 @@
         self._standing, counted = self._standing + 1, True
         try:
             while self._now() < until:
-                target = self._facade.server_named(first.stands_at)
+                target = self._facade.find_server(first.stands_at)
                 if target is not None:
                     tried = self._hand_off(client, target._replace(cut_at=until), first)
                     if tried.server is not None:
                         try:
-                            handle = self._facade.report_carried(first, target.server)
+                            handle = self._facade.report_restored(first, target.server)
                             self._standing, counted = self._standing - 1, False
                             return self._connected(client, tried.server, tried.line, handle, first)
                         finally:
@@ -370,7 +370,7 @@
                 return without(Outcome.NOT_CONNECTED)
         if server.failed():
             return without(Outcome.NOT_CONNECTED)
-        if not (first.stands_at or self._facade.takes_new(target.server)):
+        if not (first.stands_at or self._facade.accepts_logins(target.server)):
             # Guards against a line on its way to a server that has begun to drain while it was connected to.
             return without(Outcome.NOT_SENT)
         server.write(first.with_wait(target.cut_at - self._now()))
@@ -432,7 +432,7 @@
             self._counters["bad lines on connections (over-long)"] += 1
         finally:
             del self._open[handle.number]
-            self._facade.report_end(handle, outcome)
+            self._facade.report_connection_end(handle, outcome)
             server.close()
             self._counters[f"connections {outcome.value}"] += 1
             self._finish(client, last)
@@ -463,7 +463,7 @@
                 doubt_at = asked_at + self._limits.doubt_time
             if asked_at and doubt_at <= self._now():
                 # Guards against a silent server that is not probed soon: its own connections show it first.
-                self._facade.report_unanswered(handle, self._now() - asked_at)
+                self._facade.report_unanswered_line(handle, self._now() - asked_at)
                 doubt_at = self._now() + self._limits.doubt_time
             if client.broken:
                 server.abort()
@@ -521,7 +521,7 @@
 
     def _take_told(self, handle: LoginHandle, line: bytes) -> None:
         try:
-            self._facade.report_told(handle, figure(server_line(line).rest))
+            self._facade.report_measurement(handle, figure(server_line(line).rest))
         except Malformed:
             self._counters["bad lines of servers (figure)"] += 1
 
@@ -554,7 +554,7 @@
         """Serves on while clients still come, then moves all connections, spread out; ends when none is left."""
         began = self._now()
         if self._shared:
-            self.take_clients(False)  # who is in the queue is the next process's
+            self.set_accepting(False)  # who is in the queue is the next process's
         accepting = 0 if self._shared else self._limits.stop_accepting
         self._scheduler.sleep(accepting)
         self._turning_away = not self._shared
--- a/corklift/recovery/part.py
+++ b/corklift/recovery/part.py
@@ -11,8 +11,7 @@
 
 from corklift.interface import Scope, Status
 from corklift.membership.peers import Peers
-from corklift.net.admin import Answer as Reply
-from corklift.net.admin import Otherwise
+from corklift.net.admin import AdminResponse, IncompleteOperationError
 from corklift.net.facade import Rejection
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.parsers import Entry, Listing, Opening
@@ -106,7 +105,7 @@
         self._size_at = now
         facade = process.facade
         facade.door, facade.went, facade.believed = self._door, self._went, self._believed
-        before = facade.reported
+        before = facade.load_reported
 
         def reported(server: int, connections: float) -> None:
             before(server, connections)
@@ -114,14 +113,14 @@
                 self._scheduler.now(), facade.server_name(server), connections
             )
 
-        facade.reported = reported
+        facade.load_reported = reported
         facade.missed = lambda server: self.core.server_missed(
             self._scheduler.now(), facade.server_name(server)
         )
         process.words = self._word
         process.may_serve = lambda: self.core.step >= Step.OPEN
-        process.handover.words_elsewhere = True
-        process.more_figures.append(self._figures)
+        process.handover.overrides_stored_elsewhere = True
+        process.extra_stats.append(self._figures)
 
     # Component
 
@@ -164,11 +163,11 @@
                     self.core.counted(now, members.count.number)
             if self.core.step >= Step.OPEN and now >= self._size_at:
                 self._size_at = now + self._period
-                self.core.sized(now, facade.sizes())
+                self.core.sized(now, facade.server_sizes())
             self.core.looked(
                 now,
                 [facade.server_name(server) for server in facade.ready_servers()],
-                facade.all_heard(),
+                facade.all_servers_probed(),
             )
             due = self.core.tick(self._scheduler.now())
             self._scheduler.wait({}, min(due, now + self._period // LOOKS))
@@ -278,12 +277,12 @@
         if listing is not None:
             self._again = True
             try:
-                self._process.facade.listed(Scope.FULL, listing)
+                self._process.facade.apply_listing(Scope.FULL, listing)
             finally:
                 self._again = False
         sizes = self.core.facts.get(SIZES)
         if sizes is not None and self.core.step is not Step.FULL:
-            self._process.facade.hint(sizes.value)
+            self._process.facade.apply_size_hints(sizes.value)
 
     def look(self, span: int) -> None:
         for server in self._process.facade.ready_servers():
@@ -294,7 +293,7 @@
         self._process.facade.probe(server)
 
     def ages(self) -> dict[str, int]:
-        return self._process.facade.ages()
+        return self._process.facade.server_start_times()
 
     def step(self, step: Step, why: str) -> None:
         if step >= Step.OPEN:
@@ -417,15 +416,15 @@
         while self.core.step < Step.LOOK:
             # Guards against a word that is numbered below what the disk and peers are about to tell.
             if self._scheduler.now() >= until:
-                raise Otherwise(
-                    Reply(
+                raise IncompleteOperationError(
+                    AdminResponse(
                         503,
                         "It has not read its disk and heard its peers yet; nothing was changed.\n",
                     )
                 )
             self._scheduler.sleep(self._period // LOOKS)
         facade = self._process.facade
-        if not facade.knows(name) and self.core.facts.get("out", name) is None:
+        if not facade.knows_server(name) and self.core.facts.get("out", name) is None:
             return False
         task, found = self._scheduler.current, []
 
@@ -441,8 +440,8 @@
             "word", server=name, out=out, outcome=outcome.name.lower(), kept=kept, wanted=wanted
         )
         if outcome is Outcome.PARTLY:
-            raise Otherwise(
-                Reply(
+            raise IncompleteOperationError(
+                AdminResponse(
                     202,
                     f"Server {name:.80} is {'out' if out else 'free to serve'} here, but {kept} of {wanted} disks keep "
                     "this: it may be forgotten in a loss of power. Say it again.\n",
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -91,7 +91,7 @@
 
 def loses_logins() -> None:
     """Each twentieth client's connection is ended without an answer."""
-    plain, seen = Relay._place, [0]
+    plain, seen = Relay._place_login, [0]
 
     def place(self: Any, client: Any, first: Any) -> None:
         seen[0] += 1
@@ -100,12 +100,12 @@
         else:
             plain(self, client, first)
 
-    Relay._place = place  # type: ignore[method-assign]
+    Relay._place_login = place  # type: ignore[method-assign]
 
 
 def answers_late() -> None:
     """Each twentieth login waits past its time limit."""
-    arrived, seen = Facade.pick, [0]
+    arrived, seen = Facade.place_login, [0]
 
     def pick(self: Any, opening: Any, until: int) -> Any:
         seen[0] += 1
@@ -113,7 +113,7 @@
             self._scheduler.sleep(4_200_000_000)
         return arrived(self, opening, until)
 
-    Facade.pick = pick  # type: ignore[method-assign]
+    Facade.place_login = pick  # type: ignore[method-assign]
 
 
 def sends_twice() -> None:
@@ -134,7 +134,7 @@
 
 def ignores_drains() -> None:
     """What the list says of leaving is not heard."""
-    plain = Facade.listed
+    plain = Facade.apply_listing
 
     def listed(self: Any, scope: Any, content: Any) -> None:
         entries = [
@@ -143,7 +143,7 @@
         ]
         plain(self, scope, content._replace(entries=tuple(entries)))
 
-    Facade.listed = listed  # type: ignore[method-assign]
+    Facade.apply_listing = listed  # type: ignore[method-assign]
 
 
 def no_cold_guard() -> None:
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -18,7 +18,7 @@
 
 from corklift.configuration import Configuration, read
 from corklift.interface import Scope
-from corklift.net.admin import Admin, Desk, figures
+from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
 from corklift.net.handover_files import folder
 from corklift.net.limits import MS, SECOND, BadConfig, Counters, LogWriter, SecondSummary
@@ -103,7 +103,9 @@
         self.relay = Relay(scheduler, limits, self.counters, self.facade)
         listen_fd = os.environ.get("BALANCER_LISTEN_FD", "")
         self.port = (
-            self.relay.share(inherited(listen_fd)) if listen_fd else self.relay.listen(given.listen)
+            self.relay.listen_on_inherited_socket(inherited(listen_fd))
+            if listen_fd
+            else self.relay.listen(given.listen)
         )
         self._shares = bool(listen_fd)
         name = os.environ.get("BALANCER_NAME") or (
@@ -131,16 +133,18 @@
             Random(given.seed ^ 1),
             given.known.version if given.known.whole and given.known.entries else None,
         )
-        self.admin = Admin(scheduler, limits, self.counters, Desk(self))
+        self.admin = Admin(scheduler, limits, self.counters, AdminHandler(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
         self._stopping = False
         self.words: Callable[[str, bool], bool] = (
-            lambda name, out: (  # a part that keeps operators' words sets it
+            lambda name, out: (  # set by a component that stores operator overrides
                 self.handover.take_out(name) if out else self.handover.put_back(name)
             )
         )
-        self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
-        self.more_figures: list[Callable[[], str]] = []
+        self.may_serve: Callable[[], bool] = lambda: (
+            True
+        )  # set by a component that delays admission
+        self.extra_stats: list[Callable[[], str]] = []
         self._components = [component(self) for component in components]
 
     @property
@@ -153,16 +157,16 @@
         printing = scheduler.spawn(self._keep_printing)
         self.log_writer.wake = lambda: scheduler.wake(printing)
         self.handover.join()
-        self.facade.listed(Scope.CACHED, self._configuration.known)
+        self.facade.apply_listing(Scope.CACHED, self._configuration.known)
         for job in (
-            self.facade.keep_ticking,
-            self.probes.keep_probing,
-            self.watch.keep_watching,
-            self.admin.keep_accepting,
-            self.relay.keep_accepting,
+            self.facade.timer_loop,
+            self.probes.probe_loop,
+            self.watch.watch_loop,
+            self.admin.accept_loop,
+            self.relay.accept_loop,
             self._get_ready,
             self._keep_telling,
-            self.handover.keep_looking,
+            self.handover.poll_loop,
             *(job for component in self._components for job in component.background_tasks()),
         ):
             scheduler.spawn(self._keep, job)
@@ -207,7 +211,7 @@
         self.relay.reconfigure(new.limits)
         self.admin.reconfigure(new.limits)
         self.probes.reconfigure(new.limits, new.kept_for)
-        self.watch.follow(new.discovery, new.limits)
+        self.watch.reconfigure(new.discovery, new.limits)
         changed = sorted(
             {
                 name
@@ -224,19 +228,26 @@
 
     # What operators ask and tell
 
-    def serves(self) -> bool:
+    def is_serving(self) -> bool:
         return (
-            self.relay.serves and self.handover.serves and self.may_serve() and not self._stopping
+            self.relay.is_serving
+            and self.handover.is_serving
+            and self.may_serve()
+            and not self._stopping
         )
 
-    def figures(self) -> str:
+    def stats(self) -> str:
         known, avoided = self.facade.known_and_avoided()
         return "".join(
             [
-                figures(
-                    self.counters, self.facade.workloads(), self.relay.in_flight, known, avoided
+                format_stats(
+                    self.counters,
+                    self.facade.workload_names(),
+                    self.relay.in_flight,
+                    known,
+                    avoided,
                 ),
-                *(more() for more in self.more_figures),
+                *(more() for more in self.extra_stats),
             ]
         )
 
@@ -270,7 +281,9 @@
     def _get_ready(self) -> None:
         """Serves, as PING is told, once the list and a first count of each server are there, or soon anyway."""
         until = self.scheduler.now() + self.limits.ready_time
-        while self.scheduler.now() < until and not (self.watch.told and self.facade.all_heard()):
+        while self.scheduler.now() < until and not (
+            self.watch.has_answered and self.facade.all_servers_probed()
+        ):
             self.scheduler.sleep(25 * MS)
         self.relay.ready = True
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -257,8 +257,8 @@
 def test_a_hand_off_on_its_way_is_not_written_to_a_server_taken_out_meanwhile():
     wire = Operated("up")
     wire.run(2000)
-    real = wire.process.facade.takes_new
-    wire.process.facade.takes_new = lambda server: (
+    real = wire.process.facade.accepts_logins
+    wire.process.facade.accepts_logins = lambda server: (
         wire.process.facade.take_out("s1") and real(server)
     )
     wire.client("c1", OPEN)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -178,7 +178,7 @@
 
 def test_both_processes_together_hold_no_more_clients_than_one():
     wire = Wire("up", limits={"sockets": 60})
-    wire.process.relay.held_elsewhere = wire.limits.clients - 2
+    wire.process.relay.clients_elsewhere = wire.limits.clients - 2
     for number in range(4):
         wire.client(f"c{number}", 100, "OPEN 1 7f c=plain,d=2000\r\n")
     wire.run(1000)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -335,7 +335,7 @@
     wire = Wire("up", discovery="on_request")
     wire.run(100)
     wire.move_discovery()
-    wire.process.watch.follow(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
+    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
     wire.run(3000)
     assert wire.counters["exceptions"] == 0 and wire.told[0][1] == "/registry/instances at 2", (
         wire.told
@@ -463,8 +463,8 @@
 def test_more_servers_than_connections_for_probes_are_all_probed():
     wire, seen = Wire(*["up"] * 12, limits={"sockets": 64}), set()
     assert wire.limits.probes == 8
-    real = wire.process.facade.probed
-    wire.process.facade.probed = lambda server, outcome, *rest: (
+    real = wire.process.facade.probe_finished
+    wire.process.facade.probe_finished = lambda server, outcome, *rest: (
         outcome is Outcome.FULFILLED and seen.add(server),
         real(server, outcome, *rest),
     )
@@ -480,11 +480,11 @@
     wire = Wire("up")
     wire.client("c1", OPEN, 1000, "x\r\n")
     wire.run(500)
-    real = wire.process.facade.report_up
-    wire.process.facade.report_up = lambda handle: 1 / 0
+    real = wire.process.facade.report_connected
+    wire.process.facade.report_connected = lambda handle: 1 / 0
     wire.client("c2", OPEN)
     wire.run(300)
-    wire.process.facade.report_up = real
+    wire.process.facade.report_connected = real
     wire.run(1000)
     assert wire.counters["exceptions"] == 1
     assert any("c1 < echo x" in line for line in wire.lines)
@@ -500,7 +500,7 @@
     wire = Wire("up", "up")
     wire.run(1000)
     facade = wire.process.facade
-    for name in ("tick", "next_probe", "listed"):
+    for name in ("run_due_timers", "next_probe", "apply_listing"):
         real = getattr(facade, name)
 
         def fails(*arguments, name=name, real=real):
@@ -519,13 +519,13 @@
     wire.run(500)
     assert wire.counters["exceptions"] == 3 and wire.lines[-1].endswith("c1 < UP s2")
     # A new address for discovery while its watch has just failed.
-    real = facade.listed
-    facade.listed = lambda *arguments: 1 / 0
+    real = facade.apply_listing
+    facade.apply_listing = lambda *arguments: 1 / 0
     wire.change(wire.entry("s1"))
     wire.run(10)
-    facade.listed = real
+    facade.apply_listing = real
     wire.move_discovery()
-    wire.process.watch.follow(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
+    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
     wire.run(500)
     assert wire.told[-1][1].endswith(" at 2") and wire.process.watch._index == wire.index
 
@@ -617,8 +617,10 @@
         for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)
     ]
     for _ in range(2):
-        facade.listed(Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries}))
-    targets = [facade.server_named(entry["name"]) for entry in entries]
+        facade.apply_listing(
+            Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries})
+        )
+    targets = [facade.find_server(entry["name"]) for entry in entries]
     assert [target.address[1] for target in targets] == [1, 2, 3] and len(
         {target.server for target in targets}
     ) == 3
