--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -18,7 +18,7 @@
 from corklift.interface import (
     ColdRule,
     Effect,
-    Listed,
+    ListedServer,
     Login,
     Outcome,
     Report,
@@ -126,7 +126,7 @@
     def fetch_list(self) -> None:
         pass
 
-    def tell(self, peer: int | None, content: bytes) -> None:
+    def send_to_peer(self, peer: int | None, content: bytes) -> None:
         pass
 
     def log(self, text: str) -> None:
@@ -198,7 +198,7 @@
                 self.rules.told_ready(seat.number, server)
             else:
                 self.rules.told_leaving(self.now, seat.number, server)
-            lines.append(Listed(server, 0, 0, server % 2, status, 1.0, self.started[server]))
+            lines.append(ListedServer(server, 0, 0, server % 2, status, 1.0, self.started[server]))
         seat.policy.servers_listed(self.now, scope, 1, tuple(lines))
 
     def enabled(self) -> list[str]:
@@ -354,10 +354,10 @@
             seat = self.seats[balancer]
             if login not in seat.open and not seat.timers and not seat.probes:
                 return f"rule 1: login {login} is never answered"
-            if login not in seat.open and not getattr(seat.policy, "_held", {}).get(login):
+            if login not in seat.open and not getattr(seat.policy, "_active_logins", {}).get(login):
                 return f"rule 1: login {login} is forgotten without an answer"
         for seat in self.seats:
-            held = set(getattr(seat.policy, "_held", ()))
+            held = set(getattr(seat.policy, "_active_logins", ()))
             if (
                 held
                 - set(seat.open)
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -11,7 +11,17 @@
 from random import Random
 from typing import Any
 
-from corklift.interface import Effect, Host, Listed, Login, Outcome, Report, Scope, Status, Workload
+from corklift.interface import (
+    Effect,
+    Host,
+    ListedServer,
+    Login,
+    Outcome,
+    Report,
+    Scope,
+    Status,
+    Workload,
+)
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
@@ -39,7 +49,7 @@
     ) -> None:
         self._host, self._rng, self._truth = host, rng, truth
         self._workloads, self._most, self._retry_after = workloads, max_hand_offs, max_retry_after
-        self._ready: dict[int, Listed] = {}
+        self._ready: dict[int, ListedServer] = {}
         self._counts: dict[int, float] = {}
         self._open: dict[int, int] = {}  # own connections and hand-offs by server
         self._logins: dict[int, tuple[Login, list[int], list[Outcome | None]]] = {}
@@ -110,7 +120,7 @@
         if found is not None and found[1]:
             self._open[found[1][-1]] = max(0, self._open.get(found[1][-1], 0) - 1)
 
-    def connection_carried(self, now: int, login: Login, server: int) -> None:
+    def connection_resumed(self, now: int, login: Login, server: int) -> None:
         self._logins[login.login] = (login, [server], [None])
         self._open[server] = self._open.get(server, 0) + 1
 
@@ -121,7 +131,7 @@
             self._counts[server] = report.count
 
     def servers_listed(
-        self, now: int, scope: Scope, revision: int, lines: Iterable[Listed]
+        self, now: int, scope: Scope, revision: int, lines: Iterable[ListedServer]
     ) -> None:
         for line in lines:
             if line.status is Status.READY:
@@ -147,10 +157,10 @@
             self._host.probe(server)
             self._probe_in(server, SECOND)
 
-    def hand_off_noted(self, *_: Any) -> None:
+    def measurement_received(self, *_: Any) -> None:
         pass
 
-    def hand_off_silent(self, *_: Any) -> None:
+    def message_unanswered(self, *_: Any) -> None:
         pass
 
 
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any, Literal, NamedTuple
 
-from corklift.interface import Listed, Login, Outcome, Scope, Status
+from corklift.interface import ListedServer, Login, Outcome, Scope, Status
 from corklift.lab.clock import MS, SECOND
 from corklift.lab.fleet import RETRY_MOST, Fleet, Seat, Way, Wish
 from corklift.lab.policies import POLICIES
@@ -125,7 +125,7 @@
         self.known, self.probed_at = {}, {}
         self.heard: set[int] = set()
         self.let_in: set[int] = set()
-        self.listing: list[Listed] | None = None
+        self.listing: list[ListedServer] | None = None
         self.again = False
         self.policy = Gate(self, fleet.make(self))
         self.policy.servers_listed(fleet.clock.now, Scope.CACHED, 0, ())
@@ -148,7 +148,7 @@
         elif fleet.kind == "knows":
             self.take_list(fleet.lines(), True)
             for server in fleet.out:
-                self.policy.server_out(fleet.clock.now, server)
+                self.policy.take_out_of_service(fleet.clock.now, server)
         fleet.clock.after(10 * MS, self._mine(self._ask_list))
 
     def _mine(self, act: Any) -> Any:
@@ -169,14 +169,14 @@
         core.members(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
         ready = {
             line.server for line in self.known.values() if line.status is Status.READY
-        } - self.policy._roster.out.keys()
+        } - self.policy._registry.out_of_service.keys()
         core.looked(now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard)
         if core.step >= Step.OPEN:
             core.sized(
                 now,
                 {
                     f"s{number}": size
-                    for number, size, *_ in self.policy.learned(now)["servers"]
+                    for number, size, *_ in self.policy.export_learned_state(now)["servers"]
                     if size is not None
                 },
             )
@@ -193,7 +193,7 @@
         else:
             self.take_list(self.fleet.told_lines(), True)
 
-    def take_list(self, lines: list[Listed], whole: bool) -> None:
+    def take_list(self, lines: list[ListedServer], whole: bool) -> None:
         if not self.alive:
             return
         core, now = self.core, self.fleet.clock.now
@@ -325,9 +325,9 @@
 
     def believe(self, out: set[str], put_back: set[str]) -> None:
         for name in sorted(out):
-            self.policy.server_out(self.fleet.clock.now, int(name[1:]))
+            self.policy.take_out_of_service(self.fleet.clock.now, int(name[1:]))
         for name in sorted(put_back):
-            self.policy.server_back(self.fleet.clock.now, int(name[1:]))
+            self.policy.restore_to_service(self.fleet.clock.now, int(name[1:]))
 
     def relist(self) -> None:
         assert self.core is not None
@@ -336,7 +336,9 @@
             self.listing
             if self.listing is not None
             else [
-                Listed(line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0)
+                ListedServer(
+                    line.port, int(line.zone), 0, line.cell, Status(line.status), line.weight, 0
+                )
                 for line in (
                     (Server(*line) if not isinstance(line, Server) else line) for line in kept.value
                 )
@@ -353,7 +355,10 @@
 
     def look(self, span: int) -> None:
         for line in list(self.known.values()):
-            if line.status is Status.READY and line.server not in self.policy._roster.out:
+            if (
+                line.status is Status.READY
+                and line.server not in self.policy._registry.out_of_service
+            ):
                 self.fleet.clock.after(
                     int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
                 )
@@ -361,7 +366,9 @@
     def ages(self) -> dict[str, int]:
         return {
             f"s{number}": int(started_at)
-            for number, _, started_at, *_ in self.policy.learned(self.fleet.clock.now)["servers"]
+            for number, _, started_at, *_ in self.policy.export_learned_state(self.fleet.clock.now)[
+                "servers"
+            ]
         }
 
     def step(self, step: Step, why: str) -> None:
@@ -396,7 +403,7 @@
         self.ups: list[int] = []
         self.steps: dict[Step, list[int]] = {}
         self.calls_at: dict[tuple[int, int], int] = {}
-        self._old: list[Listed] | None = None
+        self._old: list[ListedServer] | None = None
         self.cut_at = 0
         self.lone_liar = False
         scenario = Scenario(
@@ -455,7 +462,7 @@
     def told_index(self) -> int:
         return self.index if self._old is None else self.saved[1]
 
-    def told_lines(self) -> list[Listed]:
+    def told_lines(self) -> list[ListedServer]:
         return self._old if self._old is not None else self.lines()
 
     def living(self, seat: Seat) -> list[str]:
@@ -492,7 +499,9 @@
         self.asked_words.setdefault(server, set()).add(out)
         if self.kind != "serve":
             for seat in self.seats:
-                (seat.policy.server_out if out else seat.policy.server_back)(self.clock.now, server)
+                (seat.policy.take_out_of_service if out else seat.policy.restore_to_service)(
+                    self.clock.now, server
+                )
             self._had_yes(server, out)
             return
         seat = next(seat for seat in self.seats if seat.alive)
@@ -600,7 +609,7 @@
             if seat.alive:
                 seat.take_list(self.lines(), True)
 
-    def _list_comes(self, seat: Seat, turn: int, line: Listed) -> None:
+    def _list_comes(self, seat: Seat, turn: int, line: ListedServer) -> None:
         if self._old is not None:
             return  # it tells of before, till the true one is back
         super()._list_comes(seat, turn, line)
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -36,8 +36,8 @@
 
     def is_serving(self) -> bool: ...
     def stats(self) -> str: ...
-    def take_out(self, name: str) -> bool: ...  # whether there is such a server
-    def put_back(self, name: str) -> bool: ...
+    def take_out_of_service(self, name: str) -> bool: ...  # whether there is such a server
+    def restore_to_service(self, name: str) -> bool: ...
 
 
 class AdminHandler:
@@ -48,10 +48,13 @@
         self._calls: dict[str, tuple[str, Callable[[HttpCall], AdminResponse]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", lambda call: AdminResponse(200, balancer.stats())),
-            "/admin/cordon": ("POST", lambda call: self._member(call, balancer.take_out, "out")),
+            "/admin/cordon": (
+                "POST",
+                lambda call: self._member(call, balancer.take_out_of_service, "out"),
+            ),
             "/admin/uncordon": (
                 "POST",
-                lambda call: self._member(call, balancer.put_back, "free to serve"),
+                lambda call: self._member(call, balancer.restore_to_service, "free to serve"),
             ),
         }
 
--- a/corklift/net/handover_driver.py
+++ b/corklift/net/handover_driver.py
@@ -74,14 +74,14 @@
                 self._counters["looks at other processes that failed"] += 1
             self._scheduler.sleep(self._limits.look_pause)
 
-    def take_out(self, name: str) -> bool:
-        if not self._facade.take_out(name):
+    def take_out_of_service(self, name: str) -> bool:
+        if not self._facade.take_out_of_service(name):
             return False
         self._say(name, True)
         return True
 
-    def put_back(self, name: str) -> bool:
-        if not self._facade.put_back(name):
+    def restore_to_service(self, name: str) -> bool:
+        if not self._facade.restore_to_service(name):
             return False
         if name in self._place.out():
             self._say(name, False)
@@ -116,7 +116,7 @@
     def _tell(self) -> None:
         if self._files is not None:
             self._held = self._relay.client_count
-            learned = self._facade.learned() if self._yielded else {}
+            learned = self._facade.export_learned_state() if self._yielded else {}
             try:
                 self._files.tell(
                     Life(
@@ -135,7 +135,7 @@
         for name, out in (
             sorted(self._place.hear(lives).items()) if not self.overrides_stored_elsewhere else ()
         ):
-            self._facade.word_of(name, out)
+            self._facade.apply_operator_override(name, out)
 
     def _look(self) -> None:
         assert self._files is not None
@@ -147,7 +147,7 @@
             return  # alone, as before
         living, ended = self._files.others()
         if self._others_live and not living:
-            self._facade.alone()
+            self._facade.other_processes_ended()
         self._others_live = bool(living)
         self._take_words(living + ended)
         self._relay.clients_elsewhere = sum(life.held for life in living)
@@ -166,7 +166,7 @@
             more = load - self._ended.get((life.generation, server), 0.0)
             if more > 0:
                 self._ended[life.generation, server] = load
-                self._facade.ended_elsewhere(server, more)
+                self._facade.connection_ended_elsewhere(server, more)
 
     def _change(self, living: list[Life]) -> None:
         stage = self._place.stage
@@ -176,6 +176,6 @@
             for life in living:
                 if life.learned and life.generation not in self._followed:
                     self._followed.add(life.generation)
-                    self._facade.follow(life.learned)
-        self._facade.stand_by(stage is Stage.YIELDED)
+                    self._facade.import_learned_state(life.learned)
+        self._facade.set_standby(stage is Stage.YIELDED)
         self._yielded = stage is Stage.YIELDED
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -136,9 +136,11 @@
         self.admin = Admin(scheduler, limits, self.counters, AdminHandler(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
         self._stopping = False
-        self.words: Callable[[str, bool], bool] = (
+        self.apply_operator_override: Callable[[str, bool], bool] = (
             lambda name, out: (  # set by a component that stores operator overrides
-                self.handover.take_out(name) if out else self.handover.put_back(name)
+                self.handover.take_out_of_service(name)
+                if out
+                else self.handover.restore_to_service(name)
             )
         )
         self.may_serve: Callable[[], bool] = lambda: (
@@ -237,7 +239,7 @@
         )
 
     def stats(self) -> str:
-        known, avoided = self.facade.known_and_avoided()
+        known, avoided = self.facade.known_and_excluded_servers()
         return "".join(
             [
                 format_stats(
@@ -251,11 +253,11 @@
             ]
         )
 
-    def take_out(self, name: str) -> bool:
-        return self.words(name, True)
+    def take_out_of_service(self, name: str) -> bool:
+        return self.apply_operator_override(name, True)
 
-    def put_back(self, name: str) -> bool:
-        return self.words(name, False)
+    def restore_to_service(self, name: str) -> bool:
+        return self.apply_operator_override(name, False)
 
     def run(self, early: Sequence[int] = ()) -> None:
         """Serves until told to stop; `early` holds the signals to reload that came while it was put together."""
