--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -11,9 +11,15 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from corklift.net.blocking import Gone, Late, door, see_off
+from corklift.net.blocking import Gone, Late, drain_and_close, listening_socket
 from corklift.net.limits import Counters, Limits
-from corklift.net.parsers import GO_ON, HttpCall, Malformed, TooLong, http_answer
+from corklift.net.parsers import (
+    CONTINUE_RESPONSE,
+    HttpRequest,
+    Malformed,
+    MessageTooLongError,
+    format_http_response,
+)
 from corklift.net.scheduler import READ, WRITE, Scheduler, Task
 from corklift.net.stream import Stream
 
@@ -45,7 +51,7 @@
 
     def __init__(self, balancer: ManagedBalancer) -> None:
         self._balancer = balancer
-        self._calls: dict[str, tuple[str, Callable[[HttpCall], AdminResponse]]] = {
+        self._calls: dict[str, tuple[str, Callable[[HttpRequest], AdminResponse]]] = {
             "/admin/health": ("GET", self._health),
             "/admin/stats": ("GET", lambda call: AdminResponse(200, balancer.stats())),
             "/admin/cordon": (
@@ -62,7 +68,7 @@
         """The one that a path is called by; empty where there is no such path."""
         return self._calls[path][0] if path in self._calls else ""
 
-    def answer(self, call: HttpCall) -> AdminResponse:
+    def answer(self, call: HttpRequest) -> AdminResponse:
         method = self.method(call.path)
         if not method:
             return AdminResponse(404, f"There is no {call.path:.80} here.\n")
@@ -70,15 +76,15 @@
             return AdminResponse(405, f"{call.path} is called by {method}.\n")
         return self._calls[call.path][1](call)
 
-    def _health(self, call: HttpCall) -> AdminResponse:
+    def _health(self, call: HttpRequest) -> AdminResponse:
         return (
             AdminResponse(200, "It serves.\n")
             if self._balancer.is_serving()
             else AdminResponse(503, "It does not serve.\n")
         )
 
-    def _member(self, call: HttpCall, act: Callable[[str], bool], what: str) -> AdminResponse:
-        name = call.table().get("member")
+    def _member(self, call: HttpRequest, act: Callable[[str], bool], what: str) -> AdminResponse:
+        name = call.json_object().get("member")
         if not isinstance(name, str) or not name:
             raise Malformed("member is no name of a server")
         try:
@@ -135,7 +141,7 @@
 
     def listen(self, address: tuple[str, int]) -> int:
         """Opens the door, instead of the one before if there is one; returns its port."""
-        sock = door(address)
+        sock = listening_socket(address)
         old, self._door = self._door, sock
         if self._acceptor is not None:
             self._scheduler.interrupt(self._acceptor, Gone())
@@ -177,7 +183,7 @@
     def _serve(self, stream: Stream) -> None:
         try:
             answer = self._answer(stream)
-            see_off(
+            drain_and_close(
                 self._scheduler,
                 stream,
                 answer,
@@ -194,30 +200,32 @@
             call = self._call(stream)
             status, text = self._desk.answer(call)
             more = f"Allow: {self._desk.method(call.path)}\r\n" if status == 405 else ""
-        except TooLong as problem:
+        except MessageTooLongError as problem:
             status, text, more = 413, f"The call is too long: {problem}.\n", ""
         except Malformed as problem:
             status, text, more = 400, f"The call can't be read: {problem}.\n", ""
         except Late:
             status, text, more = 408, "No whole call has come.\n", ""
         self._counters["operators' calls" if status == 200 else "operators' calls turned down"] += 1
-        return http_answer(status, text, more)
+        return format_http_response(status, text, more)
 
-    def _call(self, stream: Stream) -> HttpCall:
+    def _call(self, stream: Stream) -> HttpRequest:
         until = self._scheduler.now() + self._limits.call_time
-        call, urged = HttpCall(self._limits.call), False
+        call, urged = HttpRequest(self._limits.call), False
         while True:
             stream.receive()
-            if len(stream.inbox):
-                call.feed(stream.inbox.take(len(stream.inbox)))
+            if len(stream.receive_buffer):
+                call.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
             if call.done:
                 return call
-            if call.head_done and call.hesitates and not urged:
+            if call.header_done and call.expects_continue and not urged:
                 urged = True
-                stream.write(GO_ON)
-            if stream.broken or stream.ended:
+                stream.write(CONTINUE_RESPONSE)
+            if stream.broken or stream.peer_closed:
                 raise Gone
             if self._scheduler.now() >= until:
                 raise Late
-            self._scheduler.wait({stream.fd: READ | (WRITE if len(stream.outbox) else 0)}, until)
+            self._scheduler.wait(
+                {stream.fd: READ | (WRITE if len(stream.send_buffer) else 0)}, until
+            )
             stream.flush()
--- a/corklift/net/blocking.py
+++ b/corklift/net/blocking.py
@@ -20,7 +20,7 @@
     """No answer within its time."""
 
 
-def door(address: tuple[str, int]) -> socket.socket:
+def listening_socket(address: tuple[str, int]) -> socket.socket:
     """Listens at once."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -34,13 +34,13 @@
     return sock
 
 
-def connected(scheduler: Scheduler, limits: Limits, address: tuple[str, int], until: int) -> Stream:
+def connect(scheduler: Scheduler, limits: Limits, address: tuple[str, int], until: int) -> Stream:
     stream = Stream.connect(address, limits)
     try:
         while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
             if scheduler.now() >= until:
                 raise Late
-        if stream.failed():
+        if stream.connect_failed():
             raise Gone
     except BaseException:
         stream.close()
@@ -48,9 +48,9 @@
     return stream
 
 
-def send(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
+def send_all(scheduler: Scheduler, stream: Stream, content: bytes, until: int) -> None:
     stream.write(content)
-    while len(stream.outbox):
+    while len(stream.send_buffer):
         if stream.broken:
             raise Gone
         if scheduler.now() >= until:
@@ -59,17 +59,17 @@
         stream.flush()
 
 
-def see_off(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
+def drain_and_close(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> None:
     """Writes a last line, ends, and takes in what still comes, so that no reset overtakes the line."""
-    if line and not stream.closed and stream.outbox.room >= len(line):
+    if line and not stream.closed and stream.send_buffer.free_bytes >= len(line):
         stream.write(line)
     while not stream.broken and not stream.closed and scheduler.now() < until:
         stream.flush()
-        if not len(stream.outbox):
-            stream.end_sending()
+        if not len(stream.send_buffer):
+            stream.shutdown_write()
         stream.receive()
-        stream.inbox.drop(len(stream.inbox))
-        mask = (0 if stream.ended else READ) | (WRITE if len(stream.outbox) else 0)
+        stream.receive_buffer.discard(len(stream.receive_buffer))
+        mask = (0 if stream.peer_closed else READ) | (WRITE if len(stream.send_buffer) else 0)
         if not mask:
             break
         scheduler.wait({stream.fd: mask}, until)
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -25,7 +25,7 @@
     Workload,
 )
 from corklift.net.limits import Counters
-from corklift.net.parsers import Listing, Opening, stable_id
+from corklift.net.parsers import Listing, LoginRequest, stable_id
 from corklift.net.scheduler import Scheduler, Task
 from corklift.policy import Balancer
 
@@ -118,7 +118,9 @@
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.door: Callable[[Opening, int], Rejection | None] = lambda opening, number: None
+        self.door: Callable[[LoginRequest, int], Rejection | None] = lambda login_request, number: (
+            None
+        )
         self.went: Callable[[int, bool | None], None] = lambda number, up: None
         self.missed: Callable[[int], None] = lambda server: (
             None
@@ -184,21 +186,21 @@
     def in_flight(self) -> int:
         return len(self._logins)
 
-    def time_limit(self, opening: Opening) -> int:
-        return self._all_workloads[self._workloads[opening.workload]].time_limit
+    def time_limit(self, login_request: LoginRequest) -> int:
+        return self._all_workloads[self._workloads[login_request.workload]].time_limit
 
     def place_login(
-        self, opening: Opening, time_limit_at: int
+        self, login_request: LoginRequest, time_limit_at: int
     ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
         """A login has come; blocks until it is decided where it goes."""
         self.before_placement()
-        rejection = self.door(opening, self._next_login)
+        rejection = self.door(login_request, self._next_login)
         handle = self._new_login(time_limit_at)
         if rejection is not None:
             return handle, rejection
         now = self._scheduler.now()
         self._settled_at = self._settled_at or now + self._settle_time
-        self._balancer.login_arrived(now, self._login(handle, opening))
+        self._balancer.login_arrived(now, self._login(handle, login_request))
         return handle, self._decision(handle)
 
     def report_failed_hand_off(
@@ -232,7 +234,7 @@
             now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
         )
 
-    def report_restored(self, opening: Opening, server: int) -> LoginHandle:
+    def report_restored(self, login_request: LoginRequest, server: int) -> LoginHandle:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
@@ -243,7 +245,7 @@
             now,
         )
         self._standing += 1
-        self._balancer.connection_resumed(now, self._login(handle, opening), server)
+        self._balancer.connection_resumed(now, self._login(handle, login_request), server)
         return handle
 
     def report_connection_end(
@@ -396,8 +398,8 @@
             if number in self._names
         }
 
-    def importance(self, opening: Opening) -> float:
-        return self._all_workloads[self._workloads[opening.workload]].importance
+    def importance(self, login_request: LoginRequest) -> float:
+        return self._all_workloads[self._workloads[login_request.workload]].importance
 
     def knows_server(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
@@ -459,7 +461,7 @@
             )
         named = {line.server for line in lines}
         gone = {line.server for line in lines if line.status is Status.GONE}
-        if content.whole:
+        if content.is_full:
             gone |= self._names.keys() - named
         self._ready -= gone
         self._listed = self._listed - gone | named - gone
@@ -602,17 +604,17 @@
         self._logins[handle.number] = handle
         return handle
 
-    def _login(self, handle: LoginHandle, opening: Opening) -> Login:
+    def _login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
             handle.number,
-            self._workloads[opening.workload],
+            self._workloads[login_request.workload],
             0,
-            stable_id(opening.subject),
+            stable_id(login_request.subject),
             handle.time_limit_at,
-            None if opening.cost is None else round(opening.cost * COST_UNIT),
-            stable_id(opening.group) if opening.group and self._grouped else 0,
+            None if login_request.cost is None else round(login_request.cost * COST_UNIT),
+            stable_id(login_request.group) if login_request.group and self._grouped else 0,
             False,
-            opening.came_back,
+            login_request.came_back,
         )
 
     def _decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -12,20 +12,20 @@
 
 from corklift.interface import Outcome, Scope
 from corklift.net.backoff import Backoff
-from corklift.net.blocking import Gone, Late, connected, send
+from corklift.net.blocking import Gone, Late, connect, send_all
 from corklift.net.facade import Facade, HandOffTarget
 from corklift.net.limits import Counters, Limits, LogWriter
 from corklift.net.parsers import (
     STATS,
-    HttpAnswer,
+    HttpResponse,
     Malformed,
-    http_get,
-    listing,
-    load_report,
-    server_line,
+    format_http_get,
+    parse_listing,
+    parse_load_report,
+    parse_server_line,
 )
 from corklift.net.scheduler import READ, Scheduler, Task
-from corklift.net.stream import OverLong, Stream
+from corklift.net.stream import LineTooLongError, Stream
 
 LIST = "/registry/instances"
 
@@ -139,7 +139,7 @@
         while True:
             try:
                 if stream is None:
-                    stream = connected(
+                    stream = connect(
                         self._scheduler,
                         self._limits,
                         address,
@@ -153,7 +153,7 @@
                 outcome = Outcome.TIMED_OUT if server in self._kept else Outcome.NOT_CONNECTED
                 self._close(server)
                 break
-            except (Malformed, OverLong) as problem:
+            except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad answers to probes ({str(problem) or 'over-long'})"] += 1
                 outcome = Outcome.ERROR
                 self._close(server)
@@ -170,18 +170,20 @@
 
     def _ask(self, stream: Stream, until: int) -> tuple[Outcome, dict[str, float] | None]:
         stream.receive()
-        if stream.ended or stream.broken or len(stream.inbox):
+        if stream.peer_closed or stream.broken or len(stream.receive_buffer):
             raise Gone
-        send(self._scheduler, stream, STATS, until)
+        send_all(self._scheduler, stream, STATS, until)
         while True:
             stream.receive()
-            line = stream.take_line()
+            line = stream.read_line()
             if line is not None:
-                word, rest = server_line(line)
+                word, rest = parse_server_line(line)
                 if word not in ("PONG", "ERR", "NO"):
                     raise Malformed("unknown word")
-                return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), load_report(rest)
-            if stream.ended or stream.broken:
+                return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), parse_load_report(
+                    rest
+                )
+            if stream.peer_closed or stream.broken:
                 raise Gone
             if self._scheduler.now() >= until:
                 raise Late
@@ -290,34 +292,34 @@
             path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
-            self._stream = connected(
+            self._stream = connect(
                 self._scheduler, self._limits, self._address, now + self._limits.watch_slack
             )
         stream = self._stream
-        send(self._scheduler, stream, http_get(path, "%s:%d" % self._address), until)
-        answer = HttpAnswer(self._limits.body)
+        send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
+        answer = HttpResponse(self._limits.body)
         while not answer.done:
             stream.receive()
-            if len(stream.inbox):
-                answer.feed(stream.inbox.take(len(stream.inbox)))
+            if len(stream.receive_buffer):
+                answer.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
                 # Guards against an answer that stops short, with a drain that counts as told: asked anew at once.
                 until = self._scheduler.now() + self._limits.watch_stall
-            elif stream.ended and not stream.broken:
-                answer.ended()
+            elif stream.peer_closed and not stream.broken:
+                answer.connection_closed()
             elif stream.broken:
                 raise Gone
             elif self._scheduler.now() >= until:
                 raise Late
             else:
                 self._scheduler.wait({stream.fd: READ}, until)
-        if not answer.keeps:
+        if not answer.keep_alive:
             self._drop()
         if answer.status in (429, 503):
             # Guards against the whole list asked for, by everyone, where it has said no more than to come later.
             raise Overbooked(f"status {answer.status}")
-        content = listing(answer.json())
+        content = parse_listing(answer.json())
         self._counters["discovery answers"] += 1
-        if content.spoiled:
-            self._counters["discovery entries that can't be read"] += content.spoiled
-        self._facade.apply_listing(Scope.FULL if content.whole else Scope.DELTA, content)
+        if content.unreadable_count:
+            self._counters["discovery entries that can't be read"] += content.unreadable_count
+        self._facade.apply_listing(Scope.FULL if content.is_full else Scope.DELTA, content)
         self._index, self.has_answered = content.version, True
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -14,7 +14,7 @@
 from corklift.net.admin import AdminResponse, IncompleteOperationError
 from corklift.net.facade import Rejection
 from corklift.net.limits import MS, SECOND, Counters
-from corklift.net.parsers import Entry, Listing, Opening
+from corklift.net.parsers import Listing, LoginRequest, ServerEntry
 from corklift.net.scheduler import Task
 from corklift.recovery.core import Outcome, Recovery, Step, Terms
 from corklift.recovery.facts import LIST, SIZES, Fact, Server, Unreadable, decoded, encoded, servers
@@ -22,8 +22,8 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.keeper import Folders, Keeper
 from corklift.store.log import Notes
+from corklift.store.worker import Folders, Keeper
 
 if TYPE_CHECKING:
     from corklift.service import BalancerProcess
@@ -270,7 +270,7 @@
                 kept.number[0],
                 True,
                 tuple(
-                    Entry(
+                    ServerEntry(
                         line.name,
                         (line.host, line.port),
                         line.zone,
@@ -372,13 +372,13 @@
     def _remember(self, now: int, content: Listing) -> None:
         known = (
             {}
-            if content.whole or self._listing is None
+            if content.is_full or self._listing is None
             else {entry.name: entry for entry in self._listing.entries}
         )
         known |= {entry.name: entry for entry in content.entries}
         known = {name: entry for name, entry in known.items() if entry.status is not Status.GONE}
         self._listing = Listing(content.version, True, tuple(known.values()), 0)
-        if content.whole or len(known) > 0:
+        if content.is_full or len(known) > 0:
             self.core.listed(
                 now,
                 [
@@ -398,14 +398,14 @@
 
     # Clients
 
-    def _importance_of(self, opening: Opening) -> float:
+    def _importance_of(self, login_request: LoginRequest) -> float:
         facade = self._process.facade
-        return facade.importance(opening) / self._importance if self._importance else 1.0
+        return facade.importance(login_request) / self._importance if self._importance else 1.0
 
-    def _door(self, opening: Opening, number: int) -> Rejection | None:
+    def _door(self, login_request: LoginRequest, number: int) -> Rejection | None:
         if self.core.step is Step.FULL:
             return None
-        wait = self.core.login(self._scheduler.now(), self._importance_of(opening))
+        wait = self.core.login(self._scheduler.now(), self._importance_of(login_request))
         if wait is None:
             if self.core.step is Step.OPEN:
                 self._let_in.add(number)
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -131,7 +131,7 @@
             self.facade,
             given.discovery,
             Random(given.seed ^ 1),
-            given.known.version if given.known.whole and given.known.entries else None,
+            given.known.version if given.known.is_full and given.known.entries else None,
         )
         self.admin = Admin(scheduler, limits, self.counters, AdminHandler(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
@@ -277,7 +277,7 @@
         self.log_writer.flush()
 
     def _tell_counters(self) -> None:
-        self.counters["sockets open"] = Stream.open_now
+        self.counters["sockets open"] = Stream.open_count
         self.log_writer.write(self.counters.text(), always=True)
 
     def _get_ready(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -14,16 +14,16 @@
 from corklift.interface import Login, MeasurementKind, Outcome, Report, Scope
 from corklift.net.limits import BadConfig, Counters, Limits, LogWriter
 from corklift.net.parsers import (
-    HttpAnswer,
+    HttpResponse,
     Malformed,
-    busy,
-    listing,
-    load_report,
-    opening,
+    format_busy,
+    parse_listing,
+    parse_load_report,
+    parse_login_request,
     stable_id,
 )
 from corklift.net.scheduler import Scheduler
-from corklift.net.stream import OverLong, Ring
+from corklift.net.stream import LineTooLongError, RingBuffer
 
 OPEN = "OPEN 1 7f c=plain,d=2000,x=9\r\n"
 
@@ -173,7 +173,7 @@
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.abort()
 
     def fin(wire, stream, line):
-        stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.end_sending()
+        stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.shutdown_write()
 
     wire = Wire("up")
     for what, act, steps in (
@@ -443,7 +443,7 @@
     def once(stream):  # answers one probe, each third with garbage, then ends the connection
         seen.append(stream)
         stream.write(b"PONG x0=0.2,inflight=3\r\n" if len(seen) % 3 else b"PONG x0=lots\r\n")
-        stream.end_sending()
+        stream.shutdown_write()
 
     wire = Wire("up", "up")
     wire.probed = once
@@ -535,14 +535,14 @@
 
 def test_a_ring_holds_its_bytes_in_order_whatever_the_sizes():
     rng = Random(3)
-    ring, model = Ring(50), b""
+    ring, model = RingBuffer(50), b""
     for step in range(3000):
-        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[: ring.room]
-        ring.put(content)
+        content = bytes(rng.choice(b"ab\n") for _ in range(rng.randrange(12)))[: ring.free_bytes]
+        ring.append(content)
         model += content
         assert len(ring) == len(model) and ring.line_length() == model.find(b"\n") + 1
         number = rng.randrange(len(model) + 1)
-        assert ring.take(number) == model[:number]
+        assert ring.read(number) == model[:number]
         model = model[number:]
 
 
@@ -560,16 +560,16 @@
     rng = Random(1)
     for whole in answers:
         for _ in range(50):
-            answer, at = HttpAnswer(1000), 0
+            answer, at = HttpResponse(1000), 0
             while not answer.done:
                 step = rng.randrange(1, 9)
                 answer.feed(whole[at : at + step])
                 at += step
-            assert answer.json() == json.loads(body) and answer.keeps
-    answer = HttpAnswer(1000)
+            assert answer.json() == json.loads(body) and answer.keep_alive
+    answer = HttpResponse(1000)
     answer.feed(b"HTTP/1.0 200 OK\r\n\r\n" + body)
-    answer.ended()
-    assert answer.json()["index"] == 3 and not answer.keeps
+    answer.connection_closed()
+    assert answer.json()["index"] == 3 and not answer.keep_alive
     for bad in (
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
@@ -579,29 +579,32 @@
         b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n",
     ):
         with pytest.raises(Malformed):
-            HttpAnswer(1000).feed(bad)
+            HttpResponse(1000).feed(bad)
     with pytest.raises(Malformed):
-        cut = HttpAnswer(1000)
+        cut = HttpResponse(1000)
         cut.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n{")
-        cut.ended()
+        cut.connection_closed()
 
 
 def test_a_first_line_goes_on_unchanged_but_for_the_time_left():
     line = b"OPEN 9b1f dd=5 c=plain,pd=1,d=2000,g=5c\r\n"
-    first = opening(line)
-    assert (first.workload, first.wait, first.subject, first.group) == (
+    first = parse_login_request(line)
+    assert (first.workload, first.max_wait, first.subject, first.group) == (
         "plain",
         2000 * MS,
         "dd=5",
         "5c",
     )
-    assert first.with_wait(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
-    assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_wait(MS) == b"OPEN 1 2 d=1,c=a,again=1\r\n"
-    assert opening(b"OPEN 1 2 d=7,c=a,again=1\r\n").came_back
-    assert busy(0) == b"BUSY\r\n" and busy(250 * MS) == b"BUSY 250\r\n"
+    assert first.with_time_limit(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
     assert (
-        load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0}
-        and load_report("") is None
+        parse_login_request(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_time_limit(MS)
+        == b"OPEN 1 2 d=1,c=a,again=1\r\n"
+    )
+    assert parse_login_request(b"OPEN 1 2 d=7,c=a,again=1\r\n").came_back
+    assert format_busy(0) == b"BUSY\r\n" and format_busy(250 * MS) == b"BUSY 250\r\n"
+    assert (
+        parse_load_report("x0=0.61,inflight=7") == {"x0": 0.61, "inflight": 7.0}
+        and parse_load_report("") is None
     )
 
 
@@ -618,11 +621,11 @@
     ]
     for _ in range(2):
         facade.apply_listing(
-            Scope.FULL, listing({"index": 1, "snapshot": True, "endpoints": entries})
+            Scope.FULL, parse_listing({"index": 1, "snapshot": True, "endpoints": entries})
         )
-    targets = [facade.find_server(entry["name"]) for entry in entries]
-    assert [target.address[1] for target in targets] == [1, 2, 3] and len(
-        {target.server for target in targets}
+    places = [facade.find_server(entry["name"]) for entry in entries]
+    assert [target.address[1] for target in places] == [1, 2, 3] and len(
+        {target.server for target in places}
     ) == 3
 
 
@@ -638,11 +641,12 @@
         {"weight": float("inf")},
     ):
         with pytest.raises(Malformed):
-            listing({"index": 1, "snapshot": True, "endpoints": [good, good | change]})
-        changes = listing({"index": 1, "snapshot": False, "endpoints": [good, good | change]})
-        assert len(changes.entries) == 1 and changes.spoiled == 1
+            parse_listing({"index": 1, "snapshot": True, "endpoints": [good, good | change]})
+        changes = parse_listing({"index": 1, "snapshot": False, "endpoints": [good, good | change]})
+        assert len(changes.entries) == 1 and changes.unreadable_count == 1
     assert (
-        listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at == 5 * MS
+        parse_listing({"index": 1, "snapshot": True, "endpoints": [good]}).entries[0].started_at
+        == 5 * MS
     )
 
 
