--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -1,8 +1,9 @@
-"""A client's life, from its first line to its connection's end or `MOVE`, and the door that it comes in by.
+"""Accepts clients, hands their logins off to servers and relays lines between the two.
 
-Owns the listener, each client's stream and the stream to its server. Each login gets one final answer and then
-nothing more. Must never choose a server, hold an answer back, or write anything of its own but an answer before
-`UP` and `MOVE` between two lines after it.
+The relay owns the listening sockets, the stream of each client and the stream to its server. Every
+login gets exactly one final answer. The relay does not choose servers and never delays an answer.
+The only lines that it writes itself are an answer before `UP`, and `MOVE` between two lines of an
+established connection.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 from corklift.interface import Outcome
 from corklift.net.blocking import drain_and_close, listening_socket
-from corklift.net.facade import Facade, HandOffTarget, Rejection, LoginHandle
+from corklift.net.facade import Facade, HandOffTarget, LoginHandle
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
     BUSY,
@@ -33,17 +34,20 @@
 from corklift.net.scheduler import ERROR_EVENTS, READ, READ_CLOSED, WRITE, Scheduler, Task
 from corklift.net.stream import LineTooLongError, Stream
 
-BEFORE_UP = {"BUSY": Outcome.FULL, "ERR": Outcome.ERROR, "MOVE": Outcome.CANCELLED}
-AT_END = {"BYE": Outcome.FULFILLED, "MOVE": Outcome.CANCELLED}
-ACCEPTED_AT_ONCE = 32  # before those accepted have their turn
+# Server lines that end a hand-off without a connection.
+OUTCOME_BEFORE_UP = {"BUSY": Outcome.FULL, "ERR": Outcome.ERROR, "MOVE": Outcome.CANCELLED}
+# The last line of a server before it closes an established connection.
+OUTCOME_BY_LAST_LINE = {"BYE": Outcome.FULFILLED, "MOVE": Outcome.CANCELLED}
+# Clients accepted in a row before other tasks run.
+ACCEPT_BATCH = 32
 
 
-class ClientGone(Exception):
-    """The client has left before its answer."""
+class ClientDisconnectedError(Exception):
+    """The client disconnected before it was answered."""
 
 
-class Tried(NamedTuple):
-    """How a hand-off went: a stream and its `UP` line, or an outcome and a load report."""
+class HandOffResult(NamedTuple):
+    """The server's stream and its `UP` line; otherwise an outcome and a load report."""
 
     server: Stream | None
     line: bytes
@@ -52,6 +56,8 @@
 
 
 class Relay:
+    """Accepts clients and serves each of them in a task of its own."""
+
     def __init__(
         self, scheduler: Scheduler, limits: Limits, counters: Counters, facade: Facade
     ) -> None:
@@ -62,86 +68,100 @@
             facade,
         )
         self._now = scheduler.now
-        self._listeners: list[socket.socket] = []  # the last is the one in force
+        # The last listener is the current one; earlier ones are closed once their queues are empty.
+        self._listeners: list[socket.socket] = []
         self._acceptor: Task | None = None
-        self.ready = False  # PING is answered
-        self._waiting: dict[Stream, Task] = {}  # clients not placed, oldest first
-        self._unwanted: set[Stream] = set()  # those among them that must make room
-        self._held: set[str] = set()  # names of the clients that are placed or being placed
-        self._past: dict[
-            str, int
-        ] = {}  # names of those that have ended, oldest first, and until when they are known
-        self._open: dict[int, LoginHandle] = {}
-        self._turning_away = False
-        self._taking = True  # clients are taken in, not left in the queue
-        self._shared = False  # other processes take clients from the same socket
-        self.clients_elsewhere = 0  # clients that other processes of this balancer hold
-        self._standing = 0  # connections of before the start that are being brought up
+        self.ready = False  # whether PING is answered
+        self._pending: dict[Stream, Task] = {}  # clients without an admitted login, oldest first
+        self._evicted: set[Stream] = set()  # pending clients that have to disconnect
+        # Connection names of the clients that are connected to a server or being handed off.
+        self._active_names: set[str] = set()
+        # Connection names of former clients, oldest first, each with the time until which it is
+        # remembered.
+        self._recent_names: dict[str, int] = {}
+        self._connections: dict[int, LoginHandle] = {}
+        self._rejecting_logins = False
+        self._accepting = True  # if False, clients stay in the queue of the listening socket
+        self._socket_shared = False  # other processes accept from the same listening socket
+        self.clients_elsewhere = 0  # clients of the other processes of this balancer
+        # Connections from before the start of this process that are being re-established.
+        self._restoring = 0
 
     @property
     def in_flight(self) -> int:
-        """Connections taken and not ended."""
-        return self._facade.in_flight + self._standing
+        """Logins and connections that have not ended."""
+        return self._facade.in_flight + self._restoring
 
     @property
     def is_serving(self) -> bool:
-        return self.ready and not self._turning_away
+        """Whether logins are accepted."""
+        return self.ready and not self._rejecting_logins
 
     @property
     def client_count(self) -> int:
-        return len(self._held)
+        """Clients that are connected to a server or being handed off."""
+        return len(self._active_names)
 
-    # The door
+    # Accepting clients
 
     def listen(self, address: tuple[str, int]) -> int:
-        """Opens the door at once, so that no client is refused while the rest starts; returns its port."""
-        return self._listen(listening_socket(address))
+        """Opens a listening socket and returns its port.
+
+        Called before the other components start, so that connects in the meantime are queued and
+        not refused.
+        """
+        return self._add_listener(listening_socket(address))
 
     def listen_on_inherited_socket(self, sock: socket.socket) -> int:
-        """The door is a socket that is held for this process; clients stay in its queue until they are taken."""
-        self._shared, self._taking = True, False
-        return self._listen(sock)
+        """Uses a listening socket shared with other processes; returns its port.
+
+        Clients stay in its queue until `set_accepting` is called.
+        """
+        self._socket_shared, self._accepting = True, False
+        return self._add_listener(sock)
 
-    def set_accepting(self, wanted: bool) -> None:
-        """Whether clients are taken in, or left for another process of this balancer, where the door is shared."""
-        self._taking = wanted
+    def set_accepting(self, accepting: bool) -> None:
+        """Starts or stops accepting; clients in a shared queue are left to other processes."""
+        self._accepting = accepting
         if self._acceptor is not None:
             self._scheduler.wake(self._acceptor)
 
-    def _listen(self, sock: socket.socket) -> int:
+    def _add_listener(self, sock: socket.socket) -> int:
         self._listeners.append(sock)
         if self._acceptor is not None:
             self._scheduler.wake(self._acceptor)
         return sock.getsockname()[1]
 
     def reconfigure(self, limits: Limits) -> None:
-        """What is held beyond new limits stays until it ends; nothing further is taken meanwhile."""
+        """Applies new limits. Existing clients stay, even if they exceed the new limits."""
         self._limits = limits
 
     def accept_loop(self) -> None:
+        """Accepts clients for the lifetime of the process."""
         self._acceptor = self._scheduler.current
         while True:
-            if not self._taking:
+            if not self._accepting:
                 self._scheduler.wait({})
                 continue
-            got = self._scheduler.wait({listener.fileno(): READ for listener in self._listeners})
-            if not self._taking:
+            events = self._scheduler.wait({listener.fileno(): READ for listener in self._listeners})
+            if not self._accepting:
                 continue
-            if len(self._waiting) >= self._limits.waiting:
-                self._make_room()
+            if len(self._pending) >= self._limits.waiting:
+                self._evict_idle_clients()
                 continue
             for listener in list(self._listeners):
-                # Guards against clients that came to an address just before it was given up, and wait there.
-                left = listener is not self._listeners[-1]
-                if listener.fileno() in got or left:
-                    emptied = self._accept(listener)
-                    if left and emptied:
+                # Clients that connected to an address just before a reload replaced it are still
+                # accepted.
+                replaced = listener is not self._listeners[-1]
+                if listener.fileno() in events or replaced:
+                    queue_empty = self._accept_batch(listener)
+                    if replaced and queue_empty:
                         self._listeners.remove(listener)
                         listener.close()
 
-    def _accept(self, listener: socket.socket) -> bool:
-        """Takes in some of those who wait at the door; returns whether that were all."""
-        for _ in range(min(ACCEPTED_AT_ONCE, self._limits.waiting - len(self._waiting))):
+    def _accept_batch(self, listener: socket.socket) -> bool:
+        """Accepts up to ACCEPT_BATCH queued clients; returns whether the queue is empty."""
+        for _ in range(min(ACCEPT_BATCH, self._limits.waiting - len(self._pending))):
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
@@ -156,62 +176,62 @@
                 break
             self._counters["clients in"] += 1
             client = Stream(sock, self._limits)
-            self._waiting[client] = self._scheduler.spawn(self._serve, client)
+            self._pending[client] = self._scheduler.spawn(self._serve_client, client)
         return False
 
-    def _make_room(self) -> None:
-        """Guards against clients without a line that take all descriptors: the oldest of them make room.
+    def _evict_idle_clients(self) -> None:
+        """Disconnects the oldest pending clients, so that silent ones can't use up all descriptors.
 
-        An eighth of the door at a time, so that hundreds who say nothing don't keep those behind them waiting.
+        An eighth of the limit is evicted at a time; otherwise hundreds of silent clients would
+        delay those queued behind them.
         """
-        oldest = [client for client in self._waiting if client not in self._unwanted][
+        oldest = [client for client in self._pending if client not in self._evicted][
             : 1 + self._limits.waiting // 8
         ]
         for client in oldest:
-            self._unwanted.add(client)
+            self._evicted.add(client)
             self._counters["clients closed without a line"] += 1
-            self._scheduler.wake(self._waiting[client])
+            self._scheduler.wake(self._pending[client])
         self._scheduler.sleep(MS)
 
-    # One client
+    # A client before its login
 
-    def _serve(self, client: Stream) -> None:
+    def _serve_client(self, client: Stream) -> None:
         try:
-            first = self._first_line(client)
-            if first is not None:
-                self._admit(client, first)
+            request = self._read_login_request(client)
+            if request is not None:
+                self._admit(client, request)
         except (Malformed, LineTooLongError) as problem:
             self._counters[f"bad lines of clients ({str(problem) or 'over-long'})"] += 1
-            self._turn_away(client)
+            self._reject(client)
         finally:
-            self._waiting.pop(client, None)
-            self._unwanted.discard(client)
+            self._pending.pop(client, None)
+            self._evicted.discard(client)
             client.close()
 
-    def _first_line(self, client: Stream) -> LoginRequest | None:
+    def _read_login_request(self, client: Stream) -> LoginRequest | None:
         until = self._now() + self._limits.first_line_time
-        ponged = False
+        answered_ping = False
         while True:
             client.receive()
             line = client.read_line()
             if line is not None and len(client.receive_buffer):
-                # A client waits for each answer. Guards against hundreds of commands at once.
+                # Pipelining is rejected: it would allow hundreds of commands at once.
                 raise Malformed("more than one line at once")
             if line == PING:
                 self._counters["pings"] += 1
-                if not self._pong(client):
+                if not self._answer_ping(client):
                     return None
-                if not ponged:
-                    ponged, until = True, self._now() + self._limits.first_line_time
-                self._scheduler.wait(
-                    {}, self._now()
-                )  # a flood of these must not keep others waiting
+                if not answered_ping:
+                    answered_ping, until = True, self._now() + self._limits.first_line_time
+                # Yield: a flood of PINGs must not delay other clients.
+                self._scheduler.wait({}, self._now())
             elif line is not None:
                 return parse_login_request(line)
             elif client.peer_closed or client.broken:
                 self._counters["clients gone before a line"] += 1
                 return None
-            elif self._now() >= until or client in self._unwanted:
+            elif self._now() >= until or client in self._evicted:
                 if len(client.receive_buffer):
                     raise Malformed("not whole in time")
                 self._counters["clients without a line"] += 1
@@ -219,171 +239,179 @@
             else:
                 self._scheduler.wait({client.fd: READ}, until)
 
-    def _pong(self, client: Stream) -> bool:
-        """Answers a PING, as soon as this balancer can serve."""
+    def _answer_ping(self, client: Stream) -> bool:
+        """Answers PING once the relay is ready; returns whether the client is still connected."""
         while not self.ready:
             if (
                 self._scheduler.wait({client.fd: READ_CLOSED}, self._now() + 50 * MS)
-                or client in self._unwanted
+                or client in self._evicted
             ):
                 return False
         client.write(PONG)
         return not client.broken and not len(client.send_buffer)
 
-    def _admit(self, client: Stream, first: LoginRequest) -> None:
-        if self._facade.workload_index(first.workload) is None:
-            if first.workload in self._facade.workload_names():
-                self._counters.answered(
-                    "failed", first.workload
-                )  # one that a new configuration has taken away
+    def _admit(self, client: Stream, request: LoginRequest) -> None:
+        if self._facade.workload_index(request.workload) is None:
+            if request.workload in self._facade.workload_names():
+                # A reload has removed the workload; its statistics are still reported.
+                self._counters.answered("failed", request.workload)
             raise Malformed("unknown workload")
         if (
-            first.connection_name in self._held
-            or self._past.get(first.connection_name, 0) > self._now()
+            request.connection_name in self._active_names
+            or self._recent_names.get(request.connection_name, 0) > self._now()
         ):
-            # Guards against a client that takes another's name: servers turn that down, and it would count
-            # against them and the one who bears it. Names are new with every connection.
-            if first.connection_name in self._past:
-                self._know(first.connection_name)
+            # Every connection has a new name. Servers reject a duplicate, and that failure would
+            # count against the server and the client that owns the name.
+            if request.connection_name in self._recent_names:
+                self._remember_name(request.connection_name)
             raise Malformed("name in use")
-        if first.previous_server:
+        if request.previous_server:
             self._counters["standing connections in"] += 1
         else:
             self._counters["logins in"] += 1
-        if len(self._held) + self.clients_elsewhere >= self._limits.clients or (
-            self._turning_away and not first.previous_server
+        if len(self._active_names) + self.clients_elsewhere >= self._limits.clients or (
+            self._rejecting_logins and not request.previous_server
         ):
             self._counters["logins bounced without room"] += 1
-            self._counters.answered("refused", first.workload)
-            self._turn_away(client, BUSY)
+            self._counters.answered("refused", request.workload)
+            self._reject(client, BUSY)
             return
-        self._waiting.pop(client, None)
-        self._held.add(first.connection_name)
+        self._pending.pop(client, None)
+        self._active_names.add(request.connection_name)
         try:
-            if first.previous_server:
-                self._stand(client, first)
+            if request.previous_server:
+                self._restore_connection(client, request)
             else:
-                self._place_login(client, first)
+                self._place_login(client, request)
         finally:
-            self._held.discard(first.connection_name)
-            self._know(first.connection_name)
-
-    def _know(self, name: str) -> None:
-        """Keeps the name of one that has ended in mind, for a while and among so many at the most."""
-        self._past.pop(name, None)
-        self._past[name] = self._now() + self._limits.name_time
-        oldest = next(iter(self._past))
-        while len(self._past) > 4 * self._limits.clients or self._past[oldest] <= self._now():
-            del self._past[oldest]
-            oldest = next(iter(self._past))
-
-    def _place_login(self, client: Stream, first: LoginRequest) -> None:
+            self._active_names.discard(request.connection_name)
+            self._remember_name(request.connection_name)
+
+    def _remember_name(self, name: str) -> None:
+        """Remembers the connection name of a former client; bounded in time and in number."""
+        self._recent_names.pop(name, None)
+        self._recent_names[name] = self._now() + self._limits.name_time
+        oldest = next(iter(self._recent_names))
+        while (
+            len(self._recent_names) > 4 * self._limits.clients
+            or self._recent_names[oldest] <= self._now()
+        ):
+            del self._recent_names[oldest]
+            oldest = next(iter(self._recent_names))
+
+    def _place_login(self, client: Stream, request: LoginRequest) -> None:
         if (
-            first.max_wait is None
-            or not self._limits.answer_margin < first.max_wait <= self._limits.longest_wait
+            request.max_wait is None
+            or not self._limits.answer_margin < request.max_wait <= self._limits.longest_wait
         ):
             raise Malformed("absurd time to wait")
-        time_limit = min(first.max_wait, self._facade.time_limit(first))
+        time_limit = min(request.max_wait, self._facade.time_limit(request))
         handle, decided = self._facade.place_login(
-            first, self._now() + time_limit - self._limits.answer_margin
+            request, self._now() + time_limit - self._limits.answer_margin
         )
-        answer, word = FAILED, "failed"
+        answer, result_name = FAILED, "failed"
         try:
             while isinstance(decided, HandOffTarget):
-                tried = self._hand_off(client, decided, first)
-                if tried.server is not None:
+                result = self._hand_off(client, decided, request)
+                if result.server is not None:
                     try:
                         self._facade.report_connected(handle)
-                        answer, word = b"", "served"
-                        return self._connected(client, tried.server, tried.line, handle, first)
+                        answer, result_name = b"", "served"
+                        return self._run_connection(
+                            client, result.server, result.line, handle, request
+                        )
                     finally:
-                        tried.server.close()
-                self._counters[f"hand-offs {tried.outcome.value}"] += 1
-                decided = self._facade.report_failed_hand_off(handle, tried.outcome, tried.values)
+                        result.server.close()
+                self._counters[f"hand-offs {result.outcome.value}"] += 1
+                decided = self._facade.report_failed_hand_off(handle, result.outcome, result.values)
             if decided.harmless:
-                answer, word = format_busy(decided.retry_in), "refused"
+                answer, result_name = format_busy(decided.retry_in), "refused"
             self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
-        except ClientGone:
-            word = ""
+        except ClientDisconnectedError:
+            result_name = ""
             self._counters["logins left by their client"] += 1
         except Malformed:
-            answer = b""  # `_serve` turns it away
+            answer = b""  # `_serve_client` rejects the client
             raise
         finally:
             self._facade.report_abandoned(handle)
-            if word and word != "served":  # that was counted when it came up
-                self._counters.answered(word, first.workload)
+            if result_name and result_name != "served":  # `_run_connection` counts "served"
+                self._counters.answered(result_name, request.workload)
             if answer:
                 self._finish(client, answer)
 
-    def _stand(self, client: Stream, first: LoginRequest) -> None:
-        """Brings up a connection that stood at a server before the start: there and nowhere else."""
+    def _restore_connection(self, client: Stream, request: LoginRequest) -> None:
+        """Re-establishes a connection from before the start, at the same server only."""
         until = self._now() + min(
-            self._limits.standing_time, first.max_wait or self._limits.standing_time
+            self._limits.standing_time, request.max_wait or self._limits.standing_time
         )
-        self._standing, counted = self._standing + 1, True
+        self._restoring, is_counted = self._restoring + 1, True
         try:
             while self._now() < until:
-                target = self._facade.find_server(first.previous_server)
+                target = self._facade.find_server(request.previous_server)
                 if target is not None:
-                    tried = self._hand_off(client, target._replace(cut_at=until), first)
-                    if tried.server is not None:
+                    result = self._hand_off(client, target._replace(cut_at=until), request)
+                    if result.server is not None:
                         try:
-                            handle = self._facade.report_restored(first, target.server)
-                            self._standing, counted = self._standing - 1, False
-                            return self._connected(client, tried.server, tried.line, handle, first)
+                            handle = self._facade.report_restored(request, target.server)
+                            self._restoring, is_counted = self._restoring - 1, False
+                            return self._run_connection(
+                                client, result.server, result.line, handle, request
+                            )
                         finally:
-                            tried.server.close()
-                    self._counters[f"standing connections {tried.outcome.value}"] += 1
+                            result.server.close()
+                    self._counters[f"standing connections {result.outcome.value}"] += 1
                 self._scheduler.sleep(self._limits.standing_pause)
-        except ClientGone:
+        except ClientDisconnectedError:
             pass
         finally:
-            self._standing -= counted
+            self._restoring -= is_counted
         self._counters["standing connections lost"] += 1
-        self._counters.answered("failed", first.workload)
+        self._counters.answered("failed", request.workload)
         self._finish(client, FAILED)
 
-    # One hand-off
+    # A hand-off
 
-    def _hand_off(self, client: Stream, target: HandOffTarget, first: LoginRequest) -> Tried:
+    def _hand_off(
+        self, client: Stream, target: HandOffTarget, request: LoginRequest
+    ) -> HandOffResult:
         try:
             server = Stream.connect(target.address, self._limits)
         except OSError:
-            # Guards against a login without an answer where the system has no descriptor or memory for its hand-off.
+            # No descriptor or memory for the socket. The login still gets an answer.
             self._counters["no descriptor for a server"] += 1
-            return Tried(None, b"", Outcome.NOT_SENT)
-        up = False
+            return HandOffResult(None, b"", Outcome.NOT_SENT)
+        is_connected = False
         try:
-            tried = self._try(client, server, target, first)
-            up = tried.server is not None
-            return tried
+            result = self._attempt(client, server, target, request)
+            is_connected = result.server is not None
+            return result
         finally:
-            if not up:
+            if not is_connected:
                 server.close()
 
-    def _try(
-        self, client: Stream, server: Stream, target: HandOffTarget, first: LoginRequest
-    ) -> Tried:
-        def without(outcome: Outcome, values: dict[str, float] | None = None) -> Tried:
-            return Tried(None, b"", outcome, values)
+    def _attempt(
+        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+    ) -> HandOffResult:
+        def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
+            return HandOffResult(None, b"", outcome, values)
 
         self._counters["hand-offs"] += 1
         until = min(target.cut_at, self._now() + self._limits.connect_time)
-        while not server.broken and not self._await(client, server, WRITE, until):
+        while not server.broken and not self._wait_for_server(client, server, WRITE, until):
             if self._now() >= until:
-                return without(Outcome.NOT_CONNECTED)
+                return failed(Outcome.NOT_CONNECTED)
         if server.connect_failed():
-            return without(Outcome.NOT_CONNECTED)
-        if not (first.previous_server or self._facade.accepts_logins(target.server)):
-            # Guards against a line on its way to a server that has begun to drain while it was connected to.
-            return without(Outcome.NOT_SENT)
-        server.write(first.with_time_limit(target.cut_at - self._now()))
+            return failed(Outcome.NOT_CONNECTED)
+        if not (request.previous_server or self._facade.accepts_logins(target.server)):
+            # The server started to drain during the connect.
+            return failed(Outcome.NOT_SENT)
+        server.write(request.with_time_limit(target.cut_at - self._now()))
         while len(server.send_buffer):
-            # The line's last byte has not left, so it has never run.
+            # The last byte of the request has not been sent, so the server has not run it.
             if server.broken or self._now() >= target.cut_at:
-                return without(Outcome.NOT_CONNECTED)
-            self._await(client, server, WRITE, target.cut_at)
+                return failed(Outcome.NOT_CONNECTED)
+            self._wait_for_server(client, server, WRITE, target.cut_at)
             server.flush()
         self._counters["hand-offs written"] += 1
         while True:
@@ -391,85 +419,98 @@
             try:
                 line = server.read_line()
                 if line is not None:
-                    word, rest = parse_server_line(line)
-                    if word == "UP":
-                        return Tried(server, line, Outcome.FULFILLED)
-                    if word in BEFORE_UP:
-                        return without(BEFORE_UP[word], parse_load_report(rest))
-                    if word != "LOAD":
+                    keyword, arguments = parse_server_line(line)
+                    if keyword == "UP":
+                        return HandOffResult(server, line, Outcome.FULFILLED)
+                    if keyword in OUTCOME_BEFORE_UP:
+                        return failed(OUTCOME_BEFORE_UP[keyword], parse_load_report(arguments))
+                    if keyword != "LOAD":
                         raise Malformed("unknown word")
             except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad lines of servers ({str(problem) or 'over-long'})"] += 1
-                return without(Outcome.ERROR)
+                return failed(Outcome.ERROR)
             if line is None and (server.peer_closed or server.broken):
-                return without(Outcome.BROKEN)
+                return failed(Outcome.BROKEN)
             if self._now() >= target.cut_at:
-                return without(Outcome.TIMED_OUT)
+                return failed(Outcome.TIMED_OUT)
             if line is None:
-                self._await(client, server, READ, target.cut_at)
+                self._wait_for_server(client, server, READ, target.cut_at)
             else:
-                self._scheduler.wait(
-                    {}, self._now()
-                )  # a flood of lines must not keep others waiting
-
-    def _await(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
-        """Whether the server's stream is ready; the client's end ends the wait, and so does anything it says."""
-        got = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
-        if got.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
-            raise ClientGone
-        if client.fd in got:
+                # Yield: a flood of lines must not delay other clients.
+                self._scheduler.wait({}, self._now())
+
+    def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
+        """Waits for an event on the server's stream and returns whether there was one.
+
+        Raises:
+            ClientDisconnectedError: the client has disconnected.
+            Malformed: the client sent data before it was answered.
+        """
+        events = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
+        if events.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
+            raise ClientDisconnectedError
+        if client.fd in events:
             raise Malformed("a line before its answer")
-        return server.fd in got
+        return server.fd in events
 
-    # One connection
+    # An established connection
 
-    def _connected(
-        self, client: Stream, server: Stream, line: bytes, handle: LoginHandle, first: LoginRequest
+    def _run_connection(
+        self,
+        client: Stream,
+        server: Stream,
+        line: bytes,
+        handle: LoginHandle,
+        request: LoginRequest,
     ) -> None:
         self._counters["connections up"] += 1
-        self._counters.answered("served", first.workload)
-        self._open[handle.number] = handle
-        outcome, last = Outcome.BROKEN, b""
+        self._counters.answered("served", request.workload)
+        self._connections[handle.number] = handle
+        outcome, last_line = Outcome.BROKEN, b""
         try:
             client.write(line)
-            outcome, last = self._pass_on(client, server, handle)
+            outcome, last_line = self._relay_lines(client, server, handle)
         except LineTooLongError:
             self._counters["bad lines on connections (over-long)"] += 1
         finally:
-            del self._open[handle.number]
+            del self._connections[handle.number]
             self._facade.report_connection_end(handle, outcome)
             server.close()
             self._counters[f"connections {outcome.value}"] += 1
-            self._finish(client, last)
+            self._finish(client, last_line)
 
-    def _pass_on(
+    def _relay_lines(
         self, client: Stream, server: Stream, handle: LoginHandle
     ) -> tuple[Outcome, bytes]:
-        """Passes whole lines on, both ways, until one side ends or the client is to move."""
-        last_word = ""
-        asked_at = 0  # when the oldest line that has brought nothing back was passed on; 0: none
-        doubt_at = 0  # when that is to be told
-        end_by = 0  # when the end of one side has been passed on for long enough
+        """Forwards whole lines in both directions until one side closes or the client has to move.
+
+        Returns the outcome and the last line to send to the client, if any.
+        """
+        last_keyword = ""
+        # When the oldest unanswered line of the client was forwarded; 0 if there is none.
+        unanswered_since = 0
+        report_at = 0  # when the unanswered line is reported next
+        close_at = 0  # when the wait for the other side's close ends; 0 while both are open
         while True:
             try:
-                lines = self._carry(server, client)
+                lines = self._forward_lines(server, client)
             except LineTooLongError:
-                # Guards against a server that falls into garbage: its client is told to come again.
+                # The server sends garbage; the client is told to log in again.
                 self._counters["bad lines of servers (over-long)"] += 1
                 return Outcome.ERROR, MOVE
             for line in lines:
                 if line.startswith(b"LOAD "):
-                    self._take_told(handle, line)
+                    self._report_measurement(handle, line)
                     continue
-                last_word = line.rstrip(b"\r\n").split(b" ")[0].decode("latin-1")
-                asked_at = 0
-            if self._carry(client, server) and not asked_at:
-                asked_at = self._now()
-                doubt_at = asked_at + self._limits.doubt_time
-            if asked_at and doubt_at <= self._now():
-                # Guards against a silent server that is not probed soon: its own connections show it first.
-                self._facade.report_unanswered_line(handle, self._now() - asked_at)
-                doubt_at = self._now() + self._limits.doubt_time
+                last_keyword = line.rstrip(b"\r\n").split(b" ")[0].decode("latin-1")
+                unanswered_since = 0
+            if self._forward_lines(client, server) and not unanswered_since:
+                unanswered_since = self._now()
+                report_at = unanswered_since + self._limits.doubt_time
+            if unanswered_since and report_at <= self._now():
+                # An unresponsive server may not be probed soon; its connections reveal it earlier.
+                self._facade.report_unanswered_line(handle, self._now() - unanswered_since)
+                report_at = self._now() + self._limits.doubt_time
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
@@ -477,31 +518,33 @@
                 client.abort()
                 return Outcome.BROKEN, b""
             if server.peer_closed and not len(server.receive_buffer):
-                return AT_END.get(last_word, Outcome.BROKEN), b""
+                return OUTCOME_BY_LAST_LINE.get(last_keyword, Outcome.BROKEN), b""
             if (
                 client.peer_closed
                 and not len(client.receive_buffer)
                 and not len(server.send_buffer)
             ):
                 server.shutdown_write()
-            silent = asked_at and self._now() >= asked_at + self._limits.silent_time
-            if (handle.to_move or silent) and client.send_buffer.free_bytes >= len(MOVE):
-                self._counters["clients moved from silence" if silent else "clients moved"] += 1
-                return Outcome.TIMED_OUT if silent else Outcome.CANCELLED, MOVE
-            if (client.peer_closed or server.peer_closed) and not end_by:
-                end_by = self._now() + self._limits.end_time
-            if end_by and self._now() >= end_by:
+            timed_out = (
+                unanswered_since and self._now() >= unanswered_since + self._limits.silent_time
+            )
+            if (handle.to_move or timed_out) and client.send_buffer.free_bytes >= len(MOVE):
+                self._counters["clients moved from silence" if timed_out else "clients moved"] += 1
+                return Outcome.TIMED_OUT if timed_out else Outcome.CANCELLED, MOVE
+            if (client.peer_closed or server.peer_closed) and not close_at:
+                close_at = self._now() + self._limits.end_time
+            if close_at and self._now() >= close_at:
                 return Outcome.CANCELLED, b""
-            until = end_by or (doubt_at if asked_at else None)
+            until = close_at or (report_at if unanswered_since else None)
             fds = {}
             for stream in (client, server):
                 mask = READ if stream.receive_buffer.free_bytes and not stream.peer_closed else 0
                 mask |= WRITE if len(stream.send_buffer) else 0
                 if mask or not stream.peer_closed:
                     fds[stream.fd] = mask
-            got = self._scheduler.wait(fds, until)
+            ready = self._scheduler.wait(fds, until)
             for stream in (client, server):
-                events = got.get(stream.fd, 0)
+                events = ready.get(stream.fd, 0)
                 if events & WRITE:
                     stream.flush()
                 if events & ERROR_EVENTS and not stream.receive_buffer.free_bytes:
@@ -509,8 +552,8 @@
                 elif events:
                     stream.receive()
 
-    def _carry(self, source: Stream, sink: Stream) -> list[bytes]:
-        """Passes on the whole lines that have come, as far as there is room for them; returns them."""
+    def _forward_lines(self, source: Stream, sink: Stream) -> list[bytes]:
+        """Forwards the complete lines that fit into the sink's send buffer, and returns them."""
         lines = []
         while True:
             length = source.receive_buffer.line_length()
@@ -519,7 +562,7 @@
             ):
                 raise LineTooLongError
             if not length and source.peer_closed:
-                length = len(source.receive_buffer)  # the rest, without a line's end
+                length = len(source.receive_buffer)  # the rest, without a line end
             if not length or sink.send_buffer.free_bytes < length:
                 break
             line = source.receive_buffer.read(length)
@@ -528,7 +571,7 @@
         sink.flush()
         return lines
 
-    def _take_told(self, handle: LoginHandle, line: bytes) -> None:
+    def _report_measurement(self, handle: LoginHandle, line: bytes) -> None:
         try:
             self._facade.report_measurement(
                 handle, parse_load_value(parse_server_line(line).arguments)
@@ -537,49 +580,63 @@
             self._counters["bad lines of servers (figure)"] += 1
 
     def _finish(self, client: Stream, line: bytes = b"") -> None:
+        """Sends a last line, if any, and closes the connection in an orderly way."""
         drain_and_close(self._scheduler, client, line, self._now() + self._limits.end_time)
 
-    def _turn_away(self, client: Stream, line: bytes = ERR) -> None:
-        """As `_finish`, for a client that is not taken in: little is read on from it, and it soon makes room.
+    def _reject(self, client: Stream, line: bytes = ERR) -> None:
+        """Answers a client that is not admitted, and closes its connection.
 
-        Guards against bad clients that hold the door by staying, or keep it busy with what they still send.
+        Unlike `_finish`, reads little and waits briefly, so that misbehaving clients can't occupy
+        descriptors by staying connected, or CPU time by sending on.
         """
         until = self._now() + self._limits.turned_away_time
-        left = self._limits.turned_away_bytes
+        remaining_bytes = self._limits.turned_away_bytes
         if not client.closed and client.send_buffer.free_bytes >= len(line):
             client.write(line)
         if not len(client.send_buffer):
             client.shutdown_write()
-        while not client.broken and not client.closed and client not in self._unwanted:
+        while not client.broken and not client.closed and client not in self._evicted:
             client.receive_buffer.discard(len(client.receive_buffer))
-            left -= client.receive()
-            if client.peer_closed or left <= 0 or self._now() >= until:
+            remaining_bytes -= client.receive()
+            if client.peer_closed or remaining_bytes <= 0 or self._now() >= until:
                 break
             if not len(client.receive_buffer):
                 self._scheduler.wait({client.fd: READ}, until)
         client.close()
 
-    # The end of this process
+    # Shutdown
 
     def stop(self) -> None:
-        """Serves on while clients still come, then moves all connections, spread out; ends when none is left."""
-        began = self._now()
-        if self._shared:
-            self.set_accepting(False)  # who is in the queue is the next process's
-        accepting = 0 if self._shared else self._limits.stop_accepting
-        self._scheduler.sleep(accepting)
-        self._turning_away = not self._shared
-        moving, most = self._limits.stop_moving(accepting), 0
-        while self._now() < began + self._limits.stop_time and (self._held or self._waiting):
-            still = sorted(number for number, handle in self._open.items() if not handle.to_move)
-            left = max(0, began + accepting + moving - self._now())
-            # Over all the time there is, slowly at first. Guards against a flood at those who take them in, and
-            # against clients sent away while a balancer that was stopped before this one is not back yet. Evenly
-            # where the next process takes them in: it is there.
-            most = max(most, len(still))
-            part = moving**2 - (moving - left) ** 2 if not self._shared else left * moving
-            number = len(still) - most * part // moving**2
-            for handle in [self._open[at] for at in still[: max(0, number)]]:
+        """Shuts down: accepts logins for a moment, then moves all connections, spread over time.
+
+        Returns when no client is left or the stop time is over.
+        """
+        started_at = self._now()
+        if self._socket_shared:
+            self.set_accepting(False)  # the next process accepts the queued clients
+        accept_time = 0 if self._socket_shared else self._limits.stop_accepting
+        self._scheduler.sleep(accept_time)
+        self._rejecting_logins = not self._socket_shared
+        move_time, max_count = self._limits.stop_moving(accept_time), 0
+        while self._now() < started_at + self._limits.stop_time and (
+            self._active_names or self._pending
+        ):
+            staying = sorted(
+                number for number, handle in self._connections.items() if not handle.to_move
+            )
+            time_left = max(0, started_at + accept_time + move_time - self._now())
+            # Moves are spread over the whole time and start slowly: the balancers that take the
+            # clients over must not be flooded, and one that was stopped just before this one may
+            # not be back yet. With a shared socket the next process is already running, so the
+            # moves are spread evenly.
+            max_count = max(max_count, len(staying))
+            share = (
+                move_time**2 - (move_time - time_left) ** 2
+                if not self._socket_shared
+                else time_left * move_time
+            )
+            move_count = len(staying) - max_count * share // move_time**2
+            for handle in [self._connections[number] for number in staying[: max(0, move_count)]]:
                 handle.to_move = True
                 self._scheduler.wake(handle.task)
             self._scheduler.sleep(20 * MS)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -190,7 +190,7 @@
                 *end,
             )
             wire.run(rng.randrange(150))
-            held = len(wire.process.relay._held)  # with those whose end is still seen out
+            held = len(wire.process.relay._active_names)  # with those whose end is still seen out
             assert held - 6 <= wire.process.relay.in_flight <= held
         wire.run(4000)
         got, said = (
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -116,7 +116,7 @@
     wire.run(9000)
     wire.say(wire.counters.text())
     wire.check("bad_input")
-    assert not wire.counters["exceptions"] and len(wire.process.relay._waiting) == 0
+    assert not wire.counters["exceptions"] and len(wire.process.relay._pending) == 0
 
 
 def test_bad_clients_reach_neither_a_server_nor_the_module_and_soon_make_room():
@@ -165,7 +165,7 @@
         len([line for line in wire.lines if "bad" in line or "mute" in line and "ended" in line])
         >= 900
     )
-    assert wire.counters["exceptions"] == 0 and not wire.process.relay._waiting
+    assert wire.counters["exceptions"] == 0 and not wire.process.relay._pending
 
 
 def test_an_end_is_passed_on_the_same_way():
