--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -254,7 +254,7 @@
         if self._facade.workload_index(request.workload) is None:
             if request.workload in self._facade.workload_names():
                 # A reload has removed the workload; its statistics are still reported.
-                self._counters.answered("failed", request.workload)
+                self._counters.count_answer("failed", request.workload)
             raise Malformed("unknown workload")
         if (
             request.connection_name in self._active_names
@@ -273,7 +273,7 @@
             self._rejecting_logins and not request.previous_server
         ):
             self._counters["logins bounced without room"] += 1
-            self._counters.answered("refused", request.workload)
+            self._counters.count_answer("refused", request.workload)
             self._reject(client, BUSY)
             return
         self._pending.pop(client, None)
@@ -336,7 +336,7 @@
         finally:
             self._facade.report_abandoned(handle)
             if result_name and result_name != "served":  # `_run_connection` counts "served"
-                self._counters.answered(result_name, request.workload)
+                self._counters.count_answer(result_name, request.workload)
             if answer:
                 self._finish(client, answer)
 
@@ -367,7 +367,7 @@
         finally:
             self._restoring -= is_counted
         self._counters["standing connections lost"] += 1
-        self._counters.answered("failed", request.workload)
+        self._counters.count_answer("failed", request.workload)
         self._finish(client, FAILED)
 
     # A hand-off
@@ -464,7 +464,7 @@
         request: LoginRequest,
     ) -> None:
         self._counters["connections up"] += 1
-        self._counters.answered("served", request.workload)
+        self._counters.count_answer("served", request.workload)
         self._connections[handle.number] = handle
         outcome, last_line = Outcome.BROKEN, b""
         try:
@@ -506,11 +506,11 @@
                 unanswered_since = 0
             if self._forward_lines(client, server) and not unanswered_since:
                 unanswered_since = self._now()
-                report_at = unanswered_since + self._limits.doubt_time
+                report_at = unanswered_since + self._limits.unanswered_line_time
             if unanswered_since and report_at <= self._now():
                 # An unresponsive server may not be probed soon; its connections reveal it earlier.
                 self._facade.report_unanswered_line(handle, self._now() - unanswered_since)
-                report_at = self._now() + self._limits.doubt_time
+                report_at = self._now() + self._limits.unanswered_line_time
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
@@ -617,7 +617,7 @@
         accept_time = 0 if self._socket_shared else self._limits.stop_accepting
         self._scheduler.sleep(accept_time)
         self._rejecting_logins = not self._socket_shared
-        move_time, max_count = self._limits.stop_moving(accept_time), 0
+        move_time, max_count = self._limits.time_to_move_connections(accept_time), 0
         while self._now() < started_at + self._limits.stop_time and (
             self._active_names or self._pending
         ):
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -99,12 +99,12 @@
     """Each twentieth client's connection is ended without an answer."""
     plain, seen = Relay._place_login, [0]
 
-    def place(self: Any, client: Any, first: Any) -> None:
+    def place(self: Any, client: Any, request: Any) -> None:
         seen[0] += 1
         if seen[0] % 20 == 0:
             client.close()
         else:
-            plain(self, client, first)
+            plain(self, client, request)
 
     Relay._place_login = place  # type: ignore[method-assign]
 
