--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -118,14 +118,14 @@
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.door: Callable[[LoginRequest, int], Rejection | None] = lambda login_request, number: (
-            None
+        self.admission_check: Callable[[LoginRequest, int], Rejection | None] = (
+            lambda login_request, number: None
         )
-        self.went: Callable[[int, bool | None], None] = lambda number, up: None
-        self.missed: Callable[[int], None] = lambda server: (
+        self.login_finished: Callable[[int, bool | None], None] = lambda number, up: None
+        self.server_unresponsive: Callable[[int], None] = lambda server: (
             None
         )  # it did not answer, or broke a connection
-        self.believed: Callable[[Scope, Listing], Listing] = lambda scope, content: content
+        self.recovered_list: Callable[[Scope, Listing], Listing] = lambda scope, content: content
         self._balancer = Balancer(self, Random(seed), now=scheduler.now(), **arguments)
 
     def settings_changed(
@@ -194,7 +194,7 @@
     ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
         """A login has come; blocks until it is decided where it goes."""
         self.before_placement()
-        rejection = self.door(login_request, self._next_login)
+        rejection = self.admission_check(login_request, self._next_login)
         handle = self._new_login(time_limit_at)
         if rejection is not None:
             return handle, rejection
@@ -210,7 +210,7 @@
         assert handle.target is not None
         now = self._scheduler.now()
         handle.decided = None
-        self.went(handle.number, False)
+        self.login_finished(handle.number, False)
         self._lost(handle.target.server, outcome)
         self._balancer.hand_off_ended(
             now,
@@ -229,7 +229,7 @@
         assert handle.target is not None
         now = self._scheduler.now()
         self._standing += 1
-        self.went(handle.number, True)
+        self.login_finished(handle.number, True)
         self._balancer.hand_off_started(
             now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
         )
@@ -270,7 +270,7 @@
 
     def report_abandoned(self, handle: LoginHandle) -> None:
         """The client has gone before its answer."""
-        self.went(handle.number, None)
+        self.login_finished(handle.number, None)
         if self._logins.pop(handle.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
@@ -443,7 +443,7 @@
     # Called by the monitoring tasks
 
     def apply_listing(self, scope: Scope, content: Listing) -> None:
-        content = self.believed(scope, content)
+        content = self.recovered_list(scope, content)
         lines = []
         for entry in content.entries:
             server = self._server_id(entry.name)
@@ -630,7 +630,7 @@
 
     def _lost(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
-            self.missed(server)
+            self.server_unresponsive(server)
 
     def _answer(self, login: int, rejection: Rejection) -> None:
         handle = self._logins.pop(login, None)
