--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -26,10 +26,10 @@
 from corklift.control.weights import PublishedWeights, Weights
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, raise_descriptor_limit
+from corklift.net.limits import MS, SECOND, Counters, LogWriter, raise_descriptor_limit
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
-from corklift.net.upkeep import Probes, Watch
+from corklift.net.monitoring import ServerProbes, DiscoveryWatch
 from corklift.rpc.server import Server
 
 TURN = 50 * MS  # between two looks at what is due
@@ -133,22 +133,26 @@
         self.views = self.service.views
         self.server = Server(scheduler, config.rpc, self.counters, self.service.handlers())
         self.port = self.server.listen(config.listen)
-        self.probes = Probes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
-        printer = Printer(config.net, scheduler.now, self.counters)
-        printer.say = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
+        self.probes = ServerProbes(scheduler, config.net, self.counters, self.facade, KEPT_FOR)
+        log_writer = LogWriter(config.net, scheduler.now, self.counters)
+        log_writer.write = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
         self.persistent_state = (
             PersistentState(
-                scheduler, store.path, store.patience_ms * MS, self.listed, self.event_log.write
+                scheduler,
+                store.path,
+                store.patience_ms * MS,
+                self.apply_listing,
+                self.event_log.write,
             )
             if store
             else None
         )
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             scheduler,
             config.net,
             self.counters,
-            printer,
+            log_writer,
             self.persistent_state or self,  # type: ignore[arg-type]
             config.discovery,
             Random(config.table.seed ^ 1),
@@ -161,10 +165,10 @@
 
     # What the watch calls
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         """The list's word: who drains or is gone has left every view when this returns."""
         now = self.scheduler.now()
-        self.facade.listed(scope, content)
+        self.facade.apply_listing(scope, content)
         named = {entry.name for entry in content.entries}
         left = {entry.name for entry in content.entries if entry.status is not Status.READY}
         gone = {entry.name for entry in content.entries if entry.status is Status.GONE}
@@ -219,7 +223,7 @@
         if self._known_at is None:
             return
         if not self.views.known and not (
-            self.facade.all_heard() or now - self._known_at >= READY_TIME
+            self.facade.all_servers_probed() or now - self._known_at >= READY_TIME
         ):
             return
         ready = [name for name, state in self._states.items() if state is Status.READY]
@@ -299,7 +303,7 @@
         self.weights.forget([workload.name for workload in new.workloads])
         self.service.ttl, self.service.report_every = new.ttl, new.table.load_reports.every_ms * MS
         self.probes.reconfigure(new.net, KEPT_FOR)
-        self.watch.follow(new.discovery, new.net)
+        self.watch.reconfigure(new.discovery, new.net)
         self.counters["configurations taken"] += 1
         if self.views.known:
             now = self.scheduler.now()
@@ -319,9 +323,9 @@
         spawn = self.scheduler.spawn
         spawn(self.event_log.keep_writing)
         for job in (
-            self.facade.keep_ticking,
-            self.probes.keep_probing,
-            self.watch.keep_watching,
+            self.facade.timer_loop,
+            self.probes.probe_loop,
+            self.watch.watch_loop,
             self.keep_weighing,
             self.server.keep_accepting,
             *(self.persistent_state.jobs() if self.persistent_state else ()),
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -32,7 +32,7 @@
 from corklift.rpc.server import Server, unary
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 CALL, STATUS, FORGET = "/corklift.Peers/Call", "/corklift.Peers/Status", "/corklift.Peers/Forget"
 MAX_CALLS = 64  # under way at a time; further ones fail at once
@@ -152,7 +152,7 @@
 
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         config: PeersConfig,
         log_event: Callable[..., None],
         *,
@@ -194,10 +194,10 @@
         self._next_call = self._under_way = 0
         self._left = False
         self._waits = self._gated = wait_for_recovery
-        process.facade.reported = self._reported
-        process.facade.before_placing = lambda: self.core.detect_pause(self._scheduler.now())
+        process.facade.load_reported = self._reported
+        process.facade.before_placement = lambda: self.core.detect_pause(self._scheduler.now())
         if not wait_for_recovery:
-            process.relay.take_clients(False)
+            process.relay.set_accepting(False)
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
         """What the disk says of before is known, or is not waited for."""
@@ -220,15 +220,15 @@
             until,
         )
 
-    # Part
+    # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
         return self._keep_accepting, self._keep_ticking, self._keep_holding
 
-    def leave(self) -> None:
+    def on_stop_requested(self) -> None:
         """Clients come for a moment yet: nothing is told before the last has gone."""
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         for request_id, name in self.core.leave(self._scheduler.now()):
             self._log_event("leaving", told=name)
         self._left = True
@@ -254,7 +254,7 @@
         opened = False
         self._await_resume()
         while not self._left:
-            self.core.set_connections(self._scheduler.now(), self._process.facade.standing)
+            self.core.set_connections(self._scheduler.now(), self._process.facade.connection_count)
             if not opened and self.core.admitted:
                 # No span of time opens the door: a peer let it in, or none answers.
                 opened = True
@@ -262,7 +262,7 @@
                     "serving", joined=self.core.joined, members=len(self.core.live_members) + 1
                 )
                 if not self._gated:
-                    self._process.relay.take_clients(True)
+                    self._process.relay.set_accepting(True)
             self._scheduler.sleep(self._config.period_ms * MS // POLLS_PER_PERIOD)
 
     def _reported(self, server: int, connections: float) -> None:
@@ -327,7 +327,7 @@
 
     def count_changed(self, count: int) -> None:
         self._log_event("count", balancers=count)
-        self._process.facade.balancers(count)
+        self._process.facade.set_balancer_count(count)
 
     def name_rejected(self, reason: str) -> None:
         self._log_event("refused", why=reason)
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -36,7 +36,7 @@
 )
 
 
-class Place(NamedTuple):
+class HandOffTarget(NamedTuple):
     """Where a login is handed to, and when that hand-off is given up."""
 
     server: int
@@ -44,20 +44,20 @@
     cut_at: int
 
 
-class Refusal(NamedTuple):
+class Rejection(NamedTuple):
     """The final answer: whether trying again is harmless, and after what time."""
 
     harmless: bool
     retry_in: int
 
 
-class Ticket:
+class LoginHandle:
     """A login, or the connection that it became, as the relay holds it."""
 
     def __init__(self, number: int, task: Task, time_limit_at: int) -> None:
         self.number, self.task, self.time_limit_at = number, task, time_limit_at
-        self.decided: Place | Refusal | None = None
-        self.place: Place | None = None
+        self.decided: HandOffTarget | Rejection | None = None
+        self.target: HandOffTarget | None = None
         self.hand_offs = 0
         self.sent_at = 0
         self.to_move = self.cancelled = False
@@ -92,10 +92,10 @@
             Workload
         ] = []  # and those that connections of before a new configuration have
         arguments = self._take(arguments, report_names, told, localities, kinds)
-        self._tickets: dict[int, Ticket] = {}
+        self._logins: dict[int, LoginHandle] = {}
         self._standing = 0  # of them, connections
         self._next_login = 1
-        self.before_placing: Callable[[], None] = lambda: (
+        self.before_placement: Callable[[], None] = lambda: (
             None
         )  # whoever must see that this process was stopped sets it
         self._names: dict[int, str] = {}
@@ -110,13 +110,15 @@
         self._ticker: Task | None = None
         self._probes: deque[int] = deque()
         self._prober: Task | None = None
-        self.close_probes: Callable[[int], None] = lambda server: None  # whoever probes sets it
-        self.reported: Callable[[int, float], None] = lambda server, count: (
+        self.close_probe_connection: Callable[[int], None] = lambda server: (
+            None
+        )  # whoever probes sets it
+        self.load_reported: Callable[[int, float], None] = lambda server, count: (
             None
         )  # whoever counts connections sets it
         # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
         # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
-        self.admission_check: Callable[[LoginRequest, int], Refusal | None] = (
+        self.admission_check: Callable[[LoginRequest, int], Rejection | None] = (
             lambda login_request, number: None
         )
         self.login_finished: Callable[[int, bool | None], None] = lambda number, up: None
@@ -173,134 +175,134 @@
 
     # What the relay calls
 
-    def workload(self, name: str) -> int | None:
+    def workload_index(self, name: str) -> int | None:
         return self._workloads.get(name)
 
-    def workloads(self) -> list[str]:
+    def workload_names(self) -> list[str]:
         """All that were ever in force, for counts."""
         return [workload.name for workload in self._all_workloads]
 
     @property
     def in_flight(self) -> int:
-        return len(self._tickets)
+        return len(self._logins)
 
     def time_limit(self, login_request: LoginRequest) -> int:
         return self._all_workloads[self._workloads[login_request.workload]].time_limit
 
-    def pick(
+    def place_login(
         self, login_request: LoginRequest, time_limit_at: int
-    ) -> tuple[Ticket, Place | Refusal]:
+    ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
         """A login has come; blocks until it is decided where it goes."""
-        self.before_placing()
-        refused = self.admission_check(login_request, self._next_login)
-        ticket = self._ticket(time_limit_at)
-        if refused is not None:
-            return ticket, refused
+        self.before_placement()
+        rejection = self.admission_check(login_request, self._next_login)
+        handle = self._new_login(time_limit_at)
+        if rejection is not None:
+            return handle, rejection
         now = self._scheduler.now()
         self._settled_at = self._settled_at or now + self._settle_time
-        self._balancer.login_arrived(now, self._login(ticket, login_request))
-        return ticket, self._decision(ticket)
+        self._balancer.login_arrived(now, self._login(handle, login_request))
+        return handle, self._decision(handle)
 
-    def report(
-        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
-    ) -> Place | Refusal:
+    def report_failed_hand_off(
+        self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
+    ) -> HandOffTarget | Rejection:
         """A hand-off has ended without a connection; blocks until it is decided what comes next."""
-        assert ticket.place is not None
+        assert handle.target is not None
         now = self._scheduler.now()
-        ticket.decided = None
-        self.login_finished(ticket.number, False)
-        self._lost(ticket.place.server, outcome)
+        handle.decided = None
+        self.login_finished(handle.number, False)
+        self._lost(handle.target.server, outcome)
         self._balancer.hand_off_ended(
             now,
-            ticket.number,
+            handle.number,
             False,
-            ticket.place.server,
+            handle.target.server,
             outcome,
-            ticket.hand_offs - 1,
-            now - ticket.sent_at,
+            handle.hand_offs - 1,
+            now - handle.sent_at,
             self._report(values),
         )
-        return self._decision(ticket)
+        return self._decision(handle)
 
-    def report_up(self, ticket: Ticket) -> None:
+    def report_connected(self, handle: LoginHandle) -> None:
         """The hand-off has become a connection."""
-        assert ticket.place is not None
+        assert handle.target is not None
         now = self._scheduler.now()
         self._standing += 1
-        self.login_finished(ticket.number, True)
+        self.login_finished(handle.number, True)
         self._balancer.hand_off_started(
-            now, ticket.number, ticket.hand_offs - 1, ticket.place.server, now - ticket.sent_at
+            now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
         )
 
-    def report_carried(self, login_request: LoginRequest, server: int) -> Ticket:
+    def report_restored(self, login_request: LoginRequest, server: int) -> LoginHandle:
         """A connection that stood at this server before the start stands again."""
         now = self._scheduler.now()
         self._settled_at = now + self._settle_time
-        ticket = self._ticket(now)
-        ticket.place, ticket.hand_offs, ticket.sent_at = (
-            Place(server, self._addresses[server], now),
+        handle = self._new_login(now)
+        handle.target, handle.hand_offs, handle.sent_at = (
+            HandOffTarget(server, self._addresses[server], now),
             1,
             now,
         )
         self._standing += 1
-        self._balancer.connection_resumed(now, self._login(ticket, login_request), server)
-        return ticket
+        self._balancer.connection_resumed(now, self._login(handle, login_request), server)
+        return handle
 
-    def report_end(
-        self, ticket: Ticket, outcome: Outcome, values: dict[str, float] | None = None
+    def report_connection_end(
+        self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> None:
         """A connection has ended."""
-        if self._tickets.pop(ticket.number, None) is not None:
-            assert ticket.place is not None
+        if self._logins.pop(handle.number, None) is not None:
+            assert handle.target is not None
             now = self._scheduler.now()
             self._standing -= 1
-            self._lost(ticket.place.server, outcome)
+            self._lost(handle.target.server, outcome)
             self._balancer.hand_off_ended(
                 now,
-                ticket.number,
+                handle.number,
                 True,
-                ticket.place.server,
+                handle.target.server,
                 outcome,
-                ticket.hand_offs - 1,
-                now - ticket.sent_at,
+                handle.hand_offs - 1,
+                now - handle.sent_at,
                 self._report(values),
             )
 
-    def report_left(self, ticket: Ticket) -> None:
+    def report_abandoned(self, handle: LoginHandle) -> None:
         """The client has gone before its answer."""
-        self.login_finished(ticket.number, None)
-        if self._tickets.pop(ticket.number, None) is not None:
-            self._balancer.login_dropped(self._scheduler.now(), ticket.number)
+        self.login_finished(handle.number, None)
+        if self._logins.pop(handle.number, None) is not None:
+            self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
-    def report_told(self, ticket: Ticket, value: float) -> None:
+    def report_measurement(self, handle: LoginHandle, value: float) -> None:
         """A server has told a figure on this connection; the settings say what of."""
         if self._told is not None:
-            assert ticket.place is not None
+            assert handle.target is not None
             kind, unit = self._told
             self._counters[f"notes of {kind.name.lower()}"] += 1
             self._balancer.measurement_received(
                 self._scheduler.now(),
-                ticket.number,
-                ticket.hand_offs - 1,
-                ticket.place.server,
+                handle.number,
+                handle.hand_offs - 1,
+                handle.target.server,
                 kind,
                 value * unit,
             )
 
-    def report_unanswered(self, ticket: Ticket, span: int) -> None:
+    def report_unanswered_line(self, handle: LoginHandle, span: int) -> None:
         """A client's line has brought nothing back for so long: messages there take that long at the least."""
-        assert ticket.place is not None
+        assert handle.target is not None
         self._counters["lines unanswered"] += 1
-        now, server = self._scheduler.now(), ticket.place.server
+        now, server = self._scheduler.now(), handle.target.server
         self._balancer.measurement_received(
-            now, ticket.number, ticket.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
+            now, handle.number, handle.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
         )
         self._balancer.message_unanswered(now, server)
 
-    def server_named(self, name: str) -> Place | None:
+    def find_server(self, name: str) -> HandOffTarget | None:
         server = self._server_id(name)
         address = self._addresses.get(server)
-        return None if address is None else Place(server, address, 0)
+        return None if address is None else HandOffTarget(server, address, 0)
 
     # What a front calls whose clients are placed by others
 
@@ -321,7 +323,7 @@
 
     # What a part calls that knows the other balancers
 
-    def balancers(self, number: int) -> None:
+    def set_balancer_count(self, number: int) -> None:
         """So many balancers place logins, this one too: whatever the settings told or tell later."""
         if number != self._counted:
             self._counted = number
@@ -330,7 +332,7 @@
             )
 
     @property
-    def standing(self) -> int:
+    def connection_count(self) -> int:
         """Connections that stand at servers through this balancer."""
         return self._standing
 
@@ -366,7 +368,7 @@
             self._log(f"server {name:.80} is out by operators' word")
             self._balancer.take_out_of_service(self._scheduler.now(), server)
 
-    def sizes(self) -> dict[str, float]:
+    def server_sizes(self) -> dict[str, float]:
         """By server's name, how many connections fill it, where that is known."""
         return {
             self._names[number]: size
@@ -374,7 +376,7 @@
             if size is not None and number in self._names
         }
 
-    def hint(self, sizes: dict[str, float]) -> None:
+    def apply_size_hints(self, sizes: dict[str, float]) -> None:
         """What servers could do before this process: taken until one shows what it can."""
         self.import_learned_state(
             {
@@ -388,7 +390,7 @@
         )
         self.other_processes_ended()
 
-    def ages(self) -> dict[str, int]:
+    def server_start_times(self) -> dict[str, int]:
         """By server's name, when it started as the decisions know it; 0: long past."""
         return {
             self._names[number]: int(started_at)
@@ -399,7 +401,7 @@
     def importance(self, login_request: LoginRequest) -> float:
         return self._all_workloads[self._workloads[login_request.workload]].importance
 
-    def knows(self, name: str) -> bool:
+    def knows_server(self, name: str) -> bool:
         """Whether there is such a server, listed or out."""
         server = self._server_id(name)
         return server in self._listed or server in self._out_of_service
@@ -413,7 +415,7 @@
     def known_and_excluded_servers(self) -> tuple[int, int]:
         return self._balancer.known_and_excluded_servers(self._scheduler.now())
 
-    def takes_new(self, server: int) -> bool:
+    def accepts_logins(self, server: int) -> bool:
         """Whether it has not begun to drain, by the list's word or operators'."""
         return server in self._ready and server not in self._out_of_service
 
@@ -438,9 +440,9 @@
     def set_standby(self, wanted: bool) -> None:
         self._balancer.set_standby(wanted)
 
-    # What upkeep calls
+    # Called by the monitoring tasks
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         content = self.recovered_list(scope, content)
         lines = []
         for entry in content.entries:
@@ -467,7 +469,7 @@
             (self._ready.add if line.status is Status.READY else self._ready.discard)(line.server)
         self._balancer.servers_listed(self._scheduler.now(), scope, content.version, tuple(lines))
         used = {
-            ticket.place.server for ticket in self._tickets.values() if ticket.place is not None
+            handle.target.server for handle in self._logins.values() if handle.target is not None
         }
         for server in (
             gone - used - self._out_of_service.keys()
@@ -476,18 +478,18 @@
                 held.pop(server, None)
             self._heard.discard(server)
 
-    def next_probe(self) -> Place:
+    def next_probe(self) -> HandOffTarget:
         """Blocks until a server is to be probed."""
         self._prober = self._scheduler.current
         while True:
             while self._probes:
                 server = self._probes.popleft()
                 if server in self._addresses:
-                    return Place(server, self._addresses[server], 0)
-                self.probed(server, Outcome.NOT_CONNECTED, 0, None)
+                    return HandOffTarget(server, self._addresses[server], 0)
+                self.probe_finished(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
-    def probed(
+    def probe_finished(
         self, server: int, outcome: Outcome, took: int, values: dict[str, float] | None
     ) -> None:
         self._heard.add(server)
@@ -507,13 +509,13 @@
         self._lost(server, outcome)
         self._balancer.probe_answered(self._scheduler.now(), server, took, outcome, report)
         if report is not None and report.count is not None:
-            self.reported(server, report.count)
+            self.load_reported(server, report.count)
 
-    def all_heard(self) -> bool:
+    def all_servers_probed(self) -> bool:
         """Whether a probe of every ready server has come to an end."""
         return bool(self._ready) and self._ready - self._out_of_service.keys() <= self._heard
 
-    def tick(self) -> int | None:
+    def run_due_timers(self) -> int | None:
         """Runs what is due; returns when the next is."""
         now = self._scheduler.now()
         while self._timers and self._timers[0][0] <= now:
@@ -521,42 +523,42 @@
             self._balancer.timer_due(now, mark)
         return self._timers[0][0] if self._timers else None
 
-    def keep_ticking(self) -> None:
+    def timer_loop(self) -> None:
         self._ticker = self._scheduler.current
         while True:
-            self._scheduler.wait({}, self.tick())
+            self._scheduler.wait({}, self.run_due_timers())
 
     # What the decisions call
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
-        ticket = self._tickets[login]
-        place = Place(
+        handle = self._logins[login]
+        target = HandOffTarget(
             server,
             self._addresses[server],
-            min(cut_at or ticket.time_limit_at, ticket.time_limit_at),
+            min(cut_at or handle.time_limit_at, handle.time_limit_at),
         )
-        ticket.place, ticket.decided = place, place
-        ticket.hand_offs += 1
-        ticket.sent_at = self._scheduler.now()
-        self._scheduler.wake(ticket.task)
+        handle.target, handle.decided = target, target
+        handle.hand_offs += 1
+        handle.sent_at = self._scheduler.now()
+        self._scheduler.wake(handle.task)
 
     def cancel(self, login: int, attempt: int) -> None:
-        ticket = self._tickets.get(login)
-        if ticket is not None and attempt == ticket.hand_offs - 1:
-            ticket.cancelled = True
-            self._scheduler.wake(ticket.task)
+        handle = self._logins.get(login)
+        if handle is not None and attempt == handle.hand_offs - 1:
+            handle.cancelled = True
+            self._scheduler.wake(handle.task)
 
     def bounce(self, login: int, retry_in: int) -> None:
-        self._answer(login, Refusal(True, retry_in))
+        self._answer(login, Rejection(True, retry_in))
 
     def terminate(self, login: int) -> None:
-        self._answer(login, Refusal(False, 0))
+        self._answer(login, Rejection(False, 0))
 
     def move(self, login: int) -> None:
-        ticket = self._tickets.get(login)
-        if ticket is not None:
-            ticket.to_move = True
-            self._scheduler.wake(ticket.task)
+        handle = self._logins.get(login)
+        if handle is not None:
+            handle.to_move = True
+            self._scheduler.wake(handle.task)
 
     def probe(self, server: int) -> None:
         self._probes.append(server)
@@ -565,7 +567,7 @@
 
     def close_idle(self, server: int) -> None:
         """No connection idles but a server's one for probes."""
-        self.close_probes(server)
+        self.close_probe_connection(server)
 
     def set_timer(self, after: int, mark: int) -> None:
         # Never due in the round of ticks that set it.
@@ -596,45 +598,45 @@
         # Guards against two servers taken for one, as their names differ only in the word before the number.
         return number if self._names.get(number, name) == name else stable_id(name, plain=False)
 
-    def _ticket(self, time_limit_at: int) -> Ticket:
-        ticket = Ticket(self._next_login, self._scheduler.current, time_limit_at)
+    def _new_login(self, time_limit_at: int) -> LoginHandle:
+        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
         self._next_login += 1
-        self._tickets[ticket.number] = ticket
-        return ticket
+        self._logins[handle.number] = handle
+        return handle
 
-    def _login(self, ticket: Ticket, login_request: LoginRequest) -> Login:
+    def _login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
-            ticket.number,
+            handle.number,
             self._workloads[login_request.workload],
             0,
             stable_id(login_request.subject),
-            ticket.time_limit_at,
+            handle.time_limit_at,
             None if login_request.cost is None else round(login_request.cost * COST_UNIT),
             stable_id(login_request.group) if login_request.group and self._grouped else 0,
             False,
             login_request.came_back,
         )
 
-    def _decision(self, ticket: Ticket) -> Place | Refusal:
-        while ticket.decided is None:
+    def _decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
+        while handle.decided is None:
             now = self._scheduler.now()
-            if now >= ticket.time_limit_at:
+            if now >= handle.time_limit_at:
                 # Guards against a login without an answer, whatever the decisions wait for.
                 self._counters["undecided at the time limit"] += 1
-                self.report_left(ticket)
-                return Refusal(False, 0)
-            self._scheduler.wait({}, ticket.time_limit_at)
-        return ticket.decided
+                self.report_abandoned(handle)
+                return Rejection(False, 0)
+            self._scheduler.wait({}, handle.time_limit_at)
+        return handle.decided
 
     def _lost(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
             self.server_unresponsive(server)
 
-    def _answer(self, login: int, refusal: Refusal) -> None:
-        ticket = self._tickets.pop(login, None)
-        if ticket is not None:
-            ticket.decided = refusal
-            self._scheduler.wake(ticket.task)
+    def _answer(self, login: int, rejection: Rejection) -> None:
+        handle = self._logins.pop(login, None)
+        if handle is not None:
+            handle.decided = rejection
+            self._scheduler.wake(handle.task)
 
     def _report(self, values: dict[str, float] | None) -> Report | None:
         if not values:
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -11,9 +11,8 @@
 
 from corklift.interface import Scope, Status
 from corklift.membership.peers import Peers
-from corklift.net.admin import Answer as Reply
-from corklift.net.admin import Otherwise
-from corklift.net.facade import Refusal
+from corklift.net.admin import AdminResponse, IncompleteOperationError
+from corklift.net.facade import Rejection
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.parsers import Listing, LoginRequest, ServerEntry
 from corklift.net.scheduler import Task
@@ -44,7 +43,7 @@
 from corklift.store.worker import Folders, Keeper
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 ASK, TELL = "/corklift.Peers/Ask", "/corklift.Peers/Tell"
 MESSAGE = 1 << 20  # bytes, of a list of some 15,000 servers
@@ -73,7 +72,7 @@
 class RecoveryDriver:
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         given: StoreConfig,
         name: str,
         period: int,
@@ -129,7 +128,7 @@
             self._went,
             self._believed,
         )
-        before = facade.reported
+        before = facade.load_reported
 
         def reported(server: int, connections: float) -> None:
             before(server, connections)
@@ -137,30 +136,30 @@
                 self._scheduler.now(), facade.server_name(server), connections
             )
 
-        facade.reported = reported
+        facade.load_reported = reported
         facade.server_unresponsive = lambda server: self.core.server_unresponsive(
             self._scheduler.now(), facade.server_name(server)
         )
         process.apply_operator_override = self._word
         process.may_serve = lambda: self.core.phase >= RecoveryPhase.OPEN
-        process.overlap.overrides_kept_elsewhere = True
-        process.more_figures.append(self._figures)
+        process.handover.overrides_stored_elsewhere = True
+        process.extra_stats.append(self._figures)
 
-    # Part
+    # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
         self._keeper.start()
         jobs = [self._keeper.keep_hearing, self._keep_going]
-        return [*jobs, *self._peers.jobs()] if self._peers else jobs
+        return [*jobs, *self._peers.background_tasks()] if self._peers else jobs
 
-    def leave(self) -> None:
+    def on_stop_requested(self) -> None:
         self.core.stopping(self._scheduler.now())
         if self._peers:
-            self._peers.leave()
+            self._peers.on_stop_requested()
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         if self._peers:
-            self._peers.left()
+            self._peers.on_clients_drained()
         self._keeper.settle(min(SECOND, self._period))
         self._left = True
         self._keeper.stop()
@@ -195,11 +194,11 @@
                     self.core.count_changed(now, members.count.value)
             if self.core.phase >= RecoveryPhase.OPEN and now >= self._size_at:
                 self._size_at = now + self._period
-                self.core.sizes_changed(now, facade.sizes())
+                self.core.sizes_changed(now, facade.server_sizes())
             self.core.servers_probed(
                 now,
                 [facade.server_name(server) for server in facade.ready_servers()],
-                facade.all_heard(),
+                facade.all_servers_probed(),
             )
             due = self.core.tick(self._scheduler.now())
             self._scheduler.wait({}, min(due, now + self._period // LOOKS))
@@ -311,12 +310,12 @@
         if listing is not None:
             self._again = True
             try:
-                self._process.facade.listed(Scope.FULL, listing)
+                self._process.facade.apply_listing(Scope.FULL, listing)
             finally:
                 self._again = False
         sizes = self.core.facts.get(SIZES)
         if sizes is not None and self.core.phase is not RecoveryPhase.FULL:
-            self._process.facade.hint(sizes.value)
+            self._process.facade.apply_size_hints(sizes.value)
 
     def probe_servers(self, span: int) -> None:
         for server in self._process.facade.ready_servers():
@@ -327,7 +326,7 @@
         self._process.facade.probe(server)
 
     def server_start_times(self) -> dict[str, int]:
-        return self._process.facade.ages()
+        return self._process.facade.server_start_times()
 
     def phase_changed(self, step: RecoveryPhase, why: str) -> None:
         if step >= RecoveryPhase.OPEN:
@@ -428,7 +427,7 @@
         facade = self._process.facade
         return facade.importance(login_request) / self._importance if self._importance else 1.0
 
-    def _door(self, login_request: LoginRequest, number: int) -> Refusal | None:
+    def _door(self, login_request: LoginRequest, number: int) -> Rejection | None:
         if self.core.phase is RecoveryPhase.FULL:
             return None
         wait = self.core.admit_login(self._scheduler.now(), self._importance_of(login_request))
@@ -437,7 +436,7 @@
                 self._let_in.add(number)
             return None
         self._counters["logins refused while the door opens"] += 1
-        return Refusal(True, wait) if self._bounces else Refusal(False, 0)
+        return Rejection(True, wait) if self._bounces else Rejection(False, 0)
 
     def _went(self, number: int, up: bool | None) -> None:
         if number in self._let_in:
@@ -452,15 +451,15 @@
         while self.core.phase < RecoveryPhase.LOOK:
             # Guards against a word that is numbered below what the disk and peers are about to tell.
             if self._scheduler.now() >= until:
-                raise Otherwise(
-                    Reply(
+                raise IncompleteOperationError(
+                    AdminResponse(
                         503,
                         "It has not read its disk and heard its peers yet; nothing was changed.\n",
                     )
                 )
             self._scheduler.sleep(self._period // LOOKS)
         facade = self._process.facade
-        if not facade.knows(name) and self.core.facts.get("out", name) is None:
+        if not facade.knows_server(name) and self.core.facts.get("out", name) is None:
             return False
         task, found = self._scheduler.current, []
 
@@ -476,8 +475,8 @@
             "word", server=name, out=out, outcome=outcome.name.lower(), kept=kept, wanted=wanted
         )
         if outcome is ReplicationOutcome.PARTLY:
-            raise Otherwise(
-                Reply(
+            raise IncompleteOperationError(
+                AdminResponse(
                     202,
                     f"Server {name:.80} is {'out' if out else 'free to serve'} here, but {kept} of {wanted} disks keep "
                     "this: it may be forgotten in a loss of power. Say it again.\n",
