--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -190,7 +190,7 @@
                 *end,
             )
             wire.run(rng.randrange(150))
-            held = len(wire.process.relay._held)  # with those whose end is still seen out
+            held = len(wire.process.relay._active_names)  # with those whose end is still seen out
             assert held - 6 <= wire.process.relay.in_flight <= held
         wire.run(4000)
         got, said = (
@@ -261,8 +261,8 @@
 def test_a_hand_off_on_its_way_is_not_written_to_a_server_taken_out_meanwhile():
     wire = Operated("up")
     wire.run(2000)
-    real = wire.process.facade.takes_new
-    wire.process.facade.takes_new = lambda server: (
+    real = wire.process.facade.accepts_logins
+    wire.process.facade.accepts_logins = lambda server: (
         wire.process.facade.take_out_of_service("s1") and real(server)
     )
     wire.client("c1", OPEN)
