--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -1,8 +1,8 @@
-"""Sizes, counts and times of one balancer; what it counts; what it prints.
+"""Limits, counters and log output of a balancer process.
 
-Owns every figure by which the network code bounds itself, filled once at start from the deployment's limits and
-settings and handed down. Must never decide where a login goes, and never block: what can't be printed at once
-waits in a short queue or is dropped and counted.
+`Limits` holds every size, count and time that bounds the network code. It is computed once at start
+from the deployment's limits and settings, and passed down. The log writer never blocks: lines that
+can't be written at once wait in a short queue, or are dropped and counted.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 MS = 1_000_000
 SECOND = 1_000 * MS
-RESERVED_DESCRIPTORS = (
-    8  # standard streams, listener, signal pair, and some that the interpreter opens
-)
+# Standard streams, listener, signal socket pair, and some that the interpreter opens.
+RESERVED_DESCRIPTORS = 8
 
 
 class ConfigError(Exception):
-    """Names the key that is missing or impossible."""
+    """A key of the configuration is missing or invalid; the text names it."""
 
 
 def require_key(table: Any, key: str, kind: type | tuple[type, ...], where: str = "") -> Any:
+    """Returns the value of a key of the right type; `where` is a prefix for the error message."""
     if not isinstance(table, dict) or key not in table:
         raise ConfigError(f"config: {where}{key} is missing")
     value = table[key]
@@ -41,82 +41,95 @@
 
 @dataclass(frozen=True)
 class Limits:
-    clients: int  # relayed at a time, two sockets each
-    waiting: int  # further clients whose line is still read, or that are told BUSY
-    probes: int  # connections kept for probes
-    connect_time: int  # within which a connection to a server must stand
-    stop_time: int  # after SIGTERM the process ends, whatever is left
-    line: int = 4096  # bytes of a line, its end included
-    ring: int = 8192  # bytes of a ring buffer; two lines at least
-    body: int = (
-        4 << 20
-    )  # bytes of an answer of discovery; as it is read it takes some ten times as much
-    first_line_time: int = (
-        2 * SECOND
-    )  # from a client's connect, or its first PONG, to the end of its line
-    name_time: int = (
-        3 * SECOND
-    )  # for which a connection's name is still known after its end, or its last misuse
-    turned_away_time: int = 100 * MS  # for a bad client's own end, after its answer
-    turned_away_bytes: int = 1 << 16  # that are still taken in from it meanwhile
-    answer_margin: int = 25 * MS  # before a client's time limit, for its answer to be on its way
-    longest_wait: int = (
-        3600 * SECOND
-    )  # a client that says it waits longer than that is not believed
-    standing_time: int = 35 * SECOND  # to bring up a connection that stood before the start
-    standing_pause: int = 250 * MS  # between tries of it
-    settle_time: int = (
-        1500 * MS
-    )  # after a standing connection has come up, until reports surely hold it
-    silent_time: int = (
-        5 * SECOND
-    )  # a line that brought nothing back for so long: the client is moved
-    end_time: int = 700 * MS  # to pass a connection's end on, and to wait for the other side's
-    watch_wait: int = 4 * SECOND  # how long discovery may hold a watch
-    watch_slack: int = (
-        2500 * MS
-    )  # how late its answer may be before the watch begins anew; it may come 2 s late
-    watch_stall: int = (
-        100 * MS
-    )  # in which an answer that has begun must go on, within the least grace of a drain
-    watch_pause: int = (
-        50 * MS
-    )  # before a call after one that failed, about; twice as long after each further one
-    watch_pause_most: int = 2500 * MS  # up to about this
-    overbooked_pause: int = (
-        5 * SECOND
-    )  # as watch_pause, after an answer that discovery has too much to do
+    """The limits of one balancer process. Times are in ns."""
+
+    # Clients relayed at a time, with two sockets each.
+    clients: int
+    # Further clients whose first line is still being read, or that are answered BUSY.
+    waiting: int
+    # Connections kept open for probes.
+    probes: int
+    # Within which a connect to a server must succeed.
+    connect_time: int
+    # After SIGTERM until the process ends, whatever is left.
+    stop_time: int
+    # Bytes of a line, including its line end.
+    line: int = 4096
+    # Bytes of a ring buffer; at least two lines.
+    ring: int = 8192
+    # Bytes of an answer of discovery; parsing one takes about ten times as much memory.
+    body: int = 4 << 20
+    # From a client's connect, or its first PONG, to the end of its first line.
+    first_line_time: int = 2 * SECOND
+    # How long a connection's name stays in use after the connection ends, or after its last misuse.
+    name_time: int = 3 * SECOND
+    # How long a rejected client has after its answer to close the connection itself ...
+    turned_away_time: int = 100 * MS
+    # ... and how many bytes of it are still read meanwhile.
+    turned_away_bytes: int = 1 << 16
+    # How long before a client's time limit its answer is sent, so that it arrives in time.
+    answer_margin: int = 25 * MS
+    # A client that claims to wait longer than this is rejected.
+    longest_wait: int = 3600 * SECOND
+    # To bring up again a connection that was open before a restart ...
+    standing_time: int = 35 * SECOND
+    # ... and the pause between the attempts.
+    standing_pause: int = 250 * MS
+    # After such a connection is up, until load reports certainly include it.
+    settle_time: int = 1500 * MS
+    # The client of a line that had no answer for so long is moved.
+    silent_time: int = 5 * SECOND
+    # To pass on the end of a connection, and to wait for the other side to close.
+    end_time: int = 700 * MS
+    # How long discovery may hold a request of the list watch.
+    watch_wait: int = 4 * SECOND
+    # How late an answer may be before the watch starts again; it can come 2 s late.
+    watch_slack: int = 2500 * MS
+    # Within which the rest of an answer must arrive; shorter than the minimum grace of a drain.
+    watch_stall: int = 100 * MS
+    # Mean delay after a failed call, doubled after each further failure ...
+    watch_pause: int = 50 * MS
+    # ... up to this mean.
+    watch_pause_most: int = 2500 * MS
+    # The same delays after discovery answered that it is overloaded.
+    overbooked_pause: int = 5 * SECOND
     overbooked_pause_most: int = 20 * SECOND
-    first_call_spread: int = (
-        0  # over which a start with a known list first asks what is new, where it must ask
-    )
-    ready_time: int = (
-        1500 * MS
-    )  # after which a start without discovery or counts serves all the same
-    stop_accepting: int = 500 * MS  # after SIGTERM: clients still come until then
-    look_pause: int = 50 * MS  # between looks at what other processes of this balancer tell
-    calls: int = 0  # connections of operators at a time
-    call: int = 16384  # bytes of an operator's call beside its head
-    call_time: int = 5 * SECOND  # for an operator's whole call to come
-    operator_pause: int = 20 * MS  # where the system has no descriptor for one
-    printed: int = 20  # lines a second
-    print_queue: int = 200  # lines
+    # Over which the first calls of processes that start with a known list are spread, if discovery
+    # only answers requests.
+    first_call_spread: int = 0
+    # After which a process serves even if discovery or some servers have not answered yet.
+    ready_time: int = 1500 * MS
+    # How long clients are still accepted after SIGTERM.
+    stop_accepting: int = 500 * MS
+    # Interval at which the files of other processes of this balancer are read.
+    look_pause: int = 50 * MS
+    # Connections of operators at a time.
+    calls: int = 0
+    # Bytes of an operator's request body.
+    call: int = 16384
+    # Within which an operator's whole request must arrive.
+    call_time: int = 5 * SECOND
+    # Pause after an operator's connection found no free descriptor.
+    operator_pause: int = 20 * MS
+    # Log lines per second.
+    printed: int = 20
+    # Log lines waiting to be written.
+    print_queue: int = 200
 
     def time_to_move_connections(self, accepting: int) -> int:
-        """Over which connections are moved after SIGTERM: what is left but for the last to end."""
-        left = self.stop_time - accepting
-        return max(left // 2, left - 500 * MS)
+        """Returns how long the moves after SIGTERM may take: what is left less 500 ms."""
+        remaining = self.stop_time - accepting
+        return max(remaining // 2, remaining - 500 * MS)
 
     @property
     def unanswered_line_time(self) -> int:
-        """A line that brought nothing back for so long, and again after as long, is told to the decisions."""
+        """How long a line may be unanswered before the decisions learn of it, each time again."""
         return self.connect_time
 
     @property
     def probe_time(self) -> int:
-        return (
-            self.connect_time * 5 // 4
-        )  # a probe's answer is waited for a little longer than a connect
+        """How long a probe may take; a little longer than a connect."""
+        return self.connect_time * 5 // 4
 
     @classmethod
     def from_deployment(
@@ -129,23 +142,31 @@
         ask_for_list: bool,
         operated: bool = False,
     ) -> Limits:
-        """From the deployment's limits; each of a fleet's servers may have a probe's connection of its own."""
+        """Computes the limits from the deployment's limits for sockets and memory.
+
+        There are enough probe connections for each of the fleet's servers, if sockets allow it.
+
+        Raises:
+            ConfigError: the limits leave no room for a client.
+        """
         sockets = require_key(limits, "sockets", int, "limits.")
         memory = require_key(limits, "memory_mb", (int, float), "limits.")
         probes = max(8, min(2 * servers + 8, sockets // 8))
         waiting = max(8, sockets // 8)
         calls = max(4, min(32, sockets // 16)) if operated else 0
-        left = (
+        remaining = (
             sockets - RESERVED_DESCRIPTORS - probes - waiting - 2 - (calls + 1 if operated else 0)
         )
-        # A relayed client holds four rings and a greenlet; half of the memory is for these.
-        by_memory = int(memory * (1 << 20) / 2) // (5 * cls.ring + 24 * 1024)
-        clients = min(left // 2, by_memory)
+        # A relayed client needs four ring buffers and a greenlet; half of the memory is for these.
+        clients_by_memory = int(memory * (1 << 20) / 2) // (5 * cls.ring + 24 * 1024)
+        clients = min(remaining // 2, clients_by_memory)
         if sockets < 1 or clients < 1:
             raise ConfigError(
-                f"config: limits.{'sockets' if left < 2 else 'memory_mb'} leaves no room for a client"
+                f"config: limits.{'sockets' if remaining < 2 else 'memory_mb'}"
+                " leaves no room for a client"
             )
-        # The kill comes no sooner than the longest time limit, of 3 s at most, and 0.7 s more after SIGTERM.
+        # SIGKILL comes no sooner after SIGTERM than the longest time limit, or 3 s if that is less,
+        # plus 0.7 s.
         return cls(
             clients=clients,
             waiting=waiting,
@@ -162,35 +183,42 @@
 
 
 def raise_descriptor_limit(wanted: int) -> int:
-    """Lets this process hold so many descriptors, as far as the system does; returns how many it may."""
+    """Raises the soft limit of descriptors as far as needed and allowed.
+
+    Returns how many of the wanted descriptors the process may open.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft < wanted:
-        may = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+        allowed = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
         try:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (may, hard))
-            soft = may
+            resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
+            soft = allowed
         except (ValueError, OSError, OverflowError):
-            pass  # the system says no: what it allows already has to do
+            pass  # the system refused: the present limit stays
     return min(wanted, soft)
 
 
 class Counters(Counter[str]):
-    """What is taken in, sent and answered, by name."""
+    """Event counters by name. The names are an interface to operators and tools."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.answers: Counter[tuple[str, str]] = Counter()  # served, refused or failed, by workload
+        # By result (served, refused or failed) and workload.
+        self.answers: Counter[tuple[str, str]] = Counter()
 
-    def count_answer(self, word: str, workload: str) -> None:
-        """A client of this workload has been served, refused or failed: each once, where the answer is written."""
-        self.answers[word, workload] += 1
+    def count_answer(self, result: str, workload: str) -> None:
+        """Counts a client once, when its answer is written."""
+        self.answers[result, workload] += 1
 
     def text(self) -> str:
         return "counters: " + " ".join(f"{name}={self[name]}" for name in sorted(self))
 
 
 class SecondSummary:
-    """What a second brought, as one short line, where it brought trouble; `tools/fleet_count.py` adds up a fleet's."""
+    """One log line per second that summarises the counters, if there was a problem.
+
+    `tools/fleet_count.py` adds up the lines of a fleet.
+    """
 
     SHOWN = {
         "logins": ("logins in",),
@@ -222,7 +250,7 @@
         return {name: sum(self._counters[key] for key in keys) for name, keys in self.SHOWN.items()}
 
     def next_line(self) -> str | None:
-        """What has come since the last call; None where that was no trouble."""
+        """Returns the changes since the last call; None if none of them is a problem."""
         now, last = self._now(), self._last
         self._last = now
         if not any(now[name] > last[name] for name in self.SHOWN_IF_ANY):
@@ -233,30 +261,30 @@
 
 
 class LogWriter:
-    """Lines for standard error: so many a second, never waiting for whoever reads them."""
+    """Writes log lines to standard error at a limited rate, without blocking on its reader."""
 
     def __init__(self, limits: Limits, now: Callable[[], int], counters: Counters) -> None:
         self.limits, self._now, self._counters = limits, now, counters
         self._queue: deque[str] = deque()
-        self._left, self._second, self._dropped = limits.printed, 0, 0
+        self._remaining, self._second, self._dropped = limits.printed, 0, 0
         self.wake: Callable[[], None] = lambda: None
 
     def write(self, text: str, always: bool = False) -> None:
         second = self._now() // SECOND
         if second != self._second:
-            self._second, self._left = second, self.limits.printed
-        if not always and (self._left <= 0 or len(self._queue) >= self.limits.print_queue):
+            self._second, self._remaining = second, self.limits.printed
+        if not always and (self._remaining <= 0 or len(self._queue) >= self.limits.print_queue):
             self._dropped += 1
             self._counters["log lines dropped"] += 1
             return
-        self._left -= 1
+        self._remaining -= 1
         if self._dropped:
             text, self._dropped = f"{text} ({self._dropped} lines before this were dropped)", 0
         self._queue.append(self.format_line(text))
         self.wake()
 
     def format_line(self, text: str) -> str:
-        """A line as it is written."""
+        """Returns the line as it is written."""
         return f"corklift: {text}"[:2000].replace("\n", " | ")
 
     @property
@@ -264,12 +292,12 @@
         return bool(self._queue)
 
     def flush(self) -> None:
-        """At exit, when nothing is left to delay."""
+        """Writes all pending lines. For the end of the process, as it may block."""
         while self._queue:
             self.write_next()
 
     def write_next(self) -> None:
-        """Called when standard error takes a line at once."""
+        """Writes one line. Call it when standard error is writable."""
         if self._queue:
             try:
                 print(self._queue.popleft(), file=sys.stderr, flush=True)
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -77,7 +77,7 @@
     group: str
     came_back: bool  # the client returns after its connection broke or was moved
     previous_server: str  # the server the client was connected to before a restart, or empty
-    cost: float | None  # expected work per second, in the unit of load reports
+    cost: float | None  # expected work, in µs per second
 
     def with_time_limit(self, time_limit: int) -> bytes:
         """Returns the line for a server: unchanged except for the time limit, which is in ns."""
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -115,7 +115,7 @@
     (name,) = disk.names()
     content = disk.read(name)
 
-    def load_error(files):
+    def refusal(files):
         with pytest.raises(DamagedStoreError) as caught:
             load(files, files.get)
         return str(caught.value)
@@ -125,12 +125,12 @@
     newer[HEAD.size - 4 : HEAD.size] = store_format.crc32c(bytes(newer[: HEAD.size - 4])).to_bytes(
         4, "little"
     )
-    assert "format version is 2" in load_error({name: bytes(newer)})
-    assert "no segment of a store" in load_error({name: b"x" * 600})
-    assert "its header belongs to" in load_error({store_format.segment_name(9): content})
+    assert "format version is 2" in refusal({name: bytes(newer)})
+    assert "no segment of a store" in refusal({name: b"x" * 600})
+    assert "its header belongs to" in refusal({store_format.segment_name(9): content})
     other = Memory(Random(5))
     Store(other, b"o" * 16)
-    assert "another store" in load_error(
+    assert "another store" in refusal(
         {name: other.read(other.names()[0]), store_format.segment_name(2): _numbered(content, 2)}
     )
     # An empty folder counts as a new store: only peers can tell that there was one.
