--- a/corklift/succession.py
+++ b/corklift/handover.py
@@ -17,7 +17,7 @@
 from enum import Enum
 from typing import Any, NamedTuple
 
-FORM = b"corklift 1"
+FORMAT_HEADER = b"corklift 1"
 
 
 class Stage(Enum):
@@ -28,99 +28,99 @@
     LEAVING = "leaving"
 
 
-class Word(NamedTuple):
+class OperatorOverride(NamedTuple):
     """What operators have said of a server last: numbered, so that what is heard late or twice is known for it."""
 
     number: int
     generation: int  # of the process that was told; decides between two of one number
-    out: bool
+    out_of_service: bool
 
 
-class Life(NamedTuple):
+class ProcessState(NamedTuple):
     """What one process tells of itself."""
 
     generation: int
     stage: Stage
-    held: int  # clients
-    words: dict[str, Word]  # by server's name
-    learned: dict[str, Any]  # by its decisions, at the moment of yielding
+    client_count: int  # clients
+    overrides: dict[str, OperatorOverride]  # by server's name
+    learned_state: dict[str, Any]  # by its decisions, at the moment of yielding
 
 
-class Unreadable(Exception):
+class UnreadableStateError(Exception):
     """What is written there is not whole, or not of this form."""
 
 
-def encode(life: Life) -> bytes:
+def encode(state: ProcessState) -> bytes:
     content = json.dumps(
         {
-            "generation": life.generation,
-            "stage": life.stage.value,
-            "held": life.held,
-            "words": life.words,
-            "learned": life.learned,
+            "generation": state.generation,
+            "stage": state.stage.value,
+            "held": state.client_count,
+            "words": state.overrides,
+            "learned": state.learned_state,
         }
     ).encode()
-    return b"%b %08x\n%b" % (FORM, zlib.crc32(content), content)
+    return b"%b %08x\n%b" % (FORMAT_HEADER, zlib.crc32(content), content)
 
 
-def decode(whole: bytes) -> Life:
+def decode(whole: bytes) -> ProcessState:
     head, _, content = whole.partition(b"\n")
     form, _, check = head.rpartition(b" ")
-    if form != FORM:
-        raise Unreadable(f"the form is {form[:20]!r}")
+    if form != FORMAT_HEADER:
+        raise UnreadableStateError(f"the form is {form[:20]!r}")
     if check != b"%08x" % zlib.crc32(content):
-        raise Unreadable("it is not whole")
+        raise UnreadableStateError("it is not whole")
     try:
         told = json.loads(content)
-        words = {
-            str(name): Word(int(number), int(generation), bool(out))
-            for name, (number, generation, out) in told["words"].items()
+        overrides = {
+            str(name): OperatorOverride(int(number), int(generation), bool(out_of_service))
+            for name, (number, generation, out_of_service) in told["words"].items()
         }
-        return Life(
+        return ProcessState(
             int(told["generation"]),
             Stage(told["stage"]),
             int(told["held"]),
-            words,
+            overrides,
             dict(told["learned"]),
         )
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
-        raise Unreadable(repr(problem)) from None
+        raise UnreadableStateError(repr(problem)) from None
 
 
-class Succession:
+class Handover:
     """One process among those of its balancer."""
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
         self.stage = Stage.STARTING
-        self.words: dict[str, Word] = {}
+        self.overrides: dict[str, OperatorOverride] = {}
 
-    def say(self, name: str, out: bool) -> None:
+    def record_override(self, name: str, out_of_service: bool) -> None:
         """Operators have told this process."""
-        number = 1 + max((word.number for word in self.words.values()), default=0)
-        self.words[name] = Word(number, self.generation, out)
+        number = 1 + max((override.number for override in self.overrides.values()), default=0)
+        self.overrides[name] = OperatorOverride(number, self.generation, out_of_service)
 
-    def out(self) -> set[str]:
-        return {name for name, word in self.words.items() if word.out}
+    def servers_out_of_service(self) -> set[str]:
+        return {name for name, override in self.overrides.items() if override.out_of_service}
 
-    def hear(self, lives: Iterable[Life]) -> dict[str, bool]:
+    def merge_overrides(self, states: Iterable[ProcessState]) -> dict[str, bool]:
         """Takes in what others were told, living or not; returns which servers are out by that, or no longer."""
-        before = self.out()
-        for life in lives:
-            for name, word in life.words.items():
-                if name not in self.words or word[:2] > self.words[name][:2]:
-                    self.words[name] = word
-        after = self.out()
+        before = self.servers_out_of_service()
+        for state in states:
+            for name, override in state.overrides.items():
+                if name not in self.overrides or override[:2] > self.overrides[name][:2]:
+                    self.overrides[name] = override
+        after = self.servers_out_of_service()
         return dict.fromkeys(after - before, True) | dict.fromkeys(before - after, False)
 
-    def step(self, living: Iterable[Life], ready: bool) -> bool:
+    def advance(self, living: Iterable[ProcessState], ready: bool) -> bool:
         """The next stage, by what the others that live tell; returns whether it is another one, which is to be told.
 
         Nobody serves but after a look at the others since it told that it is ready. Guards against two that look at the
         same moment and each find the other not yet ready."""
         before, active = (
             self.stage,
-            [life.generation for life in living if life.stage in (Stage.READY, Stage.SERVING)],
+            [state.generation for state in living if state.stage in (Stage.READY, Stage.SERVING)],
         )
         if before is Stage.LEAVING:
             return False
--- a/corklift/net/handover_driver.py
+++ b/corklift/net/handover_driver.py
@@ -9,12 +9,12 @@
 import os
 from collections.abc import Callable
 
+from corklift.handover import Handover, ProcessState, Stage
 from corklift.net.facade import Facade
 from corklift.net.handover_files import HandoverFiles
 from corklift.net.limits import Counters, Limits
 from corklift.net.relay import Relay
 from corklift.net.scheduler import Scheduler
-from corklift.succession import Life, Stage, Succession
 
 
 class HandoverDriver:
@@ -33,7 +33,7 @@
         self._scheduler, self._limits, self._counters, self._log = scheduler, limits, counters, log
         self._facade, self._relay, self._path, self._shares = facade, relay, path, shares
         self._files: HandoverFiles | None = None
-        self._place = Succession(0)
+        self._place = Handover(0)
         self._yielded = False  # what this process has learned is told
         self._held = 0  # as last told
         self._ended: dict[
@@ -83,7 +83,7 @@
     def restore_to_service(self, name: str) -> bool:
         if not self._facade.restore_to_service(name):
             return False
-        if name in self._place.out():
+        if name in self._place.servers_out_of_service():
             self._say(name, False)
         return True
 
@@ -100,9 +100,9 @@
         if self._files is None and self._path is not None:
             try:
                 self._files = HandoverFiles(self._path, self._log)
-                stage, words = self._place.stage, self._place.words
-                self._place = Succession(self._files.generation)
-                self._place.stage, self._place.words = stage, words
+                stage, words = self._place.stage, self._place.overrides
+                self._place = Handover(self._files.generation)
+                self._place.stage, self._place.overrides = stage, words
             except OSError as problem:
                 self._path = None
                 self._log(f"words of operators end with this process: {problem}")
@@ -110,7 +110,7 @@
 
     def _say(self, name: str, out: bool) -> None:
         if self._enter():
-            self._place.say(name, out)
+            self._place.record_override(name, out)
             self._tell()
 
     def _tell(self) -> None:
@@ -119,11 +119,11 @@
             learned = self._facade.export_learned_state() if self._yielded else {}
             try:
                 self._files.tell(
-                    Life(
+                    ProcessState(
                         self._place.generation,
                         self._place.stage,
                         self._held,
-                        self._place.words,
+                        self._place.overrides,
                         learned,
                     )
                 )
@@ -131,9 +131,11 @@
                 self._counters["files that can't be written"] += 1
                 self._log(f"what this process tells the next can't be written: {problem}")
 
-    def _take_words(self, lives: list[Life]) -> None:
+    def _take_words(self, lives: list[ProcessState]) -> None:
         for name, out in (
-            sorted(self._place.hear(lives).items()) if not self.overrides_stored_elsewhere else ()
+            sorted(self._place.merge_overrides(lives).items())
+            if not self.overrides_stored_elsewhere
+            else ()
         ):
             self._facade.apply_operator_override(name, out)
 
@@ -150,32 +152,32 @@
             self._facade.other_processes_ended()
         self._others_live = bool(living)
         self._take_words(living + ended)
-        self._relay.clients_elsewhere = sum(life.held for life in living)
+        self._relay.clients_elsewhere = sum(life.client_count for life in living)
         for life in living + ended if self._place.stage is Stage.SERVING else []:
             self._take_ended(life)
-        while self._place.step(living, self._relay.ready):
+        while self._place.advance(living, self._relay.ready):
             self._change(living)
             self._tell()
             living, _ = self._files.others()
         if living and self._held != self._relay.client_count:
             self._tell()
 
-    def _take_ended(self, life: Life) -> None:
+    def _take_ended(self, life: ProcessState) -> None:
         """Connections of an earlier process end while their clients come back to this one."""
-        for server, load in life.learned.get("ended", ()):
+        for server, load in life.learned_state.get("ended", ()):
             more = load - self._ended.get((life.generation, server), 0.0)
             if more > 0:
                 self._ended[life.generation, server] = load
                 self._facade.connection_ended_elsewhere(server, more)
 
-    def _change(self, living: list[Life]) -> None:
+    def _change(self, living: list[ProcessState]) -> None:
         stage = self._place.stage
         self._log(f"process {self._place.generation} of this balancer is {stage.value}")
         self._relay.set_accepting(stage is Stage.SERVING)
         if stage is Stage.SERVING:
             for life in living:
-                if life.learned and life.generation not in self._followed:
+                if life.learned_state and life.generation not in self._followed:
                     self._followed.add(life.generation)
-                    self._facade.import_learned_state(life.learned)
+                    self._facade.import_learned_state(life.learned_state)
         self._facade.set_standby(stage is Stage.YIELDED)
         self._yielded = stage is Stage.YIELDED
--- a/corklift/net/handover_files.py
+++ b/corklift/net/handover_files.py
@@ -12,7 +12,7 @@
 import re
 from collections.abc import Callable
 
-from corklift.succession import Life, Unreadable, decode, encode
+from corklift.handover import ProcessState, UnreadableStateError, decode, encode
 
 MOST = 1 << 20  # bytes of a file that is read
 
@@ -55,7 +55,7 @@
             }
         )
 
-    def tell(self, life: Life) -> None:
+    def tell(self, life: ProcessState) -> None:
         beside = self._file("new")
         with open(beside, "wb") as file:
             file.write(encode(life))
@@ -67,7 +67,7 @@
         seen, self._seen = self._seen, seen
         return seen != self._seen
 
-    def others(self) -> tuple[list[Life], list[Life]]:
+    def others(self) -> tuple[list[ProcessState], list[ProcessState]]:
         """What the other processes tell: of those that live, and of those that have ended."""
         living, ended = [], []
         for generation in self._generations():
@@ -78,7 +78,7 @@
                     (living if lives else ended).append(life)
         return living, ended
 
-    def forget(self, lives: list[Life]) -> None:
+    def forget(self, lives: list[ProcessState]) -> None:
         """Removes what those who have ended left, once this process tells it too."""
         for life in lives:
             for kind in ("life", "new", "lock"):
@@ -100,17 +100,17 @@
         finally:
             os.close(lock)
 
-    def _read(self, generation: int) -> Life | None:
+    def _read(self, generation: int) -> ProcessState | None:
         path = self._file("life", generation)
         try:
             with open(path, "rb") as file:
                 life = decode(file.read(MOST))
             if life.generation != generation:
-                raise Unreadable(f"it is of generation {life.generation}")
+                raise UnreadableStateError(f"it is of generation {life.generation}")
             return life
         except FileNotFoundError:
             return None  # it has not told anything yet
-        except (OSError, Unreadable) as problem:
+        except (OSError, UnreadableStateError) as problem:
             if path not in self._told:
                 self._told.add(path)
                 self._log(f"{os.path.basename(path)} of an earlier process is left out: {problem}")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -15,11 +15,19 @@
 import pytest
 from scene import MS, Scene, Wire
 
+from corklift.handover import (
+    Handover,
+    OperatorOverride,
+    ProcessState,
+    Stage,
+    UnreadableStateError,
+    decode,
+    encode,
+)
 from corklift.interface import ColdRule, Outcome, Report
 from corklift.net.handover_files import HandoverFiles
 from corklift.net.limits import ConfigError
 from corklift.service import inherited
-from corklift.succession import Life, Stage, Succession, Unreadable, Word, decode, encode
 
 
 def test_never_do_two_serve_and_the_latest_that_lives_does_in_the_end():
@@ -30,8 +38,8 @@
             act = rng.random()
             if act < 0.06 and len(places) < 4:
                 number = 1 + max(told, default=0)
-                places[number] = Succession(number)
-                told[number] = Life(number, Stage.STARTING, 0, {}, {})
+                places[number] = Handover(number)
+                told[number] = ProcessState(number, Stage.STARTING, 0, {}, {})
             elif act < 0.09 and places:
                 del places[rng.choice(list(places))]
             elif act < 0.12 and places:
@@ -40,7 +48,7 @@
                 number = rng.choice(list(places))
                 place = places[number]
                 if number in seen:  # tells what it decided by its last look
-                    if place.step(
+                    if place.advance(
                         seen.pop(number), rng.random() < 0.98 or place.stage is not Stage.STARTING
                     ):
                         told[number] = told[number]._replace(stage=place.stage)
@@ -51,7 +59,7 @@
             assert len(serving) <= 1, (seed, serving)
         for _ in range(4):
             for number, place in places.items():
-                while place.step([told[at] for at in places if at != number], True):
+                while place.advance([told[at] for at in places if at != number], True):
                     told[number] = told[number]._replace(stage=place.stage)
                 told[number] = told[number]._replace(stage=place.stage)
         staying = [number for number, place in places.items() if place.stage is not Stage.LEAVING]
@@ -59,22 +67,31 @@
 
 
 def test_the_last_word_of_a_server_holds_in_whatever_order_it_is_heard():
-    old, new = Succession(1), Succession(2)
-    old.say("s1", True)
-    old.say("s2", True)
-    assert new.hear([Life(1, Stage.SERVING, 0, dict(old.words), {})]) == {"s1": True, "s2": True}
-    new.say("s1", False)
-    early = Life(1, Stage.SERVING, 0, dict(old.words), {})
-    assert new.hear([early]) == {} and new.out() == {"s2"}  # heard again, it changes nothing
-    assert old.hear([Life(2, Stage.SERVING, 0, dict(new.words), {})]) == {"s1": False}
-    old.say("s1", True)
-    assert old.out() == {"s1", "s2"} and new.hear(
-        [Life(1, Stage.LEAVING, 0, dict(old.words), {})]
+    old, new = Handover(1), Handover(2)
+    old.record_override("s1", True)
+    old.record_override("s2", True)
+    assert new.merge_overrides([ProcessState(1, Stage.SERVING, 0, dict(old.overrides), {})]) == {
+        "s1": True,
+        "s2": True,
+    }
+    new.record_override("s1", False)
+    early = ProcessState(1, Stage.SERVING, 0, dict(old.overrides), {})
+    assert new.merge_overrides([early]) == {} and new.servers_out_of_service() == {
+        "s2"
+    }  # heard again, it changes nothing
+    assert old.merge_overrides([ProcessState(2, Stage.SERVING, 0, dict(new.overrides), {})]) == {
+        "s1": False
+    }
+    old.record_override("s1", True)
+    assert old.servers_out_of_service() == {"s1", "s2"} and new.merge_overrides(
+        [ProcessState(1, Stage.LEAVING, 0, dict(old.overrides), {})]
     ) == {"s1": True}
 
 
 def test_what_is_not_whole_is_left_out_and_told(tmp_path):
-    life = Life(1, Stage.SERVING, 3, {"s1": Word(1, 1, True)}, {"homes": [[1, 2]]})
+    life = ProcessState(
+        1, Stage.SERVING, 3, {"s1": OperatorOverride(1, 1, True)}, {"homes": [[1, 2]]}
+    )
     whole = encode(life)
     assert decode(whole) == life
     for bad in (
@@ -84,7 +101,7 @@
         whole.replace(b"s1", b"s2"),
         b"\xff" * 50,
     ):
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableStateError):
             decode(bad)
     said = []
     for number in (3, 7):
