--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -1,8 +1,9 @@
-"""The decisions in blocking style: pick, report, tick.
+"""Adapts the event-driven `Balancer` to the blocking style of the network tasks.
 
-Owns the one Balancer of this process, its clock, its timers and the names behind its ids. The network sees places
-and refusals, never what the Balancer was told or does. Must never touch a socket, and never let a Balancer's call
-switch to another task: what it asks for is noted, and whoever waits for it is woken.
+The facade owns the only Balancer of the process, drives its timers, and maps the ids that it uses
+to names and addresses. Network code sees hand-off targets and rejections only. The facade touches
+no socket. A call of the Balancer on its host never switches tasks: the facade records the request
+and wakes the task that waits for it.
 """
 
 from __future__ import annotations
@@ -29,15 +30,16 @@
 from corklift.net.scheduler import Scheduler, Task
 from corklift.policy import Balancer
 
-_SERVER_NAMED = re.compile(r"server (\d+)")
-UNLISTED = 0xFFFF  # a zone or machine type that the settings don't name
-COST_UNIT = (
-    1_000  # ns in the microseconds of work a second in which a client's guess at its load is taken
-)
+_SERVER_NUMBER = re.compile(r"server (\d+)")
+# A zone or machine type that the settings don't name.
+UNKNOWN_INDEX = 0xFFFF
+# Clients state their expected load in microseconds of work per second, the Balancer takes
+# nanoseconds.
+COST_UNIT_NS = 1_000
 
 
 class HandOffTarget(NamedTuple):
-    """Where a login is handed to, and when that hand-off is given up."""
+    """The server that a login is handed to, and when the hand-off is given up."""
 
     server: int
     address: tuple[str, int]
@@ -45,86 +47,83 @@
 
 
 class Rejection(NamedTuple):
-    """The final answer: whether trying again is harmless, and after what time."""
+    """A final negative answer: whether a retry is safe, and after what time."""
 
-    harmless: bool
+    retry_is_safe: bool
     retry_in: int
 
 
 class LoginHandle:
-    """A login, or the connection that it became, as the relay holds it."""
+    """The relay's handle of a login under way, or of the connection that it became."""
 
     def __init__(self, number: int, task: Task, time_limit_at: int) -> None:
         self.number, self.task, self.time_limit_at = number, task, time_limit_at
-        self.decided: HandOffTarget | Rejection | None = None
+        self.decision: HandOffTarget | Rejection | None = None
         self.target: HandOffTarget | None = None
-        self.hand_offs = 0
+        self.hand_off_count = 0
         self.sent_at = 0
         self.to_move = self.cancelled = False
 
 
 class Facade:
+    """Blocking interface to the Balancer for the network tasks; also the Balancer's host."""
+
     def __init__(
         self,
         scheduler: Scheduler,
         seed: int,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[MeasurementKind, int] | None,
-        localities: list[str],
-        kinds: list[str],
+        measurement: tuple[MeasurementKind, int] | None,
+        zone_names: list[str],
+        machine_types: list[str],
         settle_time: int,
         log: Callable[[str], None],
         counters: Counters,
     ) -> None:
         self._scheduler, self._log, self._counters = scheduler, log, counters
         self._settle_time = settle_time
-        self._settled_at: int | None = (
-            None  # until then a report of nothing may be of before the start
-        )
+        # Until then a report without load may not include the connections from before the start.
+        self._reports_valid_at: int | None = None
         self._zones: dict[str, int] = {}
-        self._kinds: dict[str, int] = {}
-        self._counted: int | None = (
-            None  # balancers that place, where peers tell; otherwise the settings' count holds
+        self._machine_types: dict[str, int] = {}
+        # Balancers in the fleet as counted by peer membership; if None, the settings' count holds.
+        self._balancer_count: int | None = None
+        self._workloads: dict[str, int] = {}  # index by name of the workloads in the settings
+        # All workloads since the start: connections may belong to one that a reload has removed.
+        self._all_workloads: list[Workload] = []
+        arguments = self._prepare_arguments(
+            arguments, report_names, measurement, zone_names, machine_types
         )
-        self._workloads: dict[str, int] = {}  # those that logins may name
-        self._all_workloads: list[
-            Workload
-        ] = []  # and those that connections of before a new configuration have
-        arguments = self._take(arguments, report_names, told, localities, kinds)
         self._logins: dict[int, LoginHandle] = {}
-        self._standing = 0  # of them, connections
+        self._connection_count = 0  # logins that have become connections
         self._next_login = 1
-        self.before_placement: Callable[[], None] = lambda: (
-            None
-        )  # whoever must see that this process was stopped sets it
+        # Hook of peer membership, which has to notice that this process was suspended.
+        self.before_placement: Callable[[], None] = lambda: None
         self._names: dict[int, str] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._ready: set[int] = set()  # by the list
-        self._listed: set[int] = set()  # draining ones too
-        self._out_of_service: dict[
-            int, str
-        ] = {}  # names of those that operators have taken out, listed or not
-        self._heard: set[int] = set()
+        self._ready: set[int] = set()  # ready servers in the list
+        self._listed: set[int] = set()  # ready and draining servers in the list
+        # Names of the servers that operators have taken out of service, listed or not.
+        self._out_of_service: dict[int, str] = {}
+        self._probed: set[int] = set()  # servers with at least one finished probe
         self._timers: list[tuple[int, int]] = []
-        self._ticker: Task | None = None
-        self._probes: deque[int] = deque()
-        self._prober: Task | None = None
-        self.close_probe_connection: Callable[[int], None] = lambda server: (
-            None
-        )  # whoever probes sets it
-        self.load_reported: Callable[[int, float], None] = lambda server, count: (
-            None
-        )  # whoever counts connections sets it
-        # Whoever knows what was true before this process sets these: a login may be refused at once by its opening and
-        # number, how one went that was not (it came up, it failed, or None), and the list as it is to be believed.
+        self._timer_task: Task | None = None
+        self._probe_queue: deque[int] = deque()
+        self._probe_task: Task | None = None
+        # Hook of `ServerProbes`.
+        self.close_probe_connection: Callable[[int], None] = lambda server: None
+        # Hook of peer membership and recovery: a server reported its connection count.
+        self.load_reported: Callable[[int, float], None] = lambda server, count: None
+        # Hooks of recovery. `admission_check` may reject a login by its request and number;
+        # `login_finished` gets the result of an admitted login: connected, failed, or None if the
+        # client left; `recovered_list` amends an update of the server list by recovered facts.
         self.admission_check: Callable[[LoginRequest, int], Rejection | None] = (
             lambda login_request, number: None
         )
         self.login_finished: Callable[[int, bool | None], None] = lambda number, up: None
-        self.server_unresponsive: Callable[[int], None] = lambda server: (
-            None
-        )  # it did not answer, or broke a connection
+        # A server did not answer, or broke a connection.
+        self.server_unresponsive: Callable[[int], None] = lambda server: None
         self.recovered_list: Callable[[Scope, Listing], Listing] = lambda scope, content: content
         self._balancer = Balancer(self, Random(seed), now=scheduler.now(), **arguments)
 
@@ -132,58 +131,74 @@
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[MeasurementKind, int] | None,
-        localities: list[str],
-        kinds: list[str],
+        measurement: tuple[MeasurementKind, int] | None,
+        zone_names: list[str],
+        machine_types: list[str],
     ) -> None:
-        """A new configuration's settings; logins, connections, the list and all counts stay."""
+        """Applies the settings of a new configuration.
+
+        Logins, connections, the server list and all counts stay.
+        """
         self._balancer.settings_changed(
-            self._scheduler.now(), **self._take(arguments, report_names, told, localities, kinds)
+            self._scheduler.now(),
+            **self._prepare_arguments(
+                arguments, report_names, measurement, zone_names, machine_types
+            ),
         )
 
-    def _take(
+    def _prepare_arguments(
         self,
         arguments: dict[str, Any],
         report_names: dict[str, str],
-        told: tuple[MeasurementKind, int] | None,
-        localities: list[str],
-        kinds: list[str],
+        measurement: tuple[MeasurementKind, int] | None,
+        zone_names: list[str],
+        machine_types: list[str],
     ) -> dict[str, Any]:
-        """Returns the arguments for the Balancer, with numbers that mean what they meant before.
+        """Returns the arguments for the Balancer, with stable indices.
 
-        Guards against open connections and listed servers that change their workload or zone as names move.
+        A name keeps its index when its position in the settings changes. Otherwise open connections
+        and listed servers would change their workload or zone at a reload.
         """
-        self._report_names, self._told, self._grouped = report_names, told, arguments["grouped"]
-        for known, names in ((self._zones, localities), (self._kinds, kinds)):
+        self._report_names, self._measurement, self._grouped = (
+            report_names,
+            measurement,
+            arguments["grouped"],
+        )
+        for known_indices, names in (
+            (self._zones, zone_names),
+            (self._machine_types, machine_types),
+        ):
             for name in names:
-                known.setdefault(name, len(known))
-        numbers = {workload.name: at for at, workload in enumerate(self._all_workloads)}
+                known_indices.setdefault(name, len(known_indices))
+        indices = {workload.name: index for index, workload in enumerate(self._all_workloads)}
         self._workloads = {}
         for workload in arguments["workloads"]:
-            at = self._workloads[workload.name] = numbers.setdefault(workload.name, len(numbers))
-            self._all_workloads[at : at + 1] = [workload]
+            index = self._workloads[workload.name] = indices.setdefault(workload.name, len(indices))
+            self._all_workloads[index : index + 1] = [workload]
         zone = arguments["zone"]
         self._arguments = arguments | {
             "workloads": list(self._all_workloads),
-            "zone": self._zones[localities[zone]] if zone < len(localities) else zone,
+            "zone": self._zones[zone_names[zone]] if zone < len(zone_names) else zone,
         }
         return (
             self._arguments
-            if self._counted is None
-            else self._arguments | {"balancers": self._counted}
+            if self._balancer_count is None
+            else self._arguments | {"balancers": self._balancer_count}
         )
 
-    # What the relay calls
+    # Called by the relay
 
     def workload_index(self, name: str) -> int | None:
+        """Returns the index of a workload in the current settings; None if there is none."""
         return self._workloads.get(name)
 
     def workload_names(self) -> list[str]:
-        """All that were ever in force, for counts."""
+        """Returns all workloads since the start, including those that a reload has removed."""
         return [workload.name for workload in self._all_workloads]
 
     @property
     def in_flight(self) -> int:
+        """Logins and connections that have not ended."""
         return len(self._logins)
 
     def time_limit(self, login_request: LoginRequest) -> int:
@@ -192,158 +207,179 @@
     def place_login(
         self, login_request: LoginRequest, time_limit_at: int
     ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
-        """A login has come; blocks until it is decided where it goes."""
+        """Registers a new login and blocks until its target or rejection is decided."""
         self.before_placement()
         rejection = self.admission_check(login_request, self._next_login)
         handle = self._new_login(time_limit_at)
         if rejection is not None:
             return handle, rejection
         now = self._scheduler.now()
-        self._settled_at = self._settled_at or now + self._settle_time
-        self._balancer.login_arrived(now, self._login(handle, login_request))
-        return handle, self._decision(handle)
+        self._reports_valid_at = self._reports_valid_at or now + self._settle_time
+        self._balancer.login_arrived(now, self._to_login(handle, login_request))
+        return handle, self._await_decision(handle)
 
     def report_failed_hand_off(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> HandOffTarget | Rejection:
-        """A hand-off has ended without a connection; blocks until it is decided what comes next."""
+        """Reports a hand-off that ended without a connection; blocks until the next decision."""
         assert handle.target is not None
         now = self._scheduler.now()
-        handle.decided = None
+        handle.decision = None
         self.login_finished(handle.number, False)
-        self._lost(handle.target.server, outcome)
+        self._report_if_unresponsive(handle.target.server, outcome)
         self._balancer.hand_off_ended(
             now,
             handle.number,
             False,
             handle.target.server,
             outcome,
-            handle.hand_offs - 1,
+            handle.hand_off_count - 1,
             now - handle.sent_at,
-            self._report(values),
+            self._to_report(values),
         )
-        return self._decision(handle)
+        return self._await_decision(handle)
 
     def report_connected(self, handle: LoginHandle) -> None:
-        """The hand-off has become a connection."""
+        """Reports that the hand-off has become a connection."""
         assert handle.target is not None
         now = self._scheduler.now()
-        self._standing += 1
+        self._connection_count += 1
         self.login_finished(handle.number, True)
         self._balancer.hand_off_started(
-            now, handle.number, handle.hand_offs - 1, handle.target.server, now - handle.sent_at
+            now,
+            handle.number,
+            handle.hand_off_count - 1,
+            handle.target.server,
+            now - handle.sent_at,
         )
 
     def report_restored(self, login_request: LoginRequest, server: int) -> LoginHandle:
-        """A connection that stood at this server before the start stands again."""
+        """Reports that a connection from before the start is open again, at the same server."""
         now = self._scheduler.now()
-        self._settled_at = now + self._settle_time
+        self._reports_valid_at = now + self._settle_time
         handle = self._new_login(now)
-        handle.target, handle.hand_offs, handle.sent_at = (
+        handle.target, handle.hand_off_count, handle.sent_at = (
             HandOffTarget(server, self._addresses[server], now),
             1,
             now,
         )
-        self._standing += 1
-        self._balancer.connection_resumed(now, self._login(handle, login_request), server)
+        self._connection_count += 1
+        self._balancer.connection_resumed(now, self._to_login(handle, login_request), server)
         return handle
 
     def report_connection_end(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
     ) -> None:
-        """A connection has ended."""
+        """Reports that a connection has ended."""
         if self._logins.pop(handle.number, None) is not None:
             assert handle.target is not None
             now = self._scheduler.now()
-            self._standing -= 1
-            self._lost(handle.target.server, outcome)
+            self._connection_count -= 1
+            self._report_if_unresponsive(handle.target.server, outcome)
             self._balancer.hand_off_ended(
                 now,
                 handle.number,
                 True,
                 handle.target.server,
                 outcome,
-                handle.hand_offs - 1,
+                handle.hand_off_count - 1,
                 now - handle.sent_at,
-                self._report(values),
+                self._to_report(values),
             )
 
-    def report_abandoned(self, handle: LoginHandle) -> None:
-        """The client has gone before its answer."""
+    def release_login(self, handle: LoginHandle) -> None:
+        """Ends the handling of a login; one without a final answer counts as left by its client."""
         self.login_finished(handle.number, None)
         if self._logins.pop(handle.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
     def report_measurement(self, handle: LoginHandle, value: float) -> None:
-        """A server has told a figure on this connection; the settings say what of."""
-        if self._told is not None:
+        """Reports a measurement that the server sent on this connection.
+
+        The settings say what it measures and in what unit.
+        """
+        if self._measurement is not None:
             assert handle.target is not None
-            kind, unit = self._told
+            kind, unit = self._measurement
             self._counters[f"notes of {kind.name.lower()}"] += 1
             self._balancer.measurement_received(
                 self._scheduler.now(),
                 handle.number,
-                handle.hand_offs - 1,
+                handle.hand_off_count - 1,
                 handle.target.server,
                 kind,
                 value * unit,
             )
 
     def report_unanswered_line(self, handle: LoginHandle, span: int) -> None:
-        """A client's line has brought nothing back for so long: messages there take that long at the least."""
+        """Reports that a client's line has not been answered for `span` ns.
+
+        That is a lower bound of the current message delay at the server.
+        """
         assert handle.target is not None
         self._counters["lines unanswered"] += 1
         now, server = self._scheduler.now(), handle.target.server
         self._balancer.measurement_received(
-            now, handle.number, handle.hand_offs - 1, server, MeasurementKind.DELAY, float(span)
+            now,
+            handle.number,
+            handle.hand_off_count - 1,
+            server,
+            MeasurementKind.DELAY,
+            float(span),
         )
         self._balancer.message_unanswered(now, server)
 
     def find_server(self, name: str) -> HandOffTarget | None:
+        """Returns the server with this name, without a deadline; None if it is unknown."""
         server = self._server_id(name)
         address = self._addresses.get(server)
         return None if address is None else HandOffTarget(server, address, 0)
 
-    # What a front calls whose clients are placed by others
+    # Called by the control service, whose proxies place logins themselves
 
     def draw_probabilities(self, workload: str, span: int) -> dict[str, float]:
-        """By server's name, the chance for all logins that others place in the span; the rest to 1 is refused."""
+        """Returns the share of the proxies' logins in the next `span` ns by server name.
+
+        What is missing to 1 is the share of logins to be refused.
+        """
         now = self._scheduler.now()
-        self._settled_at = now if self._settled_at is None else self._settled_at
-        found = self._balancer.draw_probabilities(now, self._workloads[workload], span)
+        self._reports_valid_at = now if self._reports_valid_at is None else self._reports_valid_at
+        probabilities = self._balancer.draw_probabilities(now, self._workloads[workload], span)
         return {
-            self._names[server]: chance for server, chance in found.items() if server in self._names
+            self._names[server]: probability
+            for server, probability in probabilities.items()
+            if server in self._names
         }
 
     def placed_by_others(self, name: str, number: int, failed: int) -> None:
-        """Others have placed so many logins on this server, and so many of them failed."""
+        """Reports how many logins others placed on this server, and how many of them failed."""
         self._balancer.placed_by_others(
             self._scheduler.now(), self._server_id(name), number, failed
         )
 
-    # What a part calls that knows the other balancers
+    # Called by peer membership
 
-    def set_balancer_count(self, number: int) -> None:
-        """So many balancers place logins, this one too: whatever the settings told or tell later."""
-        if number != self._counted:
-            self._counted = number
+    def set_balancer_count(self, count: int) -> None:
+        """Sets the number of balancers including this one; overrides the settings from now on."""
+        if count != self._balancer_count:
+            self._balancer_count = count
             self._balancer.settings_changed(
-                self._scheduler.now(), **self._arguments | {"balancers": number}
+                self._scheduler.now(), **self._arguments | {"balancers": count}
             )
 
     @property
     def connection_count(self) -> int:
-        """Connections that stand at servers through this balancer."""
-        return self._standing
+        """Open connections through this balancer."""
+        return self._connection_count
 
     def listed_servers(self) -> set[int]:
-        """All that may hold connections, draining ones too."""
+        """Returns the servers that may have connections, including draining ones."""
         return set(self._listed)
 
-    # What operators' calls do
+    # Called for operators, by the handover driver and by recovery
 
     def take_out_of_service(self, name: str) -> bool:
-        """The server drains from now on, until it is put back; whether there is such a server."""
+        """Drains the server until it is restored; returns whether there is such a server."""
         server = self._server_id(name)
         if server not in self._listed and server not in self._out_of_service:
             return False
@@ -351,7 +387,10 @@
         return True
 
     def restore_to_service(self, name: str) -> bool:
-        """The server may serve again where it is listed; whether there is such a server."""
+        """Ends the operator override of the server; returns whether there is such a server.
+
+        The server then serves again if the list has it as ready.
+        """
         server = self._server_id(name)
         if self._out_of_service.pop(server, None) is not None:
             self._balancer.restore_to_service(self._scheduler.now(), server)
@@ -359,25 +398,25 @@
         return server in self._listed
 
     def apply_operator_override(self, name: str, out: bool) -> None:
-        """Another process of this balancer has been told: the same holds here, listed or not."""
+        """Applies an override given to another process or balancer, even to an unlisted server."""
         if not out:
             self.restore_to_service(name)
         elif self._server_id(name) not in self._out_of_service:
             server = self._server_id(name)
             self._out_of_service[server] = name
-            self._log(f"server {name:.80} is out by operators' word")
+            self._log(f"server {name:.80} is out of service by operator override")
             self._balancer.take_out_of_service(self._scheduler.now(), server)
 
     def server_sizes(self) -> dict[str, float]:
-        """By server's name, how many connections fill it, where that is known."""
+        """Returns how many connections fill each server, by name, as far as that is known."""
         return {
-            self._names[number]: size
-            for number, size, *_ in self.export_learned_state()["servers"]
-            if size is not None and number in self._names
+            self._names[server]: size
+            for server, size, *_ in self.export_learned_state()["servers"]
+            if size is not None and server in self._names
         }
 
     def apply_size_hints(self, sizes: dict[str, float]) -> None:
-        """What servers could do before this process: taken until one shows what it can."""
+        """Sets server sizes from before the start; each holds until the server shows its own."""
         self.import_learned_state(
             {
                 "servers": [
@@ -391,18 +430,18 @@
         self.other_processes_ended()
 
     def server_start_times(self) -> dict[str, int]:
-        """By server's name, when it started as the decisions know it; 0: long past."""
+        """Returns the start time of each server by name, as the Balancer knows it; 0: long ago."""
         return {
-            self._names[number]: int(started_at)
-            for number, _, started_at, *_ in self.export_learned_state()["servers"]
-            if number in self._names
+            self._names[server]: int(started_at)
+            for server, _, started_at, *_ in self.export_learned_state()["servers"]
+            if server in self._names
         }
 
     def importance(self, login_request: LoginRequest) -> float:
         return self._all_workloads[self._workloads[login_request.workload]].importance
 
     def knows_server(self, name: str) -> bool:
-        """Whether there is such a server, listed or out."""
+        """Whether there is such a server, in the list or out of service."""
         server = self._server_id(name)
         return server in self._listed or server in self._out_of_service
 
@@ -416,20 +455,20 @@
         return self._balancer.known_and_excluded_servers(self._scheduler.now())
 
     def accepts_logins(self, server: int) -> bool:
-        """Whether it has not begun to drain, by the list's word or operators'."""
+        """Whether the server is ready: not draining by the list or by an operator override."""
         return server in self._ready and server not in self._out_of_service
 
-    # What goes over to another process of this balancer
+    # Handover between the processes of this balancer
 
     def export_learned_state(self) -> dict[str, Any]:
         return self._balancer.export_learned_state(self._scheduler.now())
 
     def import_learned_state(self, learned: dict[str, Any]) -> None:
-        """Takes over what an earlier process has learned; what can't be read of it is left."""
+        """Takes over the state that an earlier process learned; ignores what can't be read."""
         try:
             self._balancer.import_learned_state(self._scheduler.now(), learned)
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
-            self._log(f"what an earlier process has learned can't be read: {problem!r:.100}")
+            self._log(f"cannot read the learned state of an earlier process: {problem!r:.100}")
 
     def connection_ended_elsewhere(self, server: int, load: float) -> None:
         self._balancer.connection_ended_elsewhere(self._scheduler.now(), server, load)
@@ -443,92 +482,96 @@
     # Called by the monitoring tasks
 
     def apply_listing(self, scope: Scope, content: Listing) -> None:
+        """Applies the server list or an update of it."""
         content = self.recovered_list(scope, content)
-        lines = []
+        servers = []
         for entry in content.entries:
             server = self._server_id(entry.name)
             self._names[server], self._addresses[server] = entry.name, entry.address
-            lines.append(
+            servers.append(
                 ListedServer(
                     server,
-                    self._zones.get(entry.zone, UNLISTED),
-                    self._kinds.get(entry.kind, UNLISTED),
+                    self._zones.get(entry.zone, UNKNOWN_INDEX),
+                    self._machine_types.get(entry.kind, UNKNOWN_INDEX),
                     entry.cell,
                     entry.status,
                     entry.weight,
                     entry.started_at,
                 )
             )
-        named = {line.server for line in lines}
-        gone = {line.server for line in lines if line.status is Status.GONE}
+        named = {listed.server for listed in servers}
+        gone = {listed.server for listed in servers if listed.status is Status.GONE}
         if content.is_full:
             gone |= self._names.keys() - named
         self._ready -= gone
         self._listed = self._listed - gone | named - gone
-        for line in lines:
-            (self._ready.add if line.status is Status.READY else self._ready.discard)(line.server)
-        self._balancer.servers_listed(self._scheduler.now(), scope, content.version, tuple(lines))
-        used = {
+        for listed in servers:
+            (self._ready.add if listed.status is Status.READY else self._ready.discard)(
+                listed.server
+            )
+        self._balancer.servers_listed(self._scheduler.now(), scope, content.version, tuple(servers))
+        in_use = {
             handle.target.server for handle in self._logins.values() if handle.target is not None
         }
-        for server in (
-            gone - used - self._out_of_service.keys()
-        ):  # Guards against growth with every server that ever was.
-            for held in (self._names, self._addresses):
-                held.pop(server, None)
-            self._heard.discard(server)
+        # Forgets servers that are gone, so that memory does not grow with every former server.
+        for server in gone - in_use - self._out_of_service.keys():
+            for mapping in (self._names, self._addresses):
+                mapping.pop(server, None)
+            self._probed.discard(server)
 
     def next_probe(self) -> HandOffTarget:
-        """Blocks until a server is to be probed."""
-        self._prober = self._scheduler.current
+        """Blocks until a server has to be probed, and returns it."""
+        self._probe_task = self._scheduler.current
         while True:
-            while self._probes:
-                server = self._probes.popleft()
+            while self._probe_queue:
+                server = self._probe_queue.popleft()
                 if server in self._addresses:
                     return HandOffTarget(server, self._addresses[server], 0)
                 self.probe_finished(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
     def probe_finished(
-        self, server: int, outcome: Outcome, took: int, values: dict[str, float] | None
+        self, server: int, outcome: Outcome, elapsed: int, values: dict[str, float] | None
     ) -> None:
-        self._heard.add(server)
+        """Passes the result of a probe on to the Balancer."""
+        self._probed.add(server)
         if (
             values
             and any(not values.get(name, 1) for name in self._report_names)
-            and (self._settled_at is None or self._scheduler.now() < self._settled_at)
+            and (self._reports_valid_at is None or self._scheduler.now() < self._reports_valid_at)
         ):
-            # Guards against a start that takes servers for empty, or for held connections without load: what
-            # stood there is only coming up, and counts and pressures are not renewed together.
+            # Right after the start the connections from before are only being re-established, and a
+            # server renews its count and its load figure at different times. A zero would make the
+            # server look empty, or its connections look free of load. The probe counts as not sent,
+            # so that the server is probed again when its load matters.
             self._counters["early reports of nothing"] += 1
-            outcome, values = (
-                Outcome.NOT_SENT,
-                None,
-            )  # not heard of, so it is asked again when that matters
-        report = self._report(values)
-        self._lost(server, outcome)
-        self._balancer.probe_answered(self._scheduler.now(), server, took, outcome, report)
+            outcome, values = Outcome.NOT_SENT, None
+        report = self._to_report(values)
+        self._report_if_unresponsive(server, outcome)
+        self._balancer.probe_answered(self._scheduler.now(), server, elapsed, outcome, report)
         if report is not None and report.count is not None:
             self.load_reported(server, report.count)
 
     def all_servers_probed(self) -> bool:
-        """Whether a probe of every ready server has come to an end."""
-        return bool(self._ready) and self._ready - self._out_of_service.keys() <= self._heard
+        """Whether at least one probe of every ready server has finished."""
+        return bool(self._ready) and self._ready - self._out_of_service.keys() <= self._probed
 
     def run_due_timers(self) -> int | None:
-        """Runs what is due; returns when the next is."""
+        """Fires the timers that are due; returns when the next one is due."""
         now = self._scheduler.now()
         while self._timers and self._timers[0][0] <= now:
-            _, mark = heappop(self._timers)  # first, so that an exception costs this one alone
+            # Removed before the call, so that an exception loses this timer only.
+            _, mark = heappop(self._timers)
             self._balancer.timer_due(now, mark)
         return self._timers[0][0] if self._timers else None
 
     def timer_loop(self) -> None:
-        self._ticker = self._scheduler.current
+        """Drives the Balancer's timers for the lifetime of the process."""
+        self._timer_task = self._scheduler.current
         while True:
             self._scheduler.wait({}, self.run_due_timers())
 
-    # What the decisions call
+    # Called by the Balancer: the methods of `Host`
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         handle = self._logins[login]
@@ -537,22 +580,22 @@
             self._addresses[server],
             min(cut_at or handle.time_limit_at, handle.time_limit_at),
         )
-        handle.target, handle.decided = target, target
-        handle.hand_offs += 1
+        handle.target, handle.decision = target, target
+        handle.hand_off_count += 1
         handle.sent_at = self._scheduler.now()
         self._scheduler.wake(handle.task)
 
     def cancel(self, login: int, attempt: int) -> None:
         handle = self._logins.get(login)
-        if handle is not None and attempt == handle.hand_offs - 1:
+        if handle is not None and attempt == handle.hand_off_count - 1:
             handle.cancelled = True
             self._scheduler.wake(handle.task)
 
     def bounce(self, login: int, retry_in: int) -> None:
-        self._answer(login, Rejection(True, retry_in))
+        self._reject(login, Rejection(True, retry_in))
 
     def terminate(self, login: int) -> None:
-        self._answer(login, Rejection(False, 0))
+        self._reject(login, Rejection(False, 0))
 
     def move(self, login: int) -> None:
         handle = self._logins.get(login)
@@ -561,42 +604,43 @@
             self._scheduler.wake(handle.task)
 
     def probe(self, server: int) -> None:
-        self._probes.append(server)
-        if self._prober is not None:
-            self._scheduler.wake(self._prober)
+        self._probe_queue.append(server)
+        if self._probe_task is not None:
+            self._scheduler.wake(self._probe_task)
 
     def close_idle(self, server: int) -> None:
-        """No connection idles but a server's one for probes."""
+        """Closes the probe connection: no other connection to a server is ever idle."""
         self.close_probe_connection(server)
 
     def set_timer(self, after: int, mark: int) -> None:
-        # Never due in the round of ticks that set it.
+        # At least 1 ns, so that the timer is not due in the same call of `run_due_timers`.
         heappush(self._timers, (self._scheduler.now() + max(1, after), mark))
-        if self._ticker is not None:
-            self._scheduler.wake(self._ticker)
+        if self._timer_task is not None:
+            self._scheduler.wake(self._timer_task)
 
     def watch_list(self, wanted: bool) -> None:
-        """The list is watched from start to end, whatever the settings say of asking for it."""
+        """Ignored: this program watches the list all the time, whatever the settings permit."""
 
     def fetch_list(self) -> None:
-        """See `watch_list`."""
+        """Ignored, as `watch_list`."""
 
     def send_to_peer(self, peer: int | None, content: bytes) -> None:
-        """Balancers have no way to speak to each other here."""
+        """Ignored: this Balancer has no channel to its peers."""
 
     def log(self, text: str) -> None:
+        """Logs a text of the Balancer, with server names in place of ids."""
         self._log(
-            _SERVER_NAMED.sub(
+            _SERVER_NUMBER.sub(
                 lambda found: f"server {self._names.get(int(found[1]), found[1])}", text
             )
         )
 
-    # Within
+    # Internals
 
     def _server_id(self, name: str) -> int:
-        number = stable_id(name)
-        # Guards against two servers taken for one, as their names differ only in the word before the number.
-        return number if self._names.get(number, name) == name else stable_id(name, plain=False)
+        server = stable_id(name)
+        # Names that differ only in the prefix before the number would get the same id.
+        return server if self._names.get(server, name) == name else stable_id(name, plain=False)
 
     def _new_login(self, time_limit_at: int) -> LoginHandle:
         handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
@@ -604,41 +648,41 @@
         self._logins[handle.number] = handle
         return handle
 
-    def _login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
+    def _to_login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
             handle.number,
             self._workloads[login_request.workload],
             0,
             stable_id(login_request.subject),
             handle.time_limit_at,
-            None if login_request.cost is None else round(login_request.cost * COST_UNIT),
+            None if login_request.cost is None else round(login_request.cost * COST_UNIT_NS),
             stable_id(login_request.group) if login_request.group and self._grouped else 0,
             False,
             login_request.came_back,
         )
 
-    def _decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
-        while handle.decided is None:
+    def _await_decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
+        while handle.decision is None:
             now = self._scheduler.now()
             if now >= handle.time_limit_at:
-                # Guards against a login without an answer, whatever the decisions wait for.
+                # Every login gets an answer in time, whatever the Balancer waits for.
                 self._counters["undecided at the time limit"] += 1
-                self.report_abandoned(handle)
+                self.release_login(handle)
                 return Rejection(False, 0)
             self._scheduler.wait({}, handle.time_limit_at)
-        return handle.decided
+        return handle.decision
 
-    def _lost(self, server: int, outcome: Outcome) -> None:
+    def _report_if_unresponsive(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
             self.server_unresponsive(server)
 
-    def _answer(self, login: int, rejection: Rejection) -> None:
+    def _reject(self, login: int, rejection: Rejection) -> None:
         handle = self._logins.pop(login, None)
         if handle is not None:
-            handle.decided = rejection
+            handle.decision = rejection
             self._scheduler.wake(handle.task)
 
-    def _report(self, values: dict[str, float] | None) -> Report | None:
+    def _to_report(self, values: dict[str, float] | None) -> Report | None:
         if not values:
             return None
         return Report(
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -306,13 +306,13 @@
         ):
             raise Malformed("absurd time to wait")
         time_limit = min(request.max_wait, self._facade.time_limit(request))
-        handle, decided = self._facade.place_login(
+        handle, decision = self._facade.place_login(
             request, self._now() + time_limit - self._limits.answer_margin
         )
         answer, result_name = FAILED, "failed"
         try:
-            while isinstance(decided, HandOffTarget):
-                result = self._hand_off(client, decided, request)
+            while isinstance(decision, HandOffTarget):
+                result = self._hand_off(client, decision, request)
                 if result.server is not None:
                     try:
                         self._facade.report_connected(handle)
@@ -323,10 +323,12 @@
                     finally:
                         result.server.close()
                 self._counters[f"hand-offs {result.outcome.value}"] += 1
-                decided = self._facade.report_failed_hand_off(handle, result.outcome, result.values)
-            if decided.harmless:
-                answer, result_name = format_busy(decided.retry_in), "refused"
-            self._counters["logins bounced" if decided.harmless else "logins terminated"] += 1
+                decision = self._facade.report_failed_hand_off(
+                    handle, result.outcome, result.values
+                )
+            if decision.retry_is_safe:
+                answer, result_name = format_busy(decision.retry_in), "refused"
+            self._counters["logins bounced" if decision.retry_is_safe else "logins terminated"] += 1
         except ClientDisconnectedError:
             result_name = ""
             self._counters["logins left by their client"] += 1
@@ -334,7 +336,7 @@
             answer = b""  # `_serve_client` rejects the client
             raise
         finally:
-            self._facade.report_abandoned(handle)
+            self._facade.release_login(handle)
             if result_name and result_name != "served":  # `_run_connection` counts "served"
                 self._counters.count_answer(result_name, request.workload)
             if answer:
