--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -640,7 +640,11 @@
     def _server_id(self, name: str) -> int:
         server = stable_id(name)
         # Names that differ only in the prefix before the number would get the same id.
-        return server if self._names.get(server, name) == name else stable_id(name, plain=False)
+        return (
+            server
+            if self._names.get(server, name) == name
+            else stable_id(name, allow_hexadecimal=False)
+        )
 
     def _new_login(self, time_limit_at: int) -> LoginHandle:
         handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -39,8 +39,8 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.log import Notes
-from corklift.store.worker import Folders, Keeper
+from corklift.store.log import OpenReport
+from corklift.store.worker import StoreFolders, StoreWorker
 
 if TYPE_CHECKING:
     from corklift.service import BalancerProcess
@@ -78,7 +78,7 @@
         period: int,
         tell: Callable[..., None],
         with_peers: Callable[[dict[str, Any]], Peers] | None,
-        folders: Folders | None = None,
+        folders: StoreFolders | None = None,
     ) -> None:
         """`with_peers`: makes the part with peers, given further calls to answer; None: this balancer is alone."""
         self._process, self._tell, self._given = process, tell, given
@@ -114,7 +114,9 @@
             expected=arguments["balancers"],
             alone=self._peers is None,
         )
-        self._keeper = Keeper(self._scheduler, folders or Folders(given.path), self._opened)
+        self._store_worker = StoreWorker(
+            self._scheduler, folders or StoreFolders(given.path), self._opened
+        )
         self._let_in: set[int] = set()
         self._listing: Listing | None = None  # all that is listed, as it was told last
         self._again = False  # what is listed is no news
@@ -148,8 +150,8 @@
     # Component
 
     def background_tasks(self) -> Sequence[Callable[[], None]]:
-        self._keeper.start()
-        jobs = [self._keeper.keep_hearing, self._keep_going]
+        self._store_worker.start()
+        jobs = [self._store_worker.run_callbacks, self._keep_going]
         return [*jobs, *self._peers.background_tasks()] if self._peers else jobs
 
     def on_stop_requested(self) -> None:
@@ -160,9 +162,9 @@
     def on_clients_drained(self) -> None:
         if self._peers:
             self._peers.on_clients_drained()
-        self._keeper.settle(min(SECOND, self._period))
+        self._store_worker.wait_until_idle(min(SECOND, self._period))
         self._left = True
-        self._keeper.stop()
+        self._store_worker.stop()
 
     @property
     def refused_why(self) -> str:
@@ -269,13 +271,13 @@
                 self._scheduler.sleep(self._period // 8)
 
     def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep(
+        self._store_worker.submit(
             dict(map(encode_fact, facts)),
             lambda sequence, why: self.core.persisted(self._scheduler.now(), number, sequence, why),
         )
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep(
+        self._store_worker.submit(
             {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
         )
 
@@ -339,10 +341,10 @@
     # The disk
 
     def _opened(
-        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
     ) -> None:
         now = self._scheduler.now()
-        if notes is None:
+        if report is None:
             self.core.store_unreadable(now, why)
             return
         facts = []
@@ -351,7 +353,7 @@
                 facts.append(decode_fact(value))
             except FactDecodeError as problem:
                 lost = "; ".join(filter(None, (lost, f"{key!r:.80}: {problem}")))
-        for cut in notes.cuts:
+        for cut in report.torn_tails:
             self._tell(
                 "store",
                 kind="a torn end is left out",
@@ -360,7 +362,12 @@
                 length=cut.length,
             )
         self.core.store_loaded(
-            now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+            now,
+            facts,
+            Marker(report.store_id, report.sequence),
+            report.fresh,
+            lost,
+            report.write_error,
         )
 
     # The list
@@ -489,7 +496,7 @@
         return (
             f"app.recovery_step:{int(core.phase)}|g\napp.store_behind:{int(core.store_behind)}|g\napp.store_trouble:{int(bool(core.store_error))}|g\n"
             f"app.store_commits:{core.own_marker.sequence}|c\napp.store_waiting_ms:"
-            f"{(self._scheduler.now() - self._keeper.since) // MS if self._keeper.under_way else 0}|g\n"
+            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}|g\n"
         )
 
     # Calls that come in
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -282,7 +282,7 @@
     empty.core.tick(600 * SECOND)
     assert empty.core.phase is RecoveryPhase.ASK
     for act in (
-        lambda core: core.store_unreadable(0, "InUse"),
+        lambda core: core.store_unreadable(0, "StoreInUseError"),
         lambda core: core.tick(4 * SECOND),
     ):  # in use elsewhere; stalled
         unread = Host()
