--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -1,8 +1,9 @@
-"""Probes of servers and the watch on discovery.
+"""Probes the servers and watches the server list of discovery.
 
-Owns the connections kept for probes, one a server at the most, and the one to discovery. Each probe that is asked
-for gets one result. Must never hold up a login, drop the list it knows because discovery is silent or broken, or
-judge a server.
+This module owns the probe connections, at most one per server, and the connection to discovery.
+Each requested probe gets exactly one result; the module does not judge the server by it. Probes and
+the watch never delay a login. The known list stays in force while discovery is unreachable or
+faulty.
 """
 
 from __future__ import annotations
@@ -27,27 +28,29 @@
 from corklift.net.scheduler import READ, Scheduler, Task
 from corklift.net.stream import LineTooLongError, Stream
 
-LIST = "/registry/instances"
+LIST_PATH = "/registry/instances"
 
 
-class Redirected(Exception):
-    """Discovery is at another address now."""
+class AddressChangedError(Exception):
+    """Interrupts the watch: a reload has changed the address of discovery."""
 
 
 class Overbooked(Exception):
-    """Discovery has answered, in full, that it can't tell just now."""
+    """Discovery has answered that it is overloaded.
 
+    The class name is printed in log lines that a tool matches.
+    """
 
-class Stopped(Exception):
-    """Nothing more is to be asked."""
+
+class ProbingStoppedError(Exception):
+    """Interrupts the probe task of a server that is not to be probed any more."""
 
 
 class ServerProbes:
-    """One task a server that is probed; it ends when the server has not been for a while."""
+    """Probes servers, with a task for each server that ends after a while without probes."""
 
-    IDLE = (
-        4  # times the longest wait for an answer of keeping a connection that nothing is asked of
-    )
+    # Idle time of a probe connection, in multiples of the longest wait for an answer.
+    IDLE_FACTOR = 4
 
     def __init__(
         self,
@@ -55,7 +58,7 @@
         limits: Limits,
         counters: Counters,
         facade: Facade,
-        kept_for: int,
+        idle_time: int,
     ) -> None:
         self._scheduler, self._limits, self._counters, self._facade = (
             scheduler,
@@ -63,79 +66,85 @@
             counters,
             facade,
         )
-        self._kept_for = kept_for
+        self._idle_time = idle_time
         self._tasks: dict[int, Task] = {}
-        self._asked: dict[int, deque[HandOffTarget]] = {}
-        self._kept: dict[int, Stream] = {}
+        self._queues: dict[int, deque[HandOffTarget]] = {}
+        self._connections: dict[int, Stream] = {}
         facade.close_probe_connection = self.close
 
-    def reconfigure(self, limits: Limits, kept_for: int) -> None:
-        self._limits, self._kept_for = limits, kept_for
+    def reconfigure(self, limits: Limits, idle_time: int) -> None:
+        """Applies new limits and the time for which an idle probe connection stays open."""
+        self._limits, self._idle_time = limits, idle_time
 
     def probe_loop(self) -> None:
+        """Dispatches the Balancer's probes for the lifetime of the process."""
         while True:
             target = self._facade.next_probe()
             self._counters["probes"] += 1
             if target.server in self._tasks:
-                self._asked[target.server].append(target)
+                self._queues[target.server].append(target)
                 self._scheduler.wake(self._tasks[target.server])
-            elif len(self._tasks) >= self._limits.probes and not self._make_way():
+            elif len(self._tasks) >= self._limits.probes and not self._evict_idle_connection():
                 self._counters["probes without a descriptor"] += 1
                 self._facade.probe_finished(target.server, Outcome.NOT_SENT, 0, None)
             else:
-                self._asked[target.server] = deque([target])
-                self._tasks[target.server] = self._scheduler.spawn(self._probe_one, target.server)
+                self._queues[target.server] = deque([target])
+                self._tasks[target.server] = self._scheduler.spawn(self._probe_task, target.server)
 
     def close(self, server: int) -> None:
-        """Nothing more is asked of this server for now."""
+        """Closes the probe connection of a server and drops its pending probes."""
         if server in self._tasks:
-            self._scheduler.interrupt(self._tasks[server], Stopped())
+            self._scheduler.interrupt(self._tasks[server], ProbingStoppedError())
+
+    def _evict_idle_connection(self) -> bool:
+        """Closes the oldest idle probe connection; returns whether there is one.
 
-    def _make_way(self) -> bool:
-        """Ends the kept connection that has idled longest. Guards against servers never probed for want of one."""
-        for server, asked in self._asked.items():
-            if not asked and self._tasks[server].pending_exception is None:
+        Otherwise some servers would never be probed, for want of a descriptor.
+        """
+        for server, queue in self._queues.items():
+            if not queue and self._tasks[server].pending_exception is None:
                 self._scheduler.interrupt(self._tasks[server], Gone())
                 return True
         return False
 
-    def _probe_one(self, server: int) -> None:
-        asked, left = self._asked[server], Outcome.BROKEN
+    def _probe_task(self, server: int) -> None:
+        queue, dropped_outcome = self._queues[server], Outcome.BROKEN
         try:
             while True:
-                while asked:
-                    self._probe(server, asked[0].address)
-                    asked.popleft()
-                until = self._scheduler.now() + self._kept_for
-                kept = self._kept.get(server)
-                self._scheduler.wait({kept.fd: READ} if kept is not None else {}, until)
-                if asked:
+                while queue:
+                    self._probe(server, queue[0].address)
+                    queue.popleft()
+                until = self._scheduler.now() + self._idle_time
+                stream = self._connections.get(server)
+                self._scheduler.wait({stream.fd: READ} if stream is not None else {}, until)
+                if queue:
                     continue
-                if kept is not None:
-                    self._close(server)  # it has ended, spoken unasked, or idled long
+                if stream is not None:
+                    # Closed by the server, unexpected data from it, or idle for too long.
+                    self._close_connection(server)
                 elif self._scheduler.now() >= until:
                     return
         except Gone:
             self._counters["probe connections that made way"] += 1
-        except Stopped:
-            left = Outcome.NOT_SENT
+        except ProbingStoppedError:
+            dropped_outcome = Outcome.NOT_SENT
         finally:
-            self._close(server)
-            del self._tasks[server], self._asked[server]
-            for _ in asked:
-                self._facade.probe_finished(server, left, 0, None)
+            self._close_connection(server)
+            del self._tasks[server], self._queues[server]
+            for _ in queue:
+                self._facade.probe_finished(server, dropped_outcome, 0, None)
 
-    def _close(self, server: int) -> None:
-        kept = self._kept.pop(server, None)
-        if kept is not None:
-            kept.close()
+    def _close_connection(self, server: int) -> None:
+        stream = self._connections.pop(server, None)
+        if stream is not None:
+            stream.close()
 
     def _probe(self, server: int, address: tuple[str, int]) -> None:
-        began = self._scheduler.now()
-        until = began + self._limits.probe_time
+        started_at = self._scheduler.now()
+        until = started_at + self._limits.probe_time
         outcome, values = Outcome.BROKEN, None
-        stream = self._kept.get(server)
-        fresh = stream is None
+        stream = self._connections.get(server)
+        is_new = stream is None
         while True:
             try:
                 if stream is None:
@@ -143,32 +152,36 @@
                         self._scheduler,
                         self._limits,
                         address,
-                        min(until, began + self._limits.connect_time),
+                        min(until, started_at + self._limits.connect_time),
                     )
-                    self._kept[server] = stream
+                    self._connections[server] = stream
                     self._counters["probe connections"] += 1
-                outcome, values = self._ask(stream, until)
+                outcome, values = self._request_report(stream, until)
                 break
             except Late:
-                outcome = Outcome.TIMED_OUT if server in self._kept else Outcome.NOT_CONNECTED
-                self._close(server)
+                outcome = (
+                    Outcome.TIMED_OUT if server in self._connections else Outcome.NOT_CONNECTED
+                )
+                self._close_connection(server)
                 break
             except (Malformed, LineTooLongError) as problem:
                 self._counters[f"bad answers to probes ({str(problem) or 'over-long'})"] += 1
                 outcome = Outcome.ERROR
-                self._close(server)
+                self._close_connection(server)
                 break
             except Gone:
-                outcome = Outcome.BROKEN if server in self._kept else Outcome.NOT_CONNECTED
-                self._close(server)
-                if fresh:
+                outcome = Outcome.BROKEN if server in self._connections else Outcome.NOT_CONNECTED
+                self._close_connection(server)
+                if is_new:
                     break
-                # A kept connection may have been closed for idling: that says nothing of the server.
-                stream, fresh = None, True
+                # The server may have closed an idle connection; that says nothing about its health.
+                stream, is_new = None, True
         self._counters[f"probes {outcome.value}"] += 1
-        self._facade.probe_finished(server, outcome, self._scheduler.now() - began, values)
+        self._facade.probe_finished(server, outcome, self._scheduler.now() - started_at, values)
 
-    def _ask(self, stream: Stream, until: int) -> tuple[Outcome, dict[str, float] | None]:
+    def _request_report(
+        self, stream: Stream, until: int
+    ) -> tuple[Outcome, dict[str, float] | None]:
         stream.receive()
         if stream.peer_closed or stream.broken or len(stream.receive_buffer):
             raise Gone
@@ -177,11 +190,12 @@
             stream.receive()
             line = stream.read_line()
             if line is not None:
-                word, rest = parse_server_line(line)
-                if word not in ("PONG", "ERR", "NO"):
+                keyword, arguments = parse_server_line(line)
+                if keyword not in ("PONG", "ERR", "NO"):
                     raise Malformed("unknown word")
-                return (Outcome.FULFILLED if word == "PONG" else Outcome.ERROR), parse_load_report(
-                    rest
+                return (
+                    Outcome.FULFILLED if keyword == "PONG" else Outcome.ERROR,
+                    parse_load_report(arguments),
                 )
             if stream.peer_closed or stream.broken:
                 raise Gone
@@ -191,7 +205,7 @@
 
 
 class DiscoveryWatch:
-    """Follows the list: the whole of it first, then each change; anew wherever discovery is said to be."""
+    """Follows the server list: fetches the full list first, then each change of it."""
 
     def __init__(
         self,
@@ -202,7 +216,7 @@
         facade: Facade,
         address: tuple[str, int],
         rng: Random,
-        known: int | None = None,
+        known_index: int | None = None,
     ) -> None:
         self._scheduler, self._limits, self._counters, self._facade = (
             scheduler,
@@ -212,60 +226,65 @@
         )
         self._log_writer, self._address = log_writer, address
         self._stream: Stream | None = None
-        self._index = (
-            known  # the version of the list that is known; None: the whole of it is asked for
-        )
+        # Version of the known list; None: the full list is requested.
+        self._index = known_index
         self._rng = rng
-        self._failures = 0  # in a row
+        self._failures = 0  # consecutive
         self._set_backoff(limits)
-        self.has_answered = False  # whether discovery has answered yet
+        self.has_answered = False  # whether discovery has answered since the start
         self._task: Task | None = None
 
     def _set_backoff(self, limits: Limits) -> None:
-        """A fault is over soon. Who says that it has too much to do is made to say so by calls, and left alone."""
-        self._faults = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
-        self._refusals = Backoff(self._rng, limits.overbooked_pause, limits.overbooked_pause_most)
+        """Resets both delays: short ones after faults, long ones after an overload.
+
+        A fault is usually over soon; an overloaded discovery is kept so by calls.
+        """
+        self._fault_backoff = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
+        self._overload_backoff = Backoff(
+            self._rng, limits.overbooked_pause, limits.overbooked_pause_most
+        )
 
     def reconfigure(self, address: tuple[str, int], limits: Limits) -> None:
-        """Discovery may be elsewhere by a new configuration; the list that is known stays in force."""
+        """Applies a new configuration; the known list stays in force if the address changes."""
         self._limits = limits
         self._set_backoff(limits)
         if address != self._address:
             self._address = address
             if self._task is not None:
-                # Guards against a watch that waits on at the old address: that tells nothing more.
-                self._scheduler.interrupt(self._task, Redirected())
+                # Otherwise the watch would keep waiting for the old address.
+                self._scheduler.interrupt(self._task, AddressChangedError())
 
     def watch_loop(self) -> None:
+        """Watches discovery for the lifetime of the process."""
         self._task = self._scheduler.current
-        # Guards against balancers that start together and ask together; the known list is in force meanwhile.
+        # With a known list the first call is delayed at random, so that balancers that start
+        # together don't call together.
         spread = self._limits.first_call_spread if self._index is not None else 0
-        pause = int(self._rng.random() * spread) if spread else 0
+        start_delay = int(self._rng.random() * spread) if spread else 0
         while True:
             try:
-                wait, pause = pause, 0
-                self._scheduler.sleep(wait)
-                self._watch_here()
-            except Redirected:
+                delay, start_delay = start_delay, 0
+                self._scheduler.sleep(delay)
+                self._watch_until_redirected()
+            except AddressChangedError:
                 self._counters["discovery addresses left"] += 1
                 self._failures = 0
             finally:
-                self._drop()
-                self._index = (
-                    None  # the whole list first: another discovery numbers its own versions
-                )
+                self._close_stream()
+                # The full list again: version numbers of another discovery mean nothing here.
+                self._index = None
 
-    def _watch_here(self) -> None:
+    def _watch_until_redirected(self) -> None:
         while True:
             try:
-                self._call()
+                self._fetch_update()
                 if self._failures:
                     self._log_writer.write(f"discovery answers again after {self._failures} calls")
                     self._failures = 0
                     self._set_backoff(self._limits)
             except (Gone, Late, Malformed, Overbooked) as problem:
                 if not isinstance(problem, Overbooked):
-                    self._drop()
+                    self._close_stream()
                 self._failures += 1
                 self._counters["discovery failures"] += 1
                 if self._failures & (self._failures - 1) == 0:
@@ -274,22 +293,26 @@
                         "the known list stays in force"
                     )
                 if isinstance(problem, Malformed):
-                    self._index = None  # begin anew with the whole list
-                backoff = self._refusals if isinstance(problem, Overbooked) else self._faults
+                    self._index = None  # request the full list again
+                backoff = (
+                    self._overload_backoff
+                    if isinstance(problem, Overbooked)
+                    else self._fault_backoff
+                )
                 self._scheduler.sleep(backoff.next_delay())
 
-    def _drop(self) -> None:
+    def _close_stream(self) -> None:
         if self._stream is not None:
             self._stream.close()
             self._stream = None
 
-    def _call(self) -> None:
+    def _fetch_update(self) -> None:
         now = self._scheduler.now()
-        path, until = LIST, now + self._limits.watch_slack
+        path, until = LIST_PATH, now + self._limits.watch_slack
         if self._index is not None:
-            # The first answer tells that the list known at the start is the one in force: it is not waited for.
+            # The first call does not wait for a change: it confirms the list known at start.
             wait = self._limits.watch_wait if self.has_answered else 0
-            path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
+            path = f"{LIST_PATH}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
             self._stream = connect(
@@ -297,27 +320,29 @@
             )
         stream = self._stream
         send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
-        answer = HttpResponse(self._limits.body)
-        while not answer.done:
+        response = HttpResponse(self._limits.body)
+        while not response.done:
             stream.receive()
             if len(stream.receive_buffer):
-                answer.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
-                # Guards against an answer that stops short, with a drain that counts as told: asked anew at once.
+                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
+                # A response that stalls may contain a drain that discovery considers delivered. It
+                # is given up early and requested again at once.
                 until = self._scheduler.now() + self._limits.watch_stall
             elif stream.peer_closed and not stream.broken:
-                answer.connection_closed()
+                response.connection_closed()
             elif stream.broken:
                 raise Gone
             elif self._scheduler.now() >= until:
                 raise Late
             else:
                 self._scheduler.wait({stream.fd: READ}, until)
-        if not answer.keep_alive:
-            self._drop()
-        if answer.status in (429, 503):
-            # Guards against the whole list asked for, by everyone, where it has said no more than to come later.
-            raise Overbooked(f"status {answer.status}")
-        content = parse_listing(answer.json())
+        if not response.keep_alive:
+            self._close_stream()
+        if response.status in (429, 503):
+            # Not a fault: the connection and the known version are kept. Otherwise every balancer
+            # would request the full list from a discovery that is overloaded already.
+            raise Overbooked(f"status {response.status}")
+        content = parse_listing(response.json())
         self._counters["discovery answers"] += 1
         if content.unreadable_count:
             self._counters["discovery entries that can't be read"] += content.unreadable_count
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -58,7 +58,7 @@
         if listener is not None:
             listener.close()
         for stream in [
-            *self.program.probes._kept.values(),
+            *self.program.probes._connections.values(),
             *filter(None, [self.program.watch._stream]),
         ]:
             stream.close()
