--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -27,8 +27,8 @@
 )
 from corklift.recovery.messages import Marker
 from corklift.rpc.core import MS
-from corklift.store.log import Notes
-from corklift.store.worker import Folders, Keeper
+from corklift.store.log import OpenReport
+from corklift.store.worker import StoreFolders, StoreWorker
 
 WRITE_TIMEOUT = 100 * MS  # then a snapshot follows the list although it is not on disk
 
@@ -61,7 +61,7 @@
             expected=1,
             alone=True,
         )
-        self._store_worker = Keeper(scheduler, Folders(path), self._opened)
+        self._store_worker = StoreWorker(scheduler, StoreFolders(path), self._opened)
         self._full_list: Listing | None = None  # as last received from discovery, deltas applied
         self._waiting_tasks: list[Task] = []
         self._open_deadline = 0
@@ -71,14 +71,14 @@
     def jobs(self) -> list[Callable[[], None]]:
         self._open_deadline = self._scheduler.now() + self._open_timeout
         self._store_worker.start()
-        return [self._store_worker.keep_hearing, self._limit_opening]
+        return [self._store_worker.run_callbacks, self._limit_opening]
 
     def _limit_opening(self) -> None:
         self._scheduler.sleep(self._open_timeout)
         self._finish_opening()
 
     def _opened(
-        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
     ) -> None:
         now = self._scheduler.now()
         facts = []
@@ -87,11 +87,16 @@
                 facts.append(decode_fact(value))
             except FactDecodeError as error:
                 lost = lost or str(error)
-        if notes is None:
+        if report is None:
             self._core.store_unreadable(now, why)
         else:
             self._core.store_loaded(
-                now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+                now,
+                facts,
+                Marker(report.store_id, report.sequence),
+                report.fresh,
+                lost,
+                report.write_error,
             )
         stored_list = self._core.facts.get(LIST)
         if self._full_list is None and stored_list is not None:
@@ -123,7 +128,7 @@
             self._scheduler.wake(task)
         self._waiting_tasks = []
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         """Takes an update of the list from discovery, persists it and passes it on.
 
         Blocks the watch until the stored state is known, and then until the update is on disk, both
@@ -183,7 +188,7 @@
 
     def close(self) -> None:
         self._core.stopping(self._scheduler.now())
-        self._store_worker.settle(self._open_timeout)
+        self._store_worker.wait_until_idle(self._open_timeout)
         self._store_worker.stop()
 
     # Host of the recovery: there are no peers, and operators act on discovery alone
@@ -195,10 +200,10 @@
             self._pending_writes -= 1
             self._core.persisted(self._scheduler.now(), number, sequence, why)
 
-        self._store_worker.keep(dict(map(encode_fact, facts)), on_written)
+        self._store_worker.submit(dict(map(encode_fact, facts)), on_written)
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
-        self._store_worker.keep(
+        self._store_worker.submit(
             {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
         )
 
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -27,10 +27,10 @@
 from corklift.control.weights import PublishedWeights, WeightPublisher
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
-from corklift.net.limits import MS, SECOND, Counters, Printer, raise_descriptor_limit
+from corklift.net.limits import MS, SECOND, Counters, LogWriter, raise_descriptor_limit
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
-from corklift.net.upkeep import Probes, Watch
+from corklift.net.monitoring import DiscoveryWatch, ServerProbes
 from corklift.rpc.server import RpcServer
 
 UPDATE_INTERVAL = 50 * MS  # between two runs of the update loop
@@ -141,24 +141,28 @@
             scheduler, config.rpc_limits, self.counters, self.service.handlers()
         )
         self.port = self.server.listen(config.listen)
-        self.probes = Probes(
+        self.probes = ServerProbes(
             scheduler, config.net_limits, self.counters, self.facade, PROBE_CONNECTION_IDLE_TIME
         )
-        printer = Printer(config.net_limits, scheduler.now, self.counters)
-        printer.say = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
+        log_writer = LogWriter(config.net_limits, scheduler.now, self.counters)
+        log_writer.write = lambda text, always=False: self.event_log.write("discovery", text=text)  # type: ignore[method-assign]
         store = config.table.store
         self.persistent_state = (
             PersistentState(
-                scheduler, store.path, store.patience_ms * MS, self.listed, self.event_log.write
+                scheduler,
+                store.path,
+                store.patience_ms * MS,
+                self.apply_listing,
+                self.event_log.write,
             )
             if store
             else None
         )
-        self.watch = Watch(
+        self.watch = DiscoveryWatch(
             scheduler,
             config.net_limits,
             self.counters,
-            printer,
+            log_writer,
             self.persistent_state or self,  # type: ignore[arg-type]
             config.discovery,
             Random(config.table.seed ^ 1),
@@ -171,10 +175,10 @@
 
     # Host of the discovery watch
 
-    def listed(self, scope: Scope, content: Listing) -> None:
+    def apply_listing(self, scope: Scope, content: Listing) -> None:
         """Applies a list update; unavailable servers have left all snapshots when it returns."""
         now = self.scheduler.now()
-        self.facade.listed(scope, content)
+        self.facade.apply_listing(scope, content)
         listed_names = {entry.name for entry in content.entries}
         unavailable = {entry.name for entry in content.entries if entry.status is not Status.READY}
         gone = {entry.name for entry in content.entries if entry.status is Status.GONE}
@@ -232,7 +236,7 @@
         if self._list_known_at is None:
             return
         if not self.subscriptions.has_snapshot and not (
-            self.facade.all_heard() or now - self._list_known_at >= FIRST_REPORTS_TIMEOUT
+            self.facade.all_servers_probed() or now - self._list_known_at >= FIRST_REPORTS_TIMEOUT
         ):
             return
         ready = [name for name, status in self._statuses.items() if status is Status.READY]
@@ -325,7 +329,7 @@
             new.table.load_reports.every_ms * MS,
         )
         self.probes.reconfigure(new.net_limits, PROBE_CONNECTION_IDLE_TIME)
-        self.watch.follow(new.discovery, new.net_limits)
+        self.watch.reconfigure(new.discovery, new.net_limits)
         self.counters["configurations taken"] += 1
         if self.subscriptions.has_snapshot:
             now = self.scheduler.now()
@@ -345,9 +349,9 @@
         spawn = self.scheduler.spawn
         spawn(self.event_log.keep_writing)
         for job in (
-            self.facade.keep_ticking,
-            self.probes.keep_probing,
-            self.watch.keep_watching,
+            self.facade.timer_loop,
+            self.probes.probe_loop,
+            self.watch.watch_loop,
             self.keep_updating_weights,
             self.server.keep_accepting,
             *(self.persistent_state.jobs() if self.persistent_state else ()),
--- /dev/null
+++ b/corklift/net/monitoring.py
@@ -0,0 +1,350 @@
+"""Probes the servers and watches the server list of discovery.
+
+This module owns the probe connections, at most one per server, and the connection to discovery.
+Each requested probe gets exactly one result; the module does not judge the server by it. Probes and
+the watch never delay a login. The known list stays in force while discovery is unreachable or
+faulty.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from random import Random
+
+from corklift.interface import Outcome, Scope
+from corklift.net.backoff import Backoff
+from corklift.net.blocking import Gone, Late, connect, send_all
+from corklift.net.facade import Facade, HandOffTarget
+from corklift.net.limits import Counters, Limits, LogWriter
+from corklift.net.parsers import (
+    STATS,
+    HttpResponse,
+    Malformed,
+    format_http_get,
+    parse_listing,
+    parse_load_report,
+    parse_server_line,
+)
+from corklift.net.scheduler import READ, Scheduler, Task
+from corklift.net.stream import LineTooLongError, Stream
+
+LIST_PATH = "/registry/instances"
+
+
+class AddressChangedError(Exception):
+    """Interrupts the watch: a reload has changed the address of discovery."""
+
+
+class Overbooked(Exception):
+    """Discovery has answered that it is overloaded.
+
+    The class name is printed in log lines that a tool matches.
+    """
+
+
+class ProbingStoppedError(Exception):
+    """Interrupts the probe task of a server that is not to be probed any more."""
+
+
+class ServerProbes:
+    """Probes servers, with a task for each server that ends after a while without probes."""
+
+    # Idle time of a probe connection, in multiples of the longest wait for an answer.
+    IDLE_FACTOR = 4
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        counters: Counters,
+        facade: Facade,
+        idle_time: int,
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._facade = (
+            scheduler,
+            limits,
+            counters,
+            facade,
+        )
+        self._idle_time = idle_time
+        self._tasks: dict[int, Task] = {}
+        self._queues: dict[int, deque[HandOffTarget]] = {}
+        self._connections: dict[int, Stream] = {}
+        facade.close_probe_connection = self.close
+
+    def reconfigure(self, limits: Limits, idle_time: int) -> None:
+        """Applies new limits and the time for which an idle probe connection stays open."""
+        self._limits, self._idle_time = limits, idle_time
+
+    def probe_loop(self) -> None:
+        """Dispatches the Balancer's probes for the lifetime of the process."""
+        while True:
+            target = self._facade.next_probe()
+            self._counters["probes"] += 1
+            if target.server in self._tasks:
+                self._queues[target.server].append(target)
+                self._scheduler.wake(self._tasks[target.server])
+            elif len(self._tasks) >= self._limits.probes and not self._evict_idle_connection():
+                self._counters["probes without a descriptor"] += 1
+                self._facade.probe_finished(target.server, Outcome.NOT_SENT, 0, None)
+            else:
+                self._queues[target.server] = deque([target])
+                self._tasks[target.server] = self._scheduler.spawn(self._probe_task, target.server)
+
+    def close(self, server: int) -> None:
+        """Closes the probe connection of a server and drops its pending probes."""
+        if server in self._tasks:
+            self._scheduler.interrupt(self._tasks[server], ProbingStoppedError())
+
+    def _evict_idle_connection(self) -> bool:
+        """Closes the oldest idle probe connection; returns whether there is one.
+
+        Otherwise some servers would never be probed, for want of a descriptor.
+        """
+        for server, queue in self._queues.items():
+            if not queue and self._tasks[server].pending_exception is None:
+                self._scheduler.interrupt(self._tasks[server], Gone())
+                return True
+        return False
+
+    def _probe_task(self, server: int) -> None:
+        queue, dropped_outcome = self._queues[server], Outcome.BROKEN
+        try:
+            while True:
+                while queue:
+                    self._probe(server, queue[0].address)
+                    queue.popleft()
+                until = self._scheduler.now() + self._idle_time
+                stream = self._connections.get(server)
+                self._scheduler.wait({stream.fd: READ} if stream is not None else {}, until)
+                if queue:
+                    continue
+                if stream is not None:
+                    # Closed by the server, unexpected data from it, or idle for too long.
+                    self._close_connection(server)
+                elif self._scheduler.now() >= until:
+                    return
+        except Gone:
+            self._counters["probe connections that made way"] += 1
+        except ProbingStoppedError:
+            dropped_outcome = Outcome.NOT_SENT
+        finally:
+            self._close_connection(server)
+            del self._tasks[server], self._queues[server]
+            for _ in queue:
+                self._facade.probe_finished(server, dropped_outcome, 0, None)
+
+    def _close_connection(self, server: int) -> None:
+        stream = self._connections.pop(server, None)
+        if stream is not None:
+            stream.close()
+
+    def _probe(self, server: int, address: tuple[str, int]) -> None:
+        started_at = self._scheduler.now()
+        until = started_at + self._limits.probe_time
+        outcome, values = Outcome.BROKEN, None
+        stream = self._connections.get(server)
+        is_new = stream is None
+        while True:
+            try:
+                if stream is None:
+                    stream = connect(
+                        self._scheduler,
+                        self._limits,
+                        address,
+                        min(until, started_at + self._limits.connect_time),
+                    )
+                    self._connections[server] = stream
+                    self._counters["probe connections"] += 1
+                outcome, values = self._request_report(stream, until)
+                break
+            except Late:
+                outcome = (
+                    Outcome.TIMED_OUT if server in self._connections else Outcome.NOT_CONNECTED
+                )
+                self._close_connection(server)
+                break
+            except (Malformed, LineTooLongError) as problem:
+                self._counters[f"bad answers to probes ({str(problem) or 'over-long'})"] += 1
+                outcome = Outcome.ERROR
+                self._close_connection(server)
+                break
+            except Gone:
+                outcome = Outcome.BROKEN if server in self._connections else Outcome.NOT_CONNECTED
+                self._close_connection(server)
+                if is_new:
+                    break
+                # The server may have closed an idle connection; that says nothing about its health.
+                stream, is_new = None, True
+        self._counters[f"probes {outcome.value}"] += 1
+        self._facade.probe_finished(server, outcome, self._scheduler.now() - started_at, values)
+
+    def _request_report(
+        self, stream: Stream, until: int
+    ) -> tuple[Outcome, dict[str, float] | None]:
+        stream.receive()
+        if stream.peer_closed or stream.broken or len(stream.receive_buffer):
+            raise Gone
+        send_all(self._scheduler, stream, STATS, until)
+        while True:
+            stream.receive()
+            line = stream.read_line()
+            if line is not None:
+                keyword, arguments = parse_server_line(line)
+                if keyword not in ("PONG", "ERR", "NO"):
+                    raise Malformed("unknown word")
+                return (
+                    Outcome.FULFILLED if keyword == "PONG" else Outcome.ERROR,
+                    parse_load_report(arguments),
+                )
+            if stream.peer_closed or stream.broken:
+                raise Gone
+            if self._scheduler.now() >= until:
+                raise Late
+            self._scheduler.wait({stream.fd: READ}, until)
+
+
+class DiscoveryWatch:
+    """Follows the server list: fetches the full list first, then each change of it."""
+
+    def __init__(
+        self,
+        scheduler: Scheduler,
+        limits: Limits,
+        counters: Counters,
+        log_writer: LogWriter,
+        facade: Facade,
+        address: tuple[str, int],
+        rng: Random,
+        known_index: int | None = None,
+    ) -> None:
+        self._scheduler, self._limits, self._counters, self._facade = (
+            scheduler,
+            limits,
+            counters,
+            facade,
+        )
+        self._log_writer, self._address = log_writer, address
+        self._stream: Stream | None = None
+        # Version of the known list; None: the full list is requested.
+        self._index = known_index
+        self._rng = rng
+        self._failures = 0  # consecutive
+        self._set_backoff(limits)
+        self.has_answered = False  # whether discovery has answered since the start
+        self._task: Task | None = None
+
+    def _set_backoff(self, limits: Limits) -> None:
+        """Resets both delays: short ones after faults, long ones after an overload.
+
+        A fault is usually over soon; an overloaded discovery is kept so by calls.
+        """
+        self._fault_backoff = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
+        self._overload_backoff = Backoff(
+            self._rng, limits.overbooked_pause, limits.overbooked_pause_most
+        )
+
+    def reconfigure(self, address: tuple[str, int], limits: Limits) -> None:
+        """Applies a new configuration; the known list stays in force if the address changes."""
+        self._limits = limits
+        self._set_backoff(limits)
+        if address != self._address:
+            self._address = address
+            if self._task is not None:
+                # Otherwise the watch would keep waiting for the old address.
+                self._scheduler.interrupt(self._task, AddressChangedError())
+
+    def watch_loop(self) -> None:
+        """Watches discovery for the lifetime of the process."""
+        self._task = self._scheduler.current
+        # With a known list the first call is delayed at random, so that balancers that start
+        # together don't call together.
+        spread = self._limits.first_call_spread if self._index is not None else 0
+        start_delay = int(self._rng.random() * spread) if spread else 0
+        while True:
+            try:
+                delay, start_delay = start_delay, 0
+                self._scheduler.sleep(delay)
+                self._watch_until_redirected()
+            except AddressChangedError:
+                self._counters["discovery addresses left"] += 1
+                self._failures = 0
+            finally:
+                self._close_stream()
+                # The full list again: version numbers of another discovery mean nothing here.
+                self._index = None
+
+    def _watch_until_redirected(self) -> None:
+        while True:
+            try:
+                self._fetch_update()
+                if self._failures:
+                    self._log_writer.write(f"discovery answers again after {self._failures} calls")
+                    self._failures = 0
+                    self._set_backoff(self._limits)
+            except (Gone, Late, Malformed, Overbooked) as problem:
+                if not isinstance(problem, Overbooked):
+                    self._close_stream()
+                self._failures += 1
+                self._counters["discovery failures"] += 1
+                if self._failures & (self._failures - 1) == 0:
+                    self._log_writer.write(
+                        f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
+                        "the known list stays in force"
+                    )
+                if isinstance(problem, Malformed):
+                    self._index = None  # request the full list again
+                backoff = (
+                    self._overload_backoff
+                    if isinstance(problem, Overbooked)
+                    else self._fault_backoff
+                )
+                self._scheduler.sleep(backoff.next_delay())
+
+    def _close_stream(self) -> None:
+        if self._stream is not None:
+            self._stream.close()
+            self._stream = None
+
+    def _fetch_update(self) -> None:
+        now = self._scheduler.now()
+        path, until = LIST_PATH, now + self._limits.watch_slack
+        if self._index is not None:
+            # The first call does not wait for a change: it confirms the list known at start.
+            wait = self._limits.watch_wait if self.has_answered else 0
+            path = f"{LIST_PATH}?index={self._index}&wait={wait // 1_000_000}"
+            until += wait
+        if self._stream is None:
+            self._stream = connect(
+                self._scheduler, self._limits, self._address, now + self._limits.watch_slack
+            )
+        stream = self._stream
+        send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
+        response = HttpResponse(self._limits.body)
+        while not response.done:
+            stream.receive()
+            if len(stream.receive_buffer):
+                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
+                # A response that stalls may contain a drain that discovery considers delivered. It
+                # is given up early and requested again at once.
+                until = self._scheduler.now() + self._limits.watch_stall
+            elif stream.peer_closed and not stream.broken:
+                response.connection_closed()
+            elif stream.broken:
+                raise Gone
+            elif self._scheduler.now() >= until:
+                raise Late
+            else:
+                self._scheduler.wait({stream.fd: READ}, until)
+        if not response.keep_alive:
+            self._close_stream()
+        if response.status in (429, 503):
+            # Not a fault: the connection and the known version are kept. Otherwise every balancer
+            # would request the full list from a discovery that is overloaded already.
+            raise Overbooked(f"status {response.status}")
+        content = parse_listing(response.json())
+        self._counters["discovery answers"] += 1
+        if content.unreadable_count:
+            self._counters["discovery entries that can't be read"] += content.unreadable_count
+        self._facade.apply_listing(Scope.FULL if content.is_full else Scope.DELTA, content)
+        self._index, self.has_answered = content.version, True
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/spoilt.py
@@ -97,21 +97,21 @@
 
 def loses_logins() -> None:
     """Each twentieth client's connection is ended without an answer."""
-    plain, seen = Relay._place, [0]
+    plain, seen = Relay._place_login, [0]
 
-    def place(self: Any, client: Any, first: Any) -> None:
+    def place(self: Any, client: Any, request: Any) -> None:
         seen[0] += 1
         if seen[0] % 20 == 0:
             client.close()
         else:
-            plain(self, client, first)
+            plain(self, client, request)
 
-    Relay._place = place  # type: ignore[method-assign]
+    Relay._place_login = place  # type: ignore[method-assign]
 
 
 def answers_late() -> None:
     """Each twentieth login waits past its time limit."""
-    arrived, seen = Facade.pick, [0]
+    arrived, seen = Facade.place_login, [0]
 
     def pick(self: Any, login_request: Any, until: int) -> Any:
         seen[0] += 1
@@ -119,7 +119,7 @@
             self._scheduler.sleep(4_200_000_000)
         return arrived(self, login_request, until)
 
-    Facade.pick = pick  # type: ignore[method-assign]
+    Facade.place_login = pick  # type: ignore[method-assign]
 
 
 def sends_twice() -> None:
@@ -140,7 +140,7 @@
 
 def ignores_drains() -> None:
     """What the list says of leaving is not heard."""
-    plain = Facade.listed
+    plain = Facade.apply_listing
 
     def listed(self: Any, scope: Any, content: Any) -> None:
         entries = [
@@ -149,7 +149,7 @@
         ]
         plain(self, scope, content._replace(entries=tuple(entries)))
 
-    Facade.listed = listed  # type: ignore[method-assign]
+    Facade.apply_listing = listed  # type: ignore[method-assign]
 
 
 def no_cold_guard() -> None:
@@ -171,10 +171,10 @@
 def played_disks() -> None:
     """No fault of the program: its file layer plays what the rig tells it, in a folder beside the store's."""
 
-    def played(path: str, make: bool = True) -> disks.Played:
-        return disks.Played(path, make, os.path.dirname(path) + ".rig")
+    def played(path: str, create: bool = True) -> disks.Played:
+        return disks.Played(path, create, os.path.dirname(path) + ".rig")
 
-    files.Disk = played  # type: ignore[assignment,misc]
+    files.DiskFiles = played  # type: ignore[assignment,misc]
 
 
 def jumping_clock() -> None:
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -22,7 +22,7 @@
 from corklift.net.scheduler import READ, WRITE
 from corklift.net.stream import Stream
 from corklift.policy import Balancer
-from corklift.service import Process
+from corklift.service import BalancerProcess
 
 MS = 1_000_000
 TRACES = Path(__file__).parent / "traces"
@@ -215,12 +215,12 @@
             }
             | settings,
         } | (more or {})
-        self.process = Process(self.config, lambda: self.now, VirtualPoll(self))
+        self.process = BalancerProcess(self.config, lambda: self.now, VirtualPoll(self))
         self.limits, self.counters = self.process.limits, self.process.counters
         self.seconds: list[
             str
         ] = []  # the lines that sum up a second; the traces hold what they sum up
-        self.process.printer.say = lambda text, always=False: (
+        self.process.log_writer.write = lambda text, always=False: (
             self.seconds.append(text) if text.startswith("second: ") else self.say(f"log: {text}")
         )
         self.process.start()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -12,7 +12,7 @@
 from scene import MS, Scene, Wire
 
 from corklift.interface import Login, MeasurementKind, Outcome, Report, Scope
-from corklift.net.limits import ConfigError, Counters, Limits, Printer
+from corklift.net.limits import ConfigError, Counters, Limits, LogWriter
 from corklift.net.parsers import (
     HttpResponse,
     Malformed,
@@ -116,7 +116,7 @@
     wire.run(9000)
     wire.say(wire.counters.text())
     wire.check("bad_input")
-    assert not wire.counters["exceptions"] and len(wire.process.relay._waiting) == 0
+    assert not wire.counters["exceptions"] and len(wire.process.relay._pending) == 0
 
 
 def test_bad_clients_reach_neither_a_server_nor_the_module_and_soon_make_room():
@@ -165,7 +165,7 @@
         len([line for line in wire.lines if "bad" in line or "mute" in line and "ended" in line])
         >= 900
     )
-    assert wire.counters["exceptions"] == 0 and not wire.process.relay._waiting
+    assert wire.counters["exceptions"] == 0 and not wire.process.relay._pending
 
 
 def test_an_end_is_passed_on_the_same_way():
@@ -335,7 +335,7 @@
     wire = Wire("up", discovery="on_request")
     wire.run(100)
     wire.move_discovery()
-    wire.process.watch.follow(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
+    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
     wire.run(3000)
     assert wire.counters["exceptions"] == 0 and wire.told[0][1] == "/registry/instances at 2", (
         wire.told
@@ -463,8 +463,8 @@
 def test_more_servers_than_connections_for_probes_are_all_probed():
     wire, seen = Wire(*["up"] * 12, limits={"sockets": 64}), set()
     assert wire.limits.probes == 8
-    real = wire.process.facade.probed
-    wire.process.facade.probed = lambda server, outcome, *rest: (
+    real = wire.process.facade.probe_finished
+    wire.process.facade.probe_finished = lambda server, outcome, *rest: (
         outcome is Outcome.FULFILLED and seen.add(server),
         real(server, outcome, *rest),
     )
@@ -480,11 +480,11 @@
     wire = Wire("up")
     wire.client("c1", OPEN, 1000, "x\r\n")
     wire.run(500)
-    real = wire.process.facade.report_up
-    wire.process.facade.report_up = lambda ticket: 1 / 0
+    real = wire.process.facade.report_connected
+    wire.process.facade.report_connected = lambda handle: 1 / 0
     wire.client("c2", OPEN)
     wire.run(300)
-    wire.process.facade.report_up = real
+    wire.process.facade.report_connected = real
     wire.run(1000)
     assert wire.counters["exceptions"] == 1
     assert any("c1 < echo x" in line for line in wire.lines)
@@ -492,7 +492,7 @@
         ["<", "FAILED"],
         ["ended"],
     ]
-    assert len(wire.process.facade._tickets) == 1
+    assert len(wire.process.facade._logins) == 1
 
 
 def test_what_all_connections_live_on_outlives_an_exception():
@@ -500,7 +500,7 @@
     wire = Wire("up", "up")
     wire.run(1000)
     facade = wire.process.facade
-    for name in ("tick", "next_probe", "listed"):
+    for name in ("run_due_timers", "next_probe", "apply_listing"):
         real = getattr(facade, name)
 
         def fails(*arguments, name=name, real=real):
@@ -519,13 +519,13 @@
     wire.run(500)
     assert wire.counters["exceptions"] == 3 and wire.lines[-1].endswith("c1 < UP s2")
     # A new address for discovery while its watch has just failed.
-    real = facade.listed
-    facade.listed = lambda *arguments: 1 / 0
+    real = facade.apply_listing
+    facade.apply_listing = lambda *arguments: 1 / 0
     wire.change(wire.entry("s1"))
     wire.run(10)
-    facade.listed = real
+    facade.apply_listing = real
     wire.move_discovery()
-    wire.process.watch.follow(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
+    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
     wire.run(500)
     assert wire.told[-1][1].endswith(" at 2") and wire.process.watch._index == wire.index
 
@@ -620,12 +620,12 @@
         for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)
     ]
     for _ in range(2):
-        facade.listed(
+        facade.apply_listing(
             Scope.FULL, parse_listing({"index": 1, "snapshot": True, "endpoints": entries})
         )
-    places = [facade.server_named(entry["name"]) for entry in entries]
-    assert [place.address[1] for place in places] == [1, 2, 3] and len(
-        {place.server for place in places}
+    places = [facade.find_server(entry["name"]) for entry in entries]
+    assert [target.address[1] for target in places] == [1, 2, 3] and len(
+        {target.server for target in places}
     ) == 3
 
 
@@ -676,12 +676,12 @@
     limits = Limits.from_deployment(
         {"sockets": 100, "memory_mb": 64}, 200 * MS, 3, 3200 * MS, 10_000 * MS, False
     )
-    printer = Printer(limits, lambda: now[0], counters)
+    log_writer = LogWriter(limits, lambda: now[0], counters)
     for number in range(1000):
-        printer.say(f"line {number}")
+        log_writer.write(f"line {number}")
     now[0] = 2000 * MS
-    printer.say("later")
-    printer.print_all()
+    log_writer.write("later")
+    log_writer.flush()
     lines = capsys.readouterr().err.splitlines()
     assert (
         len(lines) == limits.printed + 1 and counters["log lines dropped"] == 1000 - limits.printed
