--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -168,7 +168,7 @@
             ("127.0.0.1", self.port),
             Random(1),
         )
-        self.scheduler.spawn(self.channel.keep_connected)
+        self.scheduler.spawn(self.channel.connect_loop)
         self._measure_updates()
         self._measure_drains()
         self._measure_even()
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -81,7 +81,7 @@
     def write(self, event: str, **fields: Any) -> None:
         self._log.info(event, **fields)
 
-    def keep_writing(self) -> None:
+    def write_loop(self) -> None:
         self._task = self._scheduler.current
         while True:
             if not self._queue:
@@ -225,7 +225,7 @@
 
     # Update loop
 
-    def keep_updating_weights(self) -> None:
+    def update_loop(self) -> None:
         while True:
             self._update_weights(self.scheduler.now())
             self.subscriptions.tick(self.scheduler.now())
@@ -347,13 +347,13 @@
 
     def start(self) -> None:
         spawn = self.scheduler.spawn
-        spawn(self.event_log.keep_writing)
+        spawn(self.event_log.write_loop)
         for job in (
             self.facade.timer_loop,
             self.probes.probe_loop,
             self.watch.watch_loop,
-            self.keep_updating_weights,
-            self.server.keep_accepting,
+            self.update_loop,
+            self.server.accept_loop,
             *(self.persistent_state.jobs() if self.persistent_state else ()),
         ):
             spawn(self._run_supervised, job)
--- a/corklift/control/status.py
+++ b/corklift/control/status.py
@@ -50,7 +50,7 @@
             channel.close()
             scheduler.stop()
 
-    scheduler.spawn(channel.keep_connected)
+    scheduler.spawn(channel.connect_loop)
     scheduler.spawn(fetch)
     scheduler.run()
     if isinstance(results[0], RpcError):
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -238,7 +238,7 @@
 
     def _keep_accepting(self) -> None:
         self._await_resume()
-        self._server.keep_accepting()
+        self._server.accept_loop()
 
     def _await_resume(self) -> None:
         while self._waits and not self._left:
--- a/corklift/rpc/client.py
+++ b/corklift/rpc/client.py
@@ -38,7 +38,7 @@
         self._closed = False
         self.connect_failed_at = 0  # time of the last failed connect
 
-    def keep_connected(self) -> None:
+    def connect_loop(self) -> None:
         """Connects, and reconnects until `close`; runs in a greenlet of its own."""
         self._connect_task = self._scheduler.current
         while not self._closed:
--- a/corklift/rpc/server.py
+++ b/corklift/rpc/server.py
@@ -67,7 +67,7 @@
         self._listener = sock
         return int(sock.getsockname()[1])
 
-    def keep_accepting(self) -> None:
+    def accept_loop(self) -> None:
         assert self._listener is not None
         self._accept_task = self._scheduler.current
         while not self._stopping:
--- a/corklift/standins/proxy.py
+++ b/corklift/standins/proxy.py
@@ -291,7 +291,7 @@
         self.stopped = False
 
     def start(self) -> None:
-        self._scheduler.spawn(self.channel.keep_connected)
+        self._scheduler.spawn(self.channel.connect_loop)
         self._scheduler.spawn(self._keep, self._follow)
         if self.habits.reports:
             self._scheduler.spawn(self._keep, self._report)
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -298,7 +298,7 @@
         },
     )
     port = server.listen(("127.0.0.1", 0))
-    loop.do(lambda: loop.scheduler.spawn(server.keep_accepting))
+    loop.do(lambda: loop.scheduler.spawn(server.accept_loop))
     return server, port, seen
 
 
@@ -402,7 +402,7 @@
             ("127.0.0.1", port),
             Random(1),
         )
-        loop.do(lambda: loop.scheduler.spawn(channel.keep_connected))
+        loop.do(lambda: loop.scheduler.spawn(channel.connect_loop))
 
         def soon(seconds=5):
             return loop.scheduler.now() + seconds * SECOND
