--- a/corklift/membership/__init__.py
+++ b/corklift/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which balancers of one service live: a core without I/O, the count that the guards go by, and the calls between peers."""
+"""Membership of the balancers of one service: protocol core, count of balancers, and peer RPCs."""
--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -1,12 +1,16 @@
-"""Who lives, as one member comes to know it.
+"""Failure detection and membership gossip, from the view of one member.
 
-After SWIM (Das, Gupta, Motivala 2002: a probe a period, indirect probes, suspicion, incarnations, words that ride on probes)
-and Lifeguard (Dadgar, Phillips, Currey 2018: a member that is slow itself waits longer, suspicions shrink as others share them,
-a suspect is told first). What was kept and changed: docs/design/membership.md.
+Follows SWIM (Das, Gupta, Motivala 2002: one probe per period, indirect probes, suspicion,
+incarnations, gossip piggybacked on probes) and Lifeguard (Dadgar, Phillips, Currey 2018: a member
+that is slow itself uses longer timeouts, suspicions expire sooner as more members confirm them, a
+suspected member is told first). The differences are described in docs/design/membership.md.
 
-Owns this member's table and its own incarnation. Free of I/O and clocks: it is told what happened and at what time, and acts
-by calls on its host. Must never call a member dead in a period in which it was stopped itself, forget one because it is silent
-(see `count`), or send more in a period because the fleet is larger.
+Holds this member's table of the others and its own incarnation. Does no I/O and reads no clock: the
+caller passes in each event with its time, and the module acts through its `Host`.
+
+Invariants: never declares a member dead in a period in which this process was paused itself; never
+drops a member because it is silent (see `count`); never sends more in a period because the fleet is
+larger.
 """
 
 from __future__ import annotations
@@ -42,68 +46,87 @@
 
 
 class MembershipConfig(NamedTuple):
-    """Times as ratios to the probe period, and counts; the period alone is in ns."""
+    """Timeouts and limits. `period` is in ns; other times are in probe periods."""
 
     period: int = 1_000_000_000
-    ack_timeout: float = 0.3  # of a period, for a direct answer; then others are request to try
-    relays: int = 3  # how many others
-    min_suspicion: float = (
-        4.0  # periods of suspicion, times the fleet's log10, once enough others share it
-    )
-    max_suspicion_factor: float = 6.0  # times as long where nobody else does
-    confirmations: int = 3  # others, for the least
-    max_slowdown: int = (
-        8  # times its usual spans that a member goes by, at most, when it is slow itself
-    )
-    records_per_message: int = 8  # that ride on a message
-    retransmit_factor: int = 3  # times log2 of the fleet that a word is passed on by each
-    page_size: int = 32  # words of a page, where two tables differ
-    page_interval: float = 1.0  # periods between two pages that are request for
-    retry_interval: float = (
-        4.0  # periods between tries of a member held for dead, or an address nobody is known at
-    )
-    min_join_backoff: float = (
-        0.25  # of a period, spread, before a second try to join; doubled up to ...
-    )
-    max_join_backoff: float = 4.0  # ... periods
-    pause_threshold: float = (
-        0.5  # of a period: a tick this late shows that this process was stopped
-    )
-    max_members: int = 4096  # of a table; further ones are not taken in
+    # After this time without a direct reply, other members are asked to probe.
+    ack_timeout: float = 0.3
+    # Members that are asked to probe indirectly.
+    relays: int = 3
+    # Shortest suspicion before a member is declared dead, times log10 of the fleet's size. It
+    # applies once enough other members have confirmed the suspicion.
+    min_suspicion: float = 4.0
+    # Without any confirmation, a suspicion lasts this many times as long.
+    max_suspicion_factor: float = 6.0
+    # Confirmations by other members that reduce a suspicion to the minimum.
+    confirmations: int = 3
+    # A member that is slow itself lengthens its timeouts up to this factor.
+    max_slowdown: int = 8
+    # Records that are piggybacked on a message.
+    records_per_message: int = 8
+    # Each member passes a record on this many times, times log2 of the fleet's size.
+    retransmit_factor: int = 3
+    # Records in one page of a table sync.
+    page_size: int = 32
+    # Time between two pages that are requested.
+    page_interval: float = 1.0
+    # Time between two calls to a member that is considered dead, or to an address without a known
+    # member.
+    retry_interval: float = 4.0
+    # Time before the second attempt to join; it doubles with each attempt, up to the maximum.
+    min_join_backoff: float = 0.25
+    max_join_backoff: float = 4.0
+    # A tick that is this late shows that this process was paused.
+    pause_threshold: float = 0.5
+    # Size of the member table; further members are ignored.
+    max_members: int = 4096
 
 
 class Host(Protocol):
-    """What a member may do."""
+    """Actions that the membership core takes through its environment."""
 
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
-    ) -> None: ...
-    def send_reply(self, call_id: int, message: Message) -> None: ...
-    def member_changed(
-        self, record: MemberRecord, was: MemberState | None
-    ) -> None: ...  # what this member holds of another
-    def count_changed(self, count: int) -> None: ...  # balancers that may be placing, this one too
-    def name_rejected(self, reason: str) -> None: ...  # another process has this name
-    def log(self, text: str) -> None: ...
+    ) -> None:
+        """Calls a peer; ends in `reply_received`, or in `request_failed` by the time `until`."""
+        ...
+
+    def send_reply(self, call_id: int, message: Message) -> None:
+        """Replies to a peer's call."""
+        ...
+
+    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
+        """The state of another member has changed; `previous` is None for a new one."""
+        ...
+
+    def count_changed(self, count: int) -> None:
+        """The number of balancers that may be placing logins has changed; it includes this one."""
+        ...
+
+    def name_rejected(self, reason: str) -> None:
+        """Another process uses this member's name."""
+        ...
+
+    def log(self, text: str) -> None:
+        """Writes a log line."""
+        ...
 
 
 @dataclass(slots=True)
 class _Request:
-    """A call under way."""
+    """A request to a peer that has not ended."""
 
     kind: str
     name: str = ""
     instance_id: int = 0
     address: str = ""
     sent_at: int = 0
-    callback: Callable[[int, Message | None], None] | None = (
-        None  # for the few that go on in their own way
-    )
+    callback: Callable[[int, Message | None], None] | None = None
 
 
 @dataclass(slots=True)
 class _Probe:
-    """Of one period."""
+    """The probe of one period."""
 
     record: MemberRecord
     ends_at: int
@@ -111,17 +134,21 @@
     acked: bool = False
     relay_count: int = 0
     nack_count: int = 0
-    void: bool = False  # this process was stopped meanwhile
+    void: bool = False  # this process was paused meanwhile, so the result says nothing
 
 
 @dataclass(slots=True)
 class _Suspicion:
+    """A suspicion of one member and the members that reported it."""
+
     started_at: int
     expires_at: int
     reporters: set[str] = field(default_factory=set)
 
 
 class Membership:
+    """This member's view of the fleet."""
+
     def __init__(
         self,
         host: Host,
@@ -136,56 +163,75 @@
         zone: str = "",
         version: str = "",
     ) -> None:
-        """`join`: addresses to join by; `expected`: balancers that there may be before any is known by name."""
+        """Creates a member that is not started yet.
+
+        Args:
+            host: carries out the actions.
+            rng: source of random numbers.
+            config: timeouts and limits.
+            now: current time, in ns.
+            name: name of this member, unique in the fleet.
+            address: IPv4:PORT at which other members reach this one.
+            join: addresses at which to join the fleet.
+            expected: balancers to assume before any is known by name.
+            zone: zone of this member, passed on to the others.
+            version: program version of this member, passed on to the others.
+        """
         self._host, self._rng, self._config = host, rng, config
         self.own_record = MemberRecord(
             name, address, rng.getrandbits(63) | 1, 0, 1, ALIVE, zone, version
         )
-        self.table: dict[str, MemberRecord] = {}  # of the others
-        self._names: list[str] = []  # of the table, in order
+        self.table: dict[str, MemberRecord] = {}  # the other members, by name
+        self._names: list[str] = []  # names in the table, sorted
         self._digest = self._hash_record(self.own_record)
-        self._gossip_queue: dict[
-            str, list[int]
-        ] = {}  # names whose word is passed on, and how often it was
+        # Names of the members whose records are being passed on, with the number of times each was
+        # sent.
+        self._gossip_queue: dict[str, list[int]] = {}
         self._suspicions: dict[str, _Suspicion] = {}
         self._requests: dict[int, _Request] = {}
         self._next_request_id = 1
-        self._probe_round: list[
-            str
-        ] = []  # whom to probe yet, in a random order that is drawn anew when it ends
+        # Members still to be probed in this round; each round has a new random order.
+        self._probe_round: list[str] = []
         self._probe: _Probe | None = None
         self._next_probe_at = now + int(rng.random() * config.period)
-        self._slowdown = 0  # how slow this process holds itself to be
-        self._no_deaths_until = (
-            0  # it was stopped: nobody is called dead till an answer shows that it hears
-        )
+        self._slowdown = 0  # Lifeguard's local health multiplier; 0: healthy
+        # After a pause of this process, no member is declared dead before this time or the first
+        # timely reply. 0: no pause.
+        self._no_deaths_until = 0
         self._join_addresses = [at for at in join if at != address]
         rng.shuffle(self._join_addresses)
         self._next_join_at, self._join_attempts = now, 0
         self.joined = not self._join_addresses
-        self._untried_addresses = set(
-            self._join_addresses
-        )  # addresses to join by that have not been tried to the end
+        # Addresses at which no attempt to join has ended yet.
+        self._untried_addresses = set(self._join_addresses)
         self._announced = self.joined
-        self._announced_to: set[str] = (
-            set()
-        )  # members that were told of this one, or did not answer
-        self._pending_announcements = 0  # calls for that under way
-        self._table_synced = False  # all that a peer holds has come once
+        # Members to which this one has been announced, whether or not they replied.
+        self._announced_to: set[str] = set()
+        self._pending_announcements = 0
+        self._table_synced = False  # the whole table of a peer has been received once
         self._next_sync_at = self._next_retry_at = now
-        self._sync_cursor = ""  # how far pages went
+        self._sync_cursor = ""  # name after which the next page begins
         self._verifying_name = False
         self._leaving = False
-        self.rejected = False  # another process has its name
-        self._expected_tick_at = now  # when it request to be called again
+        self.rejected = False  # another process uses this name
+        self._expected_tick_at = now  # time for which the next tick was requested
         self.count = BalancerCount(expected, config.period, now)
         self._reported_count = 0
 
-    # What the host tells
+    # Events
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
-        """Before the start: what an earlier process of this name came to, and how many balancers there were then, by the disk. Words of
-        before are thereby old from the first message on, and not only once somebody tells of them."""
+        """Continues from what an earlier process of this name stored; to be called before the
+        start.
+
+        Records of the earlier process are thereby outdated from the first message on, and not only
+        when a peer passes one on.
+
+        Args:
+            incarnation: incarnation to go on from.
+            restart_count: how many processes had this name before.
+            expected: number of balancers at that time.
+        """
         if (incarnation, restart_count) > (
             self.own_record.incarnation,
             self.own_record.restart_count,
@@ -197,10 +243,11 @@
         self.count.raise_expected(expected)
 
     def start(self) -> None:
+        """Reports the initial count to the host."""
         self._update_count()
 
     def tick(self, now: int) -> int:
-        """Does what is due; returns when the next is."""
+        """Does the work that is due; returns the time of the next tick."""
         self._detect_pause(now)
         if self._leaving:
             self._expected_tick_at = now + self._config.period
@@ -231,6 +278,7 @@
         return self._expected_tick_at
 
     def reply_received(self, now: int, request_id: int, message: Message) -> None:
+        """A peer has replied to a request."""
         self._detect_pause(now)
         request = self._requests.pop(request_id, None)
         if request is None or self.rejected:
@@ -268,22 +316,24 @@
             and request.instance_id
             and message.sender.instance_id != request.instance_id
         ):
-            self._declare_dead(
-                now, request.name, request.instance_id
-            )  # another process has its address now
+            # Another process has the address now.
+            self._declare_dead(now, request.name, request.instance_id)
 
     def request_failed(self, now: int, request_id: int) -> None:
-        """By its time, or because the call failed."""
+        """A request has timed out or failed."""
         self._detect_pause(now)
         request = self._requests.pop(request_id, None)
         if request is not None and request.callback is not None:
             request.callback(now, None)
 
     def request_received(self, now: int, call_id: int, message: Message) -> None:
-        """A peer's call has come; it is answered once, now or later."""
+        """A peer has called; exactly one reply is sent, at once or later."""
         self._detect_pause(now)
         if self.rejected:
-            self._host.send_reply(call_id, self._message(now, NACK, reason="not of the fleet"))
+            self._host.send_reply(
+                call_id,
+                self._message(now, NACK, reason="this process is not a member of the fleet"),
+            )
             return
         if message.sender.instance_id == self.own_record.instance_id:
             self._host.send_reply(call_id, self._message(now, SELF))
@@ -299,10 +349,10 @@
             and message.target_name != self.own_record.name
         ):
             self._host.send_reply(
-                call_id, self._message(now, NACK, reason="not the process that is meant")
+                call_id, self._message(now, NACK, reason="this is not the intended process")
             )
         elif message.kind == PING:
-            self._host.send_reply(call_id, self._message(now, ACK, about=message.sender.name))
+            self._host.send_reply(call_id, self._message(now, ACK, receiver=message.sender.name))
         elif message.kind == SYNC:
             page, cursor = self._sync_page(message.cursor)
             self._host.send_reply(call_id, self._message(now, ACK, records=page, cursor=cursor))
@@ -311,32 +361,46 @@
         else:
             self._host.send_reply(
                 call_id,
-                self._message(now, UNKNOWN, reason=f"{message.kind[:40]!r} is not known here"),
+                self._message(
+                    now, UNKNOWN, reason=f"unknown kind of message: {message.kind[:40]!r}"
+                ),
             )
 
     def detect_pause(self, now: int) -> None:
-        """Something is about to be placed: a process that was stopped sees that first, and counts for placing whoever may be."""
+        """Checks, before a login is placed, whether this process was paused; if so, the count is
+        raised first.
+        """
         self._detect_pause(now)
 
     def set_connections(self, now: int, connections: int) -> None:
-        """So many connections stand at servers through this balancer."""
+        """Sets how many connections stand at servers through this balancer."""
         self.count.set_connections(now, connections)
 
     def server_reported(self, now: int, server: str, connections: float, listed: set[str]) -> None:
-        """A server told how many connections it holds, whoever placed them; `listed`: all servers that may hold some."""
+        """Records the connections that a server reports, whichever balancer placed them; `listed`:
+        all servers that may hold some.
+        """
         if self.count.server_reported(now, server, connections, listed):
             self._update_count()
 
     def forget(self, now: int, name: str) -> bool:
-        """Operators say that this member is gone for good; whether it was held for dead. One that lives denies it."""
-        held = self.table.get(name)
-        if held is None or held.state != DEAD:
+        """Operators declare that a dead member is gone for good; a live one would refute this.
+
+        Returns:
+            Whether the member was considered dead, and thus forgotten.
+        """
+        current = self.table.get(name)
+        if current is None or current.state != DEAD:
             return False
-        self._merge_record(now, updated_record(held, state=LEFT, reporter="operators"))
+        self._merge_record(now, updated_record(current, state=LEFT, reporter="operators"))
         return True
 
     def leave(self, now: int) -> list[tuple[int, str]]:
-        """It places nothing any more: this is told to a few, who tell the others."""
+        """Announces to a few members, who pass it on, that this balancer places no more logins.
+
+        Returns:
+            The requests, each as (request id, name of the member).
+        """
         self._detect_pause(now)
         if self.rejected:
             return []
@@ -344,24 +408,27 @@
         self._digest ^= self._hash_record(self.own_record)
         self.own_record = updated_record(self.own_record, state=LEFT)
         self._digest ^= self._hash_record(self.own_record)
-        told = self._rng.sample(
+        receivers = self._rng.sample(
             self.live_members, min(len(self.live_members), self._config.relays + 1)
         )
-        return [(self._request(now, PING, record), record.name) for record in told]
+        return [(self._request(now, PING, record), record.name) for record in receivers]
 
-    # What the host may ask
+    # Queries
 
     @property
     def admitted(self) -> bool:
-        """Whether it may place: a peer has let it in and all that it knows of were told of it, or none answers at any address.
+        """Whether this balancer may place logins.
 
-        Guards against a second process of one name that places until it is refused, and against members that divide a cold
-        server's budget by a count which does not hold this one yet. Costs a start a period or so."""
+        It may once a peer has accepted it and it has announced itself to all known members, or if
+        no peer replies at any address. This guards against a second process of the same name that
+        places logins until it is rejected, and against members that divide a cold server's budget
+        by a count without this one. It delays a start by about one period.
+        """
         return self._announced or not self._untried_addresses and not self.joined
 
     @property
     def live_members(self) -> list[MemberRecord]:
-        """The others that are not held for dead or gone."""
+        """The other members that are alive or suspected."""
         return [record for record in self.table.values() if record.state <= SUSPECT]
 
     # Messages
@@ -372,7 +439,7 @@
         kind: str,
         *,
         to: MemberRecord | None = None,
-        about: str = "",
+        receiver: str = "",
         records: tuple[MemberRecord, ...] = (),
         **more: object,
     ) -> Message:
@@ -382,26 +449,28 @@
             self.own_record,
             to.name if to else "",
             to.instance_id if to else 0,
-            records or self._gossip_for(about or (to.name if to else "")),
+            records or self._gossip_for(receiver or (to.name if to else "")),
             self._digest,
             window,
             min_connections,
             **more,  # type: ignore[arg-type]
         )
 
-    def _gossip_for(self, about: str) -> tuple[MemberRecord, ...]:
-        """The words that were passed on least; first what is held of the one that is spoken to, if that is bad.
+    def _gossip_for(self, receiver: str) -> tuple[MemberRecord, ...]:
+        """Returns the records that were passed on least often.
 
-        Guards against a member called dead that hears of it last (Lifeguard's buddy system)."""
-        held = self.table.get(about)
-        chosen = [held] if held is not None and held.state != ALIVE else []
+        If the receiver is not considered alive, its own record comes first. This guards against a
+        member that learns last that it is suspected or declared dead (Lifeguard's buddy system).
+        """
+        current = self.table.get(receiver)
+        chosen = [current] if current is not None and current.state != ALIVE else []
         max_sends = self._config.retransmit_factor * max(1, ceil(log2(len(self.table) + 2)))
         for name in nsmallest(
             self._config.records_per_message - len(chosen),
             self._gossip_queue,
             key=lambda name: self._gossip_queue[name][0],
         ):
-            if name != about:
+            if name != receiver:
                 chosen.append(self.table[name])
             self._gossip_queue[name][0] += 1
             if self._gossip_queue[name][0] >= max_sends:
@@ -448,10 +517,12 @@
         for record in message.records[:MAX_RECORDS]:
             self._merge_record(now, record)
         if message.digest == self._digest and sender.state == ALIVE:
-            # Guards against a start that waits for a page which nobody sends, as news has made both alike.
+            # Guards against a start that waits for a page which nobody sends, because gossip has
+            # made both tables equal.
             self._table_synced = True
         elif not self._leaving and now >= self._next_sync_at and sender.state == ALIVE:
-            # A page a period, from where the last one ended: what differs comes round without a burst.
+            # One page per period, from where the last one ended: differences are resolved without a
+            # burst.
             span = self._config.page_interval * self._config.period * self._rng.uniform(0.75, 1.25)
             self._next_sync_at = now + int(span if self._announced else span / 8)
             self._request(
@@ -464,27 +535,28 @@
             self._table_synced or message is not None and message.kind == ACK and not message.cursor
         )
 
-    # Words
+    # Member records
 
     @staticmethod
     def _hash_record(record: MemberRecord) -> int:
         if record.state == SUSPECT:
-            record = updated_record(record, state=ALIVE)  # a suspicion settles by itself
+            # A suspicion resolves itself, so it makes no difference between two tables.
+            record = updated_record(record, state=ALIVE)
         return xxh3_64_intdigest(
             f"{record.name} {record.instance_id} {record.incarnation} {int(record.state)}".encode()
         )
 
     def _merge_record(self, now: int, record: MemberRecord) -> None:
-        """One word about a member. Whatever order words come in, all members come to hold the same."""
+        """Merges a record; the result does not depend on the order in which records arrive."""
         if record.name == self.own_record.name:
             self._merge_own_record(now, record)
             return
-        held = self.table.get(record.name)
-        if held is not None and record.rank <= held.rank:
-            if record.state == held.state == SUSPECT and record.rank == held.rank:
+        current = self.table.get(record.name)
+        if current is not None and record.rank <= current.rank:
+            if record.state == current.state == SUSPECT and record.rank == current.rank:
                 self._confirm_suspicion(now, record)
             return
-        if held is None:
+        if current is None:
             if len(self.table) >= self._config.max_members or record.state > LEFT:
                 return
             insort(self._names, record.name)
@@ -493,21 +565,25 @@
                     self._rng.randrange(len(self._probe_round) + 1), record.name
                 )
         else:
-            self._digest ^= self._hash_record(held)
+            self._digest ^= self._hash_record(current)
         self.table[record.name] = record
         self._digest ^= self._hash_record(record)
         self._gossip_queue[record.name] = [0]
-        was = MemberState(held.state) if held is not None else None
+        previous = MemberState(current.state) if current is not None else None
         if record.state == SUSPECT:
             self._suspicions[record.name] = _Suspicion(now, 0)
             self._confirm_suspicion(now, record)
         else:
             self._suspicions.pop(record.name, None)
-        if record.state != was or held is not None and held.instance_id != record.instance_id:
+        if (
+            record.state != previous
+            or current is not None
+            and current.instance_id != record.instance_id
+        ):
             if (
                 record.state <= SUSPECT
-                and was is not None
-                and was >= DEAD
+                and previous is not None
+                and previous >= DEAD
                 and record.name not in self._probe_round
             ):
                 self._probe_round.append(record.name)
@@ -518,45 +594,46 @@
                 if record.state == DEAD
                 else self.count.member_left
             )(now, record.name)
-            self._host.member_changed(record, was)
+            self._host.member_changed(record, previous)
             self._update_count()
 
     def _merge_own_record(self, now: int, record: MemberRecord) -> None:
-        mine = self.own_record
-        if record.instance_id == mine.instance_id:
+        own = self.own_record
+        if record.instance_id == own.instance_id:
             if (
                 record.state != ALIVE
-                and record.incarnation >= mine.incarnation
+                and record.incarnation >= own.incarnation
                 and not self._leaving
             ):
                 self._host.log(
-                    f"denied that this balancer is {MemberState(min(record.state, LEFT)).name.lower()}"
+                    "denied that this balancer is "
+                    f"{MemberState(min(record.state, LEFT)).name.lower()}"
                 )
                 self._slowdown = min(self._config.max_slowdown - 1, self._slowdown + 1)
-                self._raise_incarnation(record.incarnation + 1, mine.restart_count)
+                self._raise_incarnation(record.incarnation + 1, own.restart_count)
             return
         if record.state >= DEAD:  # an earlier process of this name
-            if record.incarnation >= mine.incarnation:
+            if record.incarnation >= own.incarnation:
                 self._raise_incarnation(
-                    record.incarnation + 1, max(mine.restart_count, record.restart_count + 1)
+                    record.incarnation + 1, max(own.restart_count, record.restart_count + 1)
                 )
-        elif (record.restart_count, record.instance_id) > (mine.restart_count, mine.instance_id):
-            if record.incarnation >= mine.incarnation:
-                self._raise_incarnation(
-                    record.incarnation + 1, mine.restart_count
-                )  # the later of the two hears it, and looks
+        elif (record.restart_count, record.instance_id) > (own.restart_count, own.instance_id):
+            if record.incarnation >= own.incarnation:
+                # The later process of the two receives this record and verifies which one lives.
+                self._raise_incarnation(record.incarnation + 1, own.restart_count)
         elif not self._verifying_name:
             self._verifying_name = True
 
-            def verified(at: int, answer: Message | None) -> None:
+            def on_reply(at: int, reply: Message | None) -> None:
                 self._verifying_name = False
                 if (
-                    answer is not None
-                    and answer.kind == ACK
-                    and answer.sender.instance_id == record.instance_id
+                    reply is not None
+                    and reply.kind == ACK
+                    and reply.sender.instance_id == record.instance_id
                 ):
                     self._stop_rejected(
-                        f"the name {self.own_record.name} is in use by an earlier process at {record.address}"
+                        f"the name {self.own_record.name} is in use by an earlier process at "
+                        f"{record.address}"
                     )
                 elif record.incarnation >= self.own_record.incarnation:
                     self._raise_incarnation(
@@ -564,7 +641,7 @@
                         max(self.own_record.restart_count, record.restart_count + 1),
                     )
 
-            self._request(now, PING, record, done=verified)
+            self._request(now, PING, record, done=on_reply)
 
     def _raise_incarnation(self, incarnation: int, restart_count: int) -> None:
         self._digest ^= self._hash_record(self.own_record)
@@ -574,20 +651,24 @@
         self._digest ^= self._hash_record(self.own_record)
 
     def _stop_rejected(self, reason: str) -> None:
-        """Says nothing more: whatever it said would be taken for the other one's word."""
+        """Stops sending; anything sent would be taken for a message of the other process of this
+        name.
+        """
         if not self.rejected:
             self.rejected = self._leaving = True
             self._host.name_rejected(reason)
 
     def _declare_dead(self, now: int, name: str, instance_id: int) -> None:
-        held = self.table.get(name)
-        if held is not None and held.instance_id == instance_id and held.state <= SUSPECT:
-            self._merge_record(now, updated_record(held, state=DEAD, reporter=self.own_record.name))
+        current = self.table.get(name)
+        if current is not None and current.instance_id == instance_id and current.state <= SUSPECT:
+            self._merge_record(
+                now, updated_record(current, state=DEAD, reporter=self.own_record.name)
+            )
 
     # Suspicion
 
     def _confirm_suspicion(self, now: int, record: MemberRecord) -> None:
-        """One more suspects it: the more do, the less the others wait for its denial."""
+        """Adds a reporter to a suspicion; the more reporters, the sooner it expires."""
         suspicion = self._suspicions.get(record.name)
         if suspicion is None or record.reporter in suspicion.reporters:
             return
@@ -596,24 +677,29 @@
             if len(suspicion.reporters) > 1:
                 self._gossip_queue[record.name] = [0]
         fleet = len(self.table) + 1
-        least = self._config.min_suspicion * max(1.0, log10(fleet)) * self._config.period
+        min_span = self._config.min_suspicion * max(1.0, log10(fleet)) * self._config.period
         needed = min(self._config.confirmations, fleet - 2)
-        part = log10(len(suspicion.reporters)) / log10(needed + 1) if needed > 0 else 1.0
+        share = log10(len(suspicion.reporters)) / log10(needed + 1) if needed > 0 else 1.0
         span = max(
-            least,
-            least * self._config.max_suspicion_factor
-            - least * (self._config.max_suspicion_factor - 1) * part,
+            min_span,
+            min_span * self._config.max_suspicion_factor
+            - min_span * (self._config.max_suspicion_factor - 1) * share,
         )
         suspicion.expires_at = suspicion.started_at + int(span)
 
     def _suspect(self, now: int, record: MemberRecord) -> None:
-        held = self.table.get(record.name)
-        if held is not None and held.instance_id == record.instance_id and held.state <= SUSPECT:
-            suspected = updated_record(held, state=SUSPECT, reporter=self.own_record.name)
-            if held.state == SUSPECT:
+        current = self.table.get(record.name)
+        if (
+            current is not None
+            and current.instance_id == record.instance_id
+            and current.state <= SUSPECT
+        ):
+            suspected = updated_record(current, state=SUSPECT, reporter=self.own_record.name)
+            if current.state == SUSPECT:
                 self._confirm_suspicion(now, suspected)
                 if self._gossip_queue.get(record.name) == [0]:
-                    self.table[record.name] = suspected  # passed on as said by this one too
+                    # Passed on with this member as the reporter.
+                    self.table[record.name] = suspected
             else:
                 self._merge_record(now, suspected)
 
@@ -630,9 +716,11 @@
             )
 
     def _detect_pause(self, now: int) -> None:
-        """A call that comes late shows that this process was stopped, starved or asleep: it doubts itself first.
+        """Detects from a late call that this process was stopped, starved of CPU or suspended.
 
-        What it waited for meanwhile tells nothing of the others, and suspicions wait as long as it did."""
+        What it waited for meanwhile says nothing about the others: the current probe becomes void,
+        and suspicions last longer by the length of the pause.
+        """
         late = now - self._expected_tick_at
         if late <= self._config.pause_threshold * self._config.period:
             return
@@ -672,10 +760,10 @@
         if probe is not None and now >= probe.ends_at:
             self._probe = None
             if not probe.acked and not probe.void:
-                missed = probe.relay_count - probe.nack_count
+                missing_nacks = probe.relay_count - probe.nack_count
                 self._slowdown = min(
                     self._config.max_slowdown - 1,
-                    self._slowdown + (missed if probe.relay_count else 1),
+                    self._slowdown + (missing_nacks if probe.relay_count else 1),
                 )
                 self._suspect(now, probe.record)
         if self._probe is None and now >= self._next_probe_at:
@@ -719,18 +807,18 @@
             )
 
     def _relay_probe(self, now: int, call_id: int, subject: MemberRecord, timeout: int) -> None:
-        def tried(at: int, answer: Message | None) -> None:
-            fine = (
-                answer is not None
-                and answer.kind == ACK
-                and answer.sender.instance_id == subject.instance_id
+        def on_reply(at: int, reply: Message | None) -> None:
+            reached = (
+                reply is not None
+                and reply.kind == ACK
+                and reply.sender.instance_id == subject.instance_id
             )
             self._host.send_reply(
                 call_id,
                 self._message(
                     at,
-                    ACK if fine else NACK,
-                    records=(answer.sender,) if fine and answer is not None else (),
+                    ACK if reached else NACK,
+                    records=(reply.sender,) if reached and reply is not None else (),
                 ),
             )
 
@@ -740,10 +828,10 @@
             PING,
             known if known is not None and known.instance_id == subject.instance_id else subject,
             span=max(1, min(timeout, self._config.max_slowdown * self._config.period)),
-            done=tried,
+            done=on_reply,
         )
 
-    # Joining and joining again
+    # Joining and rejoining
 
     def _keep_joining(self, now: int) -> None:
         if self.joined or now < self._next_join_at:
@@ -762,42 +850,44 @@
         )
 
     def _try_to_join(self, now: int, address: str) -> None:
-        def done(at: int, answer: Message | None) -> None:
+        def done(at: int, reply: Message | None) -> None:
             self._untried_addresses.discard(address)
-            if answer is None:
+            if reply is None:
                 return
-            if answer.kind == SELF:
+            if reply.kind == SELF:
                 self._join_addresses = [known for known in self._join_addresses if known != address]
                 self.joined = self.joined or not self._join_addresses
-            elif answer.kind == REFUSED:
-                self._stop_rejected(answer.reason)
-            elif answer.kind == ACK and not self.joined:
+            elif reply.kind == REFUSED:
+                self._stop_rejected(reply.reason)
+            elif reply.kind == ACK and not self.joined:
                 self.joined = True
-                self._table_synced = answer.digest == self._digest
-                self._host.log(f"joined by {answer.sender.name} at {address}")
+                self._table_synced = reply.digest == self._digest
+                self._host.log(f"joined the fleet through {reply.sender.name} at {address}")
 
         self._request(
             now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, done=done
         )
 
     def _announce(self, now: int) -> None:
-        """Tells of itself to all that it knows of, a few at a time."""
+        """Announces this member to all known members, a few at a time."""
 
-        def done(at: int, answer: Message | None) -> None:
+        def done(at: int, reply: Message | None) -> None:
             self._pending_announcements -= 1
 
-        alike = self._table_synced or all(record.state > SUSPECT for record in self.table.values())
+        synced = self._table_synced or all(record.state > SUSPECT for record in self.table.values())
         left = [record for record in self.live_members if record.name not in self._announced_to]
         for record in left[: self._config.records_per_message]:
             self._announced_to.add(record.name)
             self._pending_announcements += 1
             self._request(now, PING, record, done=done)
-        self._announced = alike and not left and not self._pending_announcements
+        self._announced = synced and not left and not self._pending_announcements
 
     def _admit(self, now: int, call_id: int, message: Message) -> None:
-        """One that starts or comes back. Its name is its own unless a process that answers has it."""
+        """Handles the JOIN of a member that starts or restarts; it is refused if a process that
+        replies has its name.
+        """
         record = message.sender
-        held = (
+        current = (
             self.own_record if record.name == self.own_record.name else self.table.get(record.name)
         )
 
@@ -805,7 +895,7 @@
             reason = f"the name {record.name} is in use by an earlier process at {address}"
             self._host.send_reply(call_id, self._message(now, REFUSED, reason=reason))
 
-        def let_in(at: int) -> None:
+        def accept(at: int) -> None:
             self._merge_message(at, message)
             known = self.table.get(record.name)
             page = tuple(
@@ -813,47 +903,52 @@
                     list(self.table.values()), min(len(self.table), self._config.page_size)
                 )
             )
-            about = () if known is None or known.instance_id == record.instance_id else (known,)
-            self._host.send_reply(call_id, self._message(at, ACK, records=about + page))
+            receiver = () if known is None or known.instance_id == record.instance_id else (known,)
+            self._host.send_reply(call_id, self._message(at, ACK, records=receiver + page))
 
-        if held is None or held.instance_id == record.instance_id or held.state >= DEAD:
-            let_in(now)
-        elif held is self.own_record:
+        if current is None or current.instance_id == record.instance_id or current.state >= DEAD:
+            accept(now)
+        elif current is self.own_record:
             refuse(self.own_record.address)
         else:
 
-            def looked(at: int, answer: Message | None) -> None:
+            def looked(at: int, reply: Message | None) -> None:
                 if (
-                    answer is not None
-                    and answer.kind == ACK
-                    and answer.sender.instance_id == held.instance_id
+                    reply is not None
+                    and reply.kind == ACK
+                    and reply.sender.instance_id == current.instance_id
                 ):
-                    refuse(held.address)
+                    refuse(current.address)
                 else:
-                    self._declare_dead(at, held.name, held.instance_id)
-                    let_in(at)
+                    self._declare_dead(at, current.name, current.instance_id)
+                    accept(at)
 
             self._request(
                 now,
                 PING,
-                held,
+                current,
                 done=looked,
                 span=int(self._config.period * self._config.ack_timeout * (1 + self._slowdown)),
             )
 
     def _retry_dead(self, now: int) -> None:
-        """Now and then one that is held for dead, or an address of the file at which nobody is known, is tried.
+        """Calls from time to time a dead member, or a configured address at which no member is
+        known.
 
-        Guards against two sides of a partition that each hold the other for dead when it has ended."""
+        This guards against two sides of a partition that still consider each other dead after it
+        has ended.
+        """
         if now < self._next_retry_at:
             return
         self._next_retry_at = now + int(
             self._config.retry_interval * self._config.period * self._rng.uniform(0.5, 1.5)
         )
         dead = [record for record in self.table.values() if record.state == DEAD]
-        here = {record.address for record in self.table.values()} | {self.own_record.address}
+        known_addresses = {record.address for record in self.table.values()} | {
+            self.own_record.address
+        }
         unknown = (
-            [address for address in self._join_addresses if address not in here]
+            [address for address in self._join_addresses if address not in known_addresses]
             if self.joined
             else []
         )
@@ -862,7 +957,7 @@
         elif unknown:
             self._try_to_join(now, self._rng.choice(unknown))
 
-    # The count
+    # Number of balancers
 
     def _update_count(self) -> None:
         if self.count.value != self._reported_count:
@@ -871,5 +966,6 @@
 
 
 def updated_record(record: MemberRecord, **changes: object) -> MemberRecord:
-    held = {name: getattr(record, name) for name in record.__struct_fields__}
-    return MemberRecord(**(held | changes))  # type: ignore[arg-type]
+    """Returns a copy of a record with some fields changed."""
+    fields = {name: getattr(record, name) for name in record.__struct_fields__}
+    return MemberRecord(**(fields | changes))  # type: ignore[arg-type]
--- a/corklift/membership/count.py
+++ b/corklift/membership/count.py
@@ -1,62 +1,81 @@
-"""How many balancers may be placing logins: what the guards of cold servers divide a server's budget by.
-
-Owns that number and its evidence. It may grow at once, and falls only on evidence: a member said that it leaves, operators said
-that it is gone, or the servers' own counts leave no room for it. It errs towards too many: a budget then goes unused for a while,
-where one divided by too few, on both sides of a partition, pushes a server over. Must never fall because a member is silent.
-
-The servers' counts. Let V be the members held for dead, L the others. Each server was heard since V was complete, and then each
-of L told, when asked after that, the fewest connections that it held over a window that reaches back before those reports. All
-that the servers hold beyond the sum of these may be V's. Who places holds a connection, so of V no more than that many place.
+"""Estimates how many balancers may be placing logins; each one gets its share of a cold server's
+budget by this number.
+
+The number grows at once and falls only on evidence: a member announced that it leaves, operators
+declared it gone, or the connection counts of the servers leave no room for it. Too high a number
+leaves a part of the budgets unused for a while; too low a number, used on both sides of a
+partition, overloads a server. Invariant: the number never falls because a member is silent.
+
+How the servers' counts give evidence: let D be the members considered dead and A the others. In one
+round, each server reports its connections after D last changed. After that, each member of A
+reports the minimum number of connections that it held over a window that began before those
+reports. What the servers hold beyond the sum of these minimums may belong to D. A balancer that
+places logins holds at least one connection, so at most that many members of D are placing.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-REPORT_LAG = 1.0  # periods by which a server's report may be older than its coming
-WINDOW = 2.5  # times the fleet, in periods, over which a member remembers the fewest connections that it held
+# How old a server's report may be when it arrives, in probe periods.
+REPORT_LAG = 1.0
+# Length of the window of minimum connections, in probe periods for each member of the fleet.
+WINDOW = 2.5
 
 
 class SlidingMinimum:
-    """The fewest connections held over a window that slides."""
+    """Minimum of a value over a sliding window of time."""
 
     def __init__(self, now: int) -> None:
-        self._since = now  # what was held before is not known, or no longer
+        self._since = now  # start of the time that is covered
         self._window = 0
-        self._held: deque[tuple[int, int]] = (
-            deque()
-        )  # values that rise, each with the time until which it held; the last holds
+        # Candidates in rising order, each as (time until which it was the value, value); the last
+        # one is current.
+        self._candidates: deque[tuple[int, int]] = deque()
 
     def record(self, now: int, value: int, window: int) -> None:
+        """Records the current value; `window` is the length of the window from now on, in ns."""
         self._window = window
         self._since = max(self._since, now - window)
-        if self._held:
-            self._held[-1] = now, self._held[-1][1]
-        while self._held and self._held[-1][1] >= value:
-            self._held.pop()
-        self._held.append((now, value))
-        while len(self._held) > 1 and self._held[0][0] < self._since:
-            self._held.popleft()
+        if self._candidates:
+            self._candidates[-1] = now, self._candidates[-1][1]
+        while self._candidates and self._candidates[-1][1] >= value:
+            self._candidates.pop()
+        self._candidates.append((now, value))
+        while len(self._candidates) > 1 and self._candidates[0][0] < self._since:
+            self._candidates.popleft()
 
     def minimum(self, now: int) -> tuple[int, int]:
-        """The window in ns up to now, and the fewest in it."""
-        return (min(self._window, now - self._since), self._held[0][1]) if self._held else (0, 0)
+        """Returns the length in ns of the window that ends now, and the minimum in it."""
+        return (
+            (min(self._window, now - self._since), self._candidates[0][1])
+            if self._candidates
+            else (0, 0)
+        )
 
 
 class BalancerCount:
+    """Number of balancers that may be placing logins, and the evidence for it."""
+
     def __init__(self, expected: int, period: int, now: int) -> None:
-        """`expected`: balancers that there may be before any is known by name."""
+        """Creates a count that includes this balancer.
+
+        Args:
+            expected: balancers to assume before any is known by name.
+            period: probe period of the membership, in ns.
+            now: current time, in ns.
+        """
         self._expected, self._period = expected, period
         self._own_minimum = SlidingMinimum(now)
         self._alive: set[str] = set()
         self._dead: set[str] = set()
         self._left: set[str] = set()
-        self._unconfirmed_leaves: dict[
-            str, tuple[int, set[str]]
-        ] = {}  # by name: since when it is held so, and who has not answered a call since
-        self._max_dead_placing: int | None = (
-            None  # for placing members that vanished, by the last whole round of evidence
-        )
+        # Members that left, by name: when this was learned, and which members have not replied to a
+        # call made since.
+        self._unconfirmed_leaves: dict[str, tuple[int, set[str]]] = {}
+        # How many dead members may be placing by the last complete round of evidence; None: not
+        # known.
+        self._max_dead_placing: int | None = None
         self._start_round(now)
 
     def _start_round(self, now: int) -> None:
@@ -65,12 +84,13 @@
         self._minimums: dict[str, int] = {}
 
     def raise_expected(self, value: int) -> None:
-        """So many balancers there may be: more than was said, never fewer."""
+        """Raises the expected number of balancers; never lowers it."""
         self._expected = max(self._expected, value)
 
-    # Members, this one not
+    # Changes of other members
 
     def member_alive(self, now: int, name: str) -> None:
+        """Counts a member as alive."""
         if name not in self._alive:
             self._dead.discard(name)
             self._left.discard(name)
@@ -79,7 +99,7 @@
             self._start_round(now)
 
     def member_dead(self, now: int, name: str) -> None:
-        """Held for dead: evidence of before, which took it for living, says nothing of it."""
+        """Marks a member as dead; earlier evidence, which counted it as alive, is discarded."""
         self._alive.discard(name)
         self._unconfirmed_leaves.pop(name, None)
         self._dead.add(name)
@@ -88,7 +108,11 @@
         self._confirm_leaves(name)
 
     def member_left(self, now: int, name: str) -> None:
-        """Counted on until each that lives has answered a call made since. Guards against a late word of one that left and is back."""
+        """Marks a member as having left.
+
+        It is counted until each live member has replied to a call made since. This guards against a
+        late record of a member that left and has come back.
+        """
         self._alive.discard(name)
         self._dead.discard(name)
         self._left.add(name)
@@ -97,7 +121,7 @@
         self._confirm_leaves(name)
 
     def _confirm_leaves(self, member: str) -> None:
-        """Nobody is left to be asked for by this one's word about those that leave."""
+        """Stops waiting for a member that is no longer alive to confirm that others have left."""
         for name, (_, pending) in list(self._unconfirmed_leaves.items()):
             pending.discard(member)
             if not pending:
@@ -106,20 +130,32 @@
     # Evidence
 
     def set_connections(self, now: int, connections: int) -> None:
+        """Records how many connections stand at servers through this balancer."""
         self._own_minimum.record(
             now, connections, int(WINDOW * (len(self._alive) + 3) * self._period)
         )
 
     def own_minimum(self, now: int) -> tuple[int, int]:
+        """Returns the window in ns and this balancer's minimum number of connections in it."""
         return self._own_minimum.minimum(now)
 
     def process_paused(self, now: int) -> None:
-        """This process did not look for a while: what it knew of others' placements is over."""
+        """Discards all evidence, because this process did not run for a while."""
         self._max_dead_placing = None
         self._start_round(now)
 
     def server_reported(self, now: int, server: str, connections: float, listed: set[str]) -> bool:
-        """A server told its connections, whoever placed them; `listed`: all that may hold some. Returns whether that ends a round."""
+        """Records the connections that a server reports, whichever balancer placed them.
+
+        Args:
+            now: current time, in ns.
+            server: the server that reports.
+            connections: connections that it holds.
+            listed: all servers that may hold connections.
+
+        Returns:
+            Whether this completes a round of evidence.
+        """
         if not self._dead or now < self._round_started_at + REPORT_LAG * self._period:
             return False
         if not self._reports_complete_at:
@@ -131,7 +167,12 @@
     def member_replied(
         self, sent_at: int, now: int, name: str, window: int, min_connections: int
     ) -> bool:
-        """A member answered a call made at `asked`. Returns whether that changes the number."""
+        """Records a member's reply to a call made at `sent_at`, with its minimum number of
+        connections over `window` ns.
+
+        Returns:
+            Whether this may have changed the count.
+        """
         before = len(self._unconfirmed_leaves)
         for leaving, (since, pending) in list(self._unconfirmed_leaves.items()):
             if sent_at >= since:
@@ -161,27 +202,30 @@
         window, min_connections = self._own_minimum.minimum(now)
         if now - window > self._round_started_at:
             return False
-        beyond = (
+        unaccounted = (
             sum(self._server_reports.values())
             - min_connections
             - sum(self._minimums[name] for name in self._alive)
         )
-        self._max_dead_placing = max(0, int(beyond + 0.999))
+        self._max_dead_placing = max(0, int(unaccounted + 0.999))
         self._start_round(now)
         return True
 
     @property
     def _unseen(self) -> int:
-        """Balancers that the file says there are and nobody has told of."""
+        """Balancers that are expected and not yet known by name."""
         return max(0, self._expected - 1 - len(self._alive) - len(self._dead) - len(self._left))
 
     @property
     def value(self) -> int:
-        """This balancer, those that live, and those of the others that may be placing for all that is known."""
-        # Those that the file tells of and nobody has named may be starting, and hold nothing yet: no evidence speaks of them.
-        member_dead = (
+        """Number of balancers that may be placing: this one, the live ones, and others that no
+        evidence excludes.
+        """
+        # Expected balancers that are not known by name may be starting and hold no connections yet,
+        # so no evidence covers them.
+        dead = (
             len(self._dead)
             if self._max_dead_placing is None
             else min(len(self._dead), self._max_dead_placing)
         )
-        return 1 + len(self._alive) + len(self._unconfirmed_leaves) + self._unseen + member_dead
+        return 1 + len(self._alive) + len(self._unconfirmed_leaves) + self._unseen + dead
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -1,7 +1,8 @@
-"""What peers say to each other, as values and as bytes.
+"""Messages of the membership protocol and their encoding.
 
-Owns the form: MessagePack arrays (msgspec), to which later versions append fields; what a newer peer appends is left, and a
-kind that is not known is answered as such. Must never decide what a word is worth.
+A message is a positional MessagePack array (msgspec). Later versions may append fields; fields that
+a newer peer appended are ignored, and a message of an unknown kind is answered with `UNKNOWN`. This
+module does not interpret the messages.
 """
 
 from __future__ import annotations
@@ -10,58 +11,67 @@
 
 import msgspec
 
-PING, REACH, JOIN, SYNC = "ping", "reach", "join", "sync"  # what is asked
-ACK, NACK, SELF, REFUSED, UNKNOWN = "ack", "nack", "self", "refused", "unknown"  # what is answered
-MAX_RECORDS = 64  # of a message that is read; the rest of it is left
+# Kinds of requests.
+PING, REACH, JOIN, SYNC = "ping", "reach", "join", "sync"
+# Kinds of replies.
+ACK, NACK, SELF, REFUSED, UNKNOWN = "ack", "nack", "self", "refused", "unknown"
+# Records that are read from one message; further ones are ignored.
+MAX_RECORDS = 64
 
 
 class MemberState(IntEnum):
-    """In the order in which, of two words about one incarnation, the later one holds."""
+    """State of a member; of two records with the same incarnation, the higher state takes
+    precedence.
+    """
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # it said so itself, or operators said it for one that can't
+    LEFT = 3  # announced by the member itself, or declared by operators
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member."""
+    """The gossiped state of one member."""
 
     name: str
-    address: str  # IPv4:PORT where it takes peers' calls
-    instance_id: int  # drawn by each process at its start
-    restart_count: int  # how many processes had this name before, as far as it was told
-    incarnation: int  # raised by the member alone, to deny what was said of it
-    state: int  # Standing; a plain number, so that a newer peer's further one can be read
+    address: str  # IPv4:PORT at which it accepts calls of peers
+    instance_id: int  # random number drawn by each process at its start
+    restart_count: int  # how many processes had this name before, as far as is known
+    incarnation: int  # raised only by the member itself, to refute a suspicion (SWIM)
+    # A MemberState. It is a plain number, so that records with a state of a newer version can be
+    # read.
+    state: int
     zone: str = ""
     version: str = ""
-    reporter: str = ""  # who suspects it
+    reporter: str = ""  # the member that suspects it or declared it dead
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two words about one name the higher one holds, in whatever order they come."""
+        """Of two records of one name the higher rank takes precedence, in whatever order they
+        arrive.
+        """
         return self.incarnation, self.instance_id, self.state
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """A call or its answer. Carries who sends it and in which incarnation."""
+    """A request or a reply; each carries the sender's own record."""
 
     kind: str
     sender: MemberRecord
-    target_name: str = ""  # the name that is meant; empty: whoever is there
-    target_instance_id: int = 0  # the process that is meant; 0: any
+    target_name: str = ""  # name of the intended receiver; empty: any
+    target_instance_id: int = 0  # process of the intended receiver; 0: any
     records: tuple[MemberRecord, ...] = ()
-    digest: int = 0  # of all that the sender holds for settled
-    window: int = 0  # ns up to now ...
-    min_connections: int = 0  # ... in which the sender held this many connections at the least
-    subject: MemberRecord | None = None  # whom to reach
-    timeout: int = 0  # ns the caller waits for that
-    cursor: str = ""  # the name after which a page begins
+    digest: int = 0  # of the sender's member table; suspicions count as alive
+    window: int = 0  # length of the window of `min_connections`, in ns
+    min_connections: int = 0  # the sender's minimum number of connections in that window
+    subject: MemberRecord | None = None  # in a REACH: the member to probe
+    timeout: int = 0  # in a REACH: how long the caller waits for that, in ns
+    cursor: str = ""  # in a SYNC: the name after which the page begins
     reason: str = ""
 
 
 class MessageDecodeError(Exception):
-    """No message of ours."""
+    """The bytes are not a valid membership message."""
 
 
 _DECODER = msgspec.msgpack.Decoder(Message)
@@ -69,8 +79,10 @@
 
 
 def decode(content: bytes) -> Message:
-    """Raises:
-    Unreadable: not of this form, or with a name that is none.
+    """Decodes a message.
+
+    Raises:
+        MessageDecodeError: the bytes are not a message, or a record in it is out of bounds.
     """
     try:
         message = _DECODER.decode(content)
@@ -86,5 +98,5 @@
             or len(record.address) > 21
             or len(record.zone) + len(record.version) + len(record.reporter) > 300
         ):
-            raise MessageDecodeError(f"a word about {record.name[:40]!r}")
+            raise MessageDecodeError(f"record of {record.name[:40]!r} is out of bounds")
     return message
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -1,7 +1,8 @@
-"""A balancer's calls with its peers, and what it does with their count.
+"""RPCs between balancers, and the component that drives the membership core.
 
-Owns the links to peers, kept and bounded in number, and the door for their calls. Drives the core in `core`; its clock is the
-scheduler's. Must never hold up a login, keep a connection a peer for each of a large fleet, or decide who lives.
+Holds a bounded number of connections to peers and the RPC server for their calls, and passes the
+number of balancers on to the facade. Never blocks a login, never keeps a connection to every peer
+of a large fleet, and makes no membership decisions.
 """
 
 from __future__ import annotations
@@ -35,12 +36,14 @@
     from corklift.service import Process
 
 CALL, STATUS, FORGET = "/corklift.Peers/Call", "/corklift.Peers/Status", "/corklift.Peers/Forget"
-MAX_CALLS = 64  # under way at a time; further ones fail at once
-POLLS_PER_PERIOD = 10  # a period, at how many connections stand
+# Calls to peers that may be in progress; further ones fail at once.
+MAX_CALLS = 64
+# How often per probe period the number of connections is read.
+POLLS_PER_PERIOD = 10
 
 
 class PeersConfig(Protocol):
-    """What the file tells of peers."""
+    """The peers table of the configuration file."""
 
     name: str
     join: list[str]
@@ -51,13 +54,18 @@
     via: dict[str, str]
 
     @property
-    def listen_address(self) -> tuple[str, int]: ...
+    def listen_address(self) -> tuple[str, int]:
+        """Host and port to listen at."""
+        ...
+
     @property
-    def advertised_address(self) -> str: ...
+    def advertised_address(self) -> str:
+        """HOST:PORT at which peers reach this balancer; empty: the address it listens at."""
+        ...
 
 
 def link_limits(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
-    """A message is small, a link is used again for as long as it is among the few kept."""
+    """Returns the RPC limits of calls between peers: small messages on few, reused connections."""
     return RpcLimits(
         connections=2 * links,
         streams=8,
@@ -75,54 +83,56 @@
 
 
 def split(address: str) -> tuple[str, int]:
+    """Splits HOST:PORT."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class PeerLinks:
-    """Connections to the peers that were called last."""
+    """Connections to the peers that were called most recently."""
 
     def __init__(
-        self, scheduler: Scheduler, limits: RpcLimits, counters: Counters, most: int
+        self, scheduler: Scheduler, limits: RpcLimits, counters: Counters, max_links: int
     ) -> None:
-        self._scheduler, self._limits, self._counters, self._most = (
+        self._scheduler, self._limits, self._counters, self._max_links = (
             scheduler,
             limits,
             counters,
-            most,
+            max_links,
         )
-        self._kept: OrderedDict[str, Link] = OrderedDict()
+        self._links: OrderedDict[str, Link] = OrderedDict()
 
     def unary(self, address: str, path: str, request: bytes, until: int) -> bytes:
-        """One message, one answer.
+        """Makes a unary call; blocks until the reply has arrived or the call has failed.
 
         Raises:
-            RpcError: how it ended, if not well; RESOURCE_EXHAUSTED where this process lacks a descriptor.
+            RpcError: the call failed; RESOURCE_EXHAUSTED if this process has no descriptor left.
         """
-        link = self._kept.get(address)
+        link = self._links.get(address)
         if link is None or link.over or link.session.leaving:
             link = self._connected(address, until)
-            raced = self._kept.pop(address, None)
-            if raced is not None:
-                raced.go_away()
-            self._kept[address] = link
-            while len(self._kept) > self._most:
-                self._kept.popitem(last=False)[1].go_away()
-        self._kept.move_to_end(address)
+            replaced = self._links.pop(address, None)
+            if replaced is not None:
+                replaced.go_away()
+            self._links[address] = link
+            while len(self._links) > self._max_links:
+                self._links.popitem(last=False)[1].go_away()
+        self._links.move_to_end(address)
         call = link.call(path, until)
         try:
             call.post(request)
             call.done_sending()
-            answer = call.receive(until)
+            reply = call.receive(until)
         except RpcError as problem:
-            if problem.code is Code.DEADLINE_EXCEEDED and self._kept.get(address) is link:
-                # Guards against a link that swallows all: the next call tries a new one.
-                del self._kept[address]
+            if problem.code is Code.DEADLINE_EXCEEDED and self._links.get(address) is link:
+                # Guards against a connection on which everything is lost: the next call opens a new
+                # one.
+                del self._links[address]
                 link.drop()
             raise
-        if answer is None:
-            raise RpcError(Code.INTERNAL, "ended without an answer")
-        return answer
+        if reply is None:
+            raise RpcError(Code.INTERNAL, "the call ended without a reply")
+        return reply
 
     def _connected(self, address: str, until: int) -> Link:
         try:
@@ -137,10 +147,10 @@
         while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, until):
             if self._scheduler.now() >= until:
                 stream.close()
-                raise RpcError(Code.DEADLINE_EXCEEDED, "no connection in time")
+                raise RpcError(Code.DEADLINE_EXCEEDED, "connect timed out")
         if stream.connect_failed():
             stream.close()
-            raise RpcError(Code.UNAVAILABLE, "no connection")
+            raise RpcError(Code.UNAVAILABLE, "connect failed")
         self._counters["links to peers"] += 1
         link = Link(self._scheduler, self._limits, self._counters, stream, address, True)
         self._scheduler.spawn(link.run)
@@ -148,7 +158,7 @@
 
 
 class Peers:
-    """The part of `serve` by which a balancer knows the others."""
+    """The component of `serve` that takes part in the membership of the fleet."""
 
     def __init__(
         self,
@@ -160,8 +170,17 @@
         max_message: int = 64 << 10,
         extra_methods: dict[str, Any] | None = None,
     ) -> None:
-        """`tell`: a line of the log, as an event and its fields; `waits`: until `resume`, and whoever calls that has the door; `message`:
-        bytes of a peer's at the most."""
+        """Starts to listen for peers.
+
+        Args:
+            process: the process of which this is a component.
+            config: the peers table of the configuration file.
+            log_event: writes a log line, given as an event and its fields.
+            wait_for_recovery: do nothing before `resume`; the caller of that then decides when
+                clients are admitted.
+            max_message: bytes of the largest message of a peer.
+            extra_methods: further RPC methods to serve, by path.
+        """
         self._process, self._config, self._log_event = process, config, log_event
         self._scheduler, self._counters = process.scheduler, Counters()
         period = config.period_ms * MS
@@ -177,7 +196,8 @@
         port = self._server.listen(config.listen_address)
         expected = config.expected or process.configuration.arguments["balancers"]
         self.refused_why = ""
-        # Not seeded by the file: two processes that were given one file must not draw one life.
+        # Not seeded by the configuration: two processes with the same file must draw different
+        # instance ids.
         self.core = Membership(
             self,
             Random(),
@@ -200,19 +220,21 @@
             process.relay.take_clients(False)
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
-        """What the disk says of before is known, or is not waited for."""
+        """Continues from the state that was recovered, and starts to take part; see
+        `Membership.resume`.
+        """
         self.core.resume(incarnation, restart_count, expected)
         self._waits = False
 
     def call(self, name: str, path: str, request: bytes, until: int) -> bytes:
-        """A further part's call of a member; blocks.
+        """Calls a method of a member for another component; blocks.
 
         Raises:
-            RpcError: how it ended, if not well.
+            RpcError: the call failed.
         """
         record = self.core.table.get(name)
         if record is None:
-            raise RpcError(Code.NOT_FOUND, f"{name[:60]!r} is not known")
+            raise RpcError(Code.NOT_FOUND, f"no member named {name[:60]!r}")
         return self._links.unary(
             self._config.via.get(name) or self._config.via.get(record.address) or record.address,
             path,
@@ -220,15 +242,17 @@
             until,
         )
 
-    # Part
+    # Component
 
     def jobs(self) -> Sequence[Callable[[], None]]:
-        return self._keep_accepting, self._keep_ticking, self._keep_holding
+        """Returns the tasks to run."""
+        return self._keep_accepting, self._keep_ticking, self._keep_updating
 
     def leave(self) -> None:
-        """Clients come for a moment yet: nothing is told before the last has gone."""
+        """Does nothing: clients still arrive for a moment, so peers are told in `left`."""
 
     def left(self) -> None:
+        """The last client has gone: announces that this balancer leaves."""
         for request_id, name in self.core.leave(self._scheduler.now()):
             self._log_event("leaving", told=name)
         self._left = True
@@ -250,13 +274,14 @@
         while not self._left:
             self._scheduler.wait({}, self.core.tick(self._scheduler.now()))
 
-    def _keep_holding(self) -> None:
+    def _keep_updating(self) -> None:
         opened = False
         self._await_resume()
         while not self._left:
             self.core.set_connections(self._scheduler.now(), self._process.facade.standing)
             if not opened and self.core.admitted:
-                # No span of time opens the door: a peer let it in, or none answers.
+                # Clients are admitted once a peer has accepted this balancer or none replies, never
+                # by a timer alone.
                 opened = True
                 self._log_event(
                     "serving", joined=self.core.joined, members=len(self.core.live_members) + 1
@@ -273,11 +298,12 @@
             {str(listed) for listed in self._process.facade.listed_servers()},
         )
 
-    # What the core asks for
+    # Host of the membership core
 
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
     ) -> None:
+        """Calls a peer in a task of its own; fails at once if too many calls are in progress."""
         if self._under_way >= MAX_CALLS:
             self._counters["calls to peers given up"] += 1
             self._scheduler.spawn(self.core.request_failed, self._scheduler.now(), request_id)
@@ -292,52 +318,58 @@
         )
 
     def _call(self, request_id: int, address: str, message: Message, until: int) -> None:
-        answer: Message | None = None
+        reply: Message | None = None
         try:
-            answer = decode(self._links.unary(address, CALL, encode(message), until))
+            reply = decode(self._links.unary(address, CALL, encode(message), until))
         except (RpcError, MessageDecodeError) as problem:
             self._counters[
-                f"calls to peers failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
+                "calls to peers failed "
+                f"({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
             ] += 1
         finally:
             self._under_way -= 1
         now = self._scheduler.now()
-        if answer is None:
+        if reply is None:
             self.core.request_failed(now, request_id)
         else:
-            self.core.reply_received(now, request_id, answer)
+            self.core.reply_received(now, request_id, reply)
 
     def send_reply(self, call_id: int, message: Message) -> None:
-        held = self._calls.pop(call_id, None)
-        if held is not None:
-            held[1].append(message)
-            self._scheduler.wake(held[0])
-
-    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
+        """Hands the reply to the task that serves the peer's call, if it still waits."""
+        waiting = self._calls.pop(call_id, None)
+        if waiting is not None:
+            waiting[1].append(message)
+            self._scheduler.wake(waiting[0])
+
+    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
+        """Logs the state of a member."""
         self._log_event(
             "member",
             member=record.name,
             address=record.address,
             life=f"{record.instance_id:x}",
             incarnation=record.incarnation,
-            standing=_standing(record),
-            was=was.name.lower() if was is not None else "unknown",
+            standing=_state_name(record),
+            was=previous.name.lower() if previous is not None else "unknown",
             by=record.reporter,
         )
 
     def count_changed(self, count: int) -> None:
+        """Logs the number of balancers and passes it on to the facade."""
         self._log_event("count", balancers=count)
         self._process.facade.balancers(count)
 
     def name_rejected(self, reason: str) -> None:
+        """Ends this process, because another one uses its name."""
         self._log_event("refused", why=reason)
         self.refused_why = reason
         self._process.leave()
 
     def log(self, text: str) -> None:
+        """Writes a log line of the membership core."""
         self._log_event("peers", what=text)
 
-    # Calls that come in
+    # Calls of peers
 
     def _take_call(self, call: LiveCall, request: bytes) -> bytes:
         try:
@@ -346,25 +378,25 @@
             self._counters["calls of peers that can't be read"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
         number, self._next_call = self._next_call, self._next_call + 1
-        answers: list[Message] = []
-        self._calls[number] = self._scheduler.current, answers
+        replies: list[Message] = []
+        self._calls[number] = self._scheduler.current, replies
         try:
             self.core.request_received(self._scheduler.now(), number, message)
             until = (
                 self._scheduler.now()
                 + 4 * self._config.period_ms * MS * MembershipConfig().max_slowdown
             )
-            while not answers:
+            while not replies:
                 if self._scheduler.now() >= until or call.ended:
-                    raise RpcError(Code.UNAVAILABLE, "nothing to answer in time")
+                    raise RpcError(Code.UNAVAILABLE, "no reply in time")
                 self._scheduler.wait(
                     {}, until if call.deadline is None else min(until, call.deadline)
                 )
         finally:
             self._calls.pop(number, None)
-        return encode(answers[0])
+        return encode(replies[0])
 
-    # What operators ask
+    # Calls of operators
 
     def _status(self, call: LiveCall, request: bytes) -> bytes:
         core = self.core
@@ -372,7 +404,7 @@
             {
                 "name": record.name,
                 "address": record.address,
-                "standing": _standing(record),
+                "standing": _state_name(record),
                 "incarnation": record.incarnation,
                 "zone": record.zone,
                 "version": record.version,
@@ -393,12 +425,15 @@
     def _forget(self, call: LiveCall, request: bytes) -> bytes:
         name = request.decode("utf-8", "replace")
         if not self.core.forget(self._scheduler.now(), name):
-            raise RpcError(Code.FAILED_PRECONDITION, f"{name[:60]!r} is not held for dead here")
+            raise RpcError(
+                Code.FAILED_PRECONDITION, f"{name[:60]!r} is not considered dead by this balancer"
+            )
         self._log_event("forgotten", member=name)
         return b""
 
 
-def _standing(record: MemberRecord) -> str:
+def _state_name(record: MemberRecord) -> str:
+    """Returns the state as it is written out; a newer peer may send one that is not known here."""
     return (
         MemberState(record.state).name.lower()
         if record.state in list(MemberState)
@@ -407,10 +442,11 @@
 
 
 def call_peer(address: tuple[str, int], path: str, request: bytes, wait: int = 3 * SECOND) -> Any:
-    """An operator's question, from a process of its own.
+    """Makes one unary call to a balancer from a process that runs no scheduler, for the command
+    line.
 
     Raises:
-        RpcError: how it ended, if not well.
+        RpcError: the call failed.
     """
     from corklift.net.scheduler import wall_clock
 
