--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -33,7 +33,7 @@
 from corklift.rpc.server import Server, unary
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 CALL, STATUS, FORGET = "/corklift.Peers/Call", "/corklift.Peers/Status", "/corklift.Peers/Forget"
 # Calls to peers that may be in progress; further ones fail at once.
@@ -162,7 +162,7 @@
 
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         config: PeersConfig,
         log_event: Callable[..., None],
         *,
@@ -214,10 +214,10 @@
         self._next_call = self._under_way = 0
         self._left = False
         self._waits = self._gated = wait_for_recovery
-        process.facade.reported = self._reported
-        process.facade.before_placing = lambda: self.core.detect_pause(self._scheduler.now())
+        process.facade.load_reported = self._reported
+        process.facade.before_placement = lambda: self.core.detect_pause(self._scheduler.now())
         if not wait_for_recovery:
-            process.relay.take_clients(False)
+            process.relay.set_accepting(False)
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
         """Continues from the state that was recovered, and starts to take part; see
@@ -244,14 +244,16 @@
 
     # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
         """Returns the tasks to run."""
         return self._keep_accepting, self._keep_ticking, self._keep_updating
 
-    def leave(self) -> None:
-        """Does nothing: clients still arrive for a moment, so peers are told in `left`."""
+    def on_stop_requested(self) -> None:
+        """Does nothing: clients still arrive for a moment, so peers are told after the last one
+        left.
+        """
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         """The last client has gone: announces that this balancer leaves."""
         for request_id, name in self.core.leave(self._scheduler.now()):
             self._log_event("leaving", told=name)
@@ -278,7 +280,7 @@
         opened = False
         self._await_resume()
         while not self._left:
-            self.core.set_connections(self._scheduler.now(), self._process.facade.standing)
+            self.core.set_connections(self._scheduler.now(), self._process.facade.connection_count)
             if not opened and self.core.admitted:
                 # Clients are admitted once a peer has accepted this balancer or none replies, never
                 # by a timer alone.
@@ -287,7 +289,7 @@
                     "serving", joined=self.core.joined, members=len(self.core.live_members) + 1
                 )
                 if not self._gated:
-                    self._process.relay.take_clients(True)
+                    self._process.relay.set_accepting(True)
             self._scheduler.sleep(self._config.period_ms * MS // POLLS_PER_PERIOD)
 
     def _reported(self, server: int, connections: float) -> None:
@@ -357,7 +359,7 @@
     def count_changed(self, count: int) -> None:
         """Logs the number of balancers and passes it on to the facade."""
         self._log_event("count", balancers=count)
-        self._process.facade.balancers(count)
+        self._process.facade.set_balancer_count(count)
 
     def name_rejected(self, reason: str) -> None:
         """Ends this process, because another one uses its name."""
--- a/corklift/net/upkeep.py
+++ b/corklift/net/monitoring.py
@@ -13,8 +13,8 @@
 from corklift.interface import Outcome, Scope
 from corklift.net.backoff import Backoff
 from corklift.net.blocking import Gone, Late, connect, send_all
-from corklift.net.facade import Facade, Place
-from corklift.net.limits import Counters, Limits, Printer
+from corklift.net.facade import Facade, HandOffTarget
+from corklift.net.limits import Counters, Limits, LogWriter
 from corklift.net.parsers import (
     STATS,
     HttpResponse,
@@ -42,7 +42,7 @@
     """Nothing more is to be asked."""
 
 
-class Probes:
+class ServerProbes:
     """One task a server that is probed; it ends when the server has not been for a while."""
 
     IDLE = (
@@ -65,26 +65,26 @@
         )
         self._kept_for = kept_for
         self._tasks: dict[int, Task] = {}
-        self._asked: dict[int, deque[Place]] = {}
+        self._asked: dict[int, deque[HandOffTarget]] = {}
         self._kept: dict[int, Stream] = {}
-        facade.close_probes = self.close
+        facade.close_probe_connection = self.close
 
     def reconfigure(self, limits: Limits, kept_for: int) -> None:
         self._limits, self._kept_for = limits, kept_for
 
-    def keep_probing(self) -> None:
+    def probe_loop(self) -> None:
         while True:
-            place = self._facade.next_probe()
+            target = self._facade.next_probe()
             self._counters["probes"] += 1
-            if place.server in self._tasks:
-                self._asked[place.server].append(place)
-                self._scheduler.wake(self._tasks[place.server])
+            if target.server in self._tasks:
+                self._asked[target.server].append(target)
+                self._scheduler.wake(self._tasks[target.server])
             elif len(self._tasks) >= self._limits.probes and not self._make_way():
                 self._counters["probes without a descriptor"] += 1
-                self._facade.probed(place.server, Outcome.NOT_SENT, 0, None)
+                self._facade.probe_finished(target.server, Outcome.NOT_SENT, 0, None)
             else:
-                self._asked[place.server] = deque([place])
-                self._tasks[place.server] = self._scheduler.spawn(self._probe_one, place.server)
+                self._asked[target.server] = deque([target])
+                self._tasks[target.server] = self._scheduler.spawn(self._probe_one, target.server)
 
     def close(self, server: int) -> None:
         """Nothing more is asked of this server for now."""
@@ -123,7 +123,7 @@
             self._close(server)
             del self._tasks[server], self._asked[server]
             for _ in asked:
-                self._facade.probed(server, left, 0, None)
+                self._facade.probe_finished(server, left, 0, None)
 
     def _close(self, server: int) -> None:
         kept = self._kept.pop(server, None)
@@ -166,7 +166,7 @@
                 # A kept connection may have been closed for idling: that says nothing of the server.
                 stream, fresh = None, True
         self._counters[f"probes {outcome.value}"] += 1
-        self._facade.probed(server, outcome, self._scheduler.now() - began, values)
+        self._facade.probe_finished(server, outcome, self._scheduler.now() - began, values)
 
     def _ask(self, stream: Stream, until: int) -> tuple[Outcome, dict[str, float] | None]:
         stream.receive()
@@ -190,7 +190,7 @@
             self._scheduler.wait({stream.fd: READ}, until)
 
 
-class Watch:
+class DiscoveryWatch:
     """Follows the list: the whole of it first, then each change; anew wherever discovery is said to be."""
 
     def __init__(
@@ -198,7 +198,7 @@
         scheduler: Scheduler,
         limits: Limits,
         counters: Counters,
-        printer: Printer,
+        log_writer: LogWriter,
         facade: Facade,
         address: tuple[str, int],
         rng: Random,
@@ -210,7 +210,7 @@
             counters,
             facade,
         )
-        self._printer, self._address = printer, address
+        self._log_writer, self._address = log_writer, address
         self._stream: Stream | None = None
         self._index = (
             known  # the version of the list that is known; None: the whole of it is asked for
@@ -218,7 +218,7 @@
         self._rng = rng
         self._failures = 0  # in a row
         self._set_backoff(limits)
-        self.told = False  # whether discovery has answered yet
+        self.has_answered = False  # whether discovery has answered yet
         self._task: Task | None = None
 
     def _set_backoff(self, limits: Limits) -> None:
@@ -226,7 +226,7 @@
         self._faults = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
         self._refusals = Backoff(self._rng, limits.overbooked_pause, limits.overbooked_pause_most)
 
-    def follow(self, address: tuple[str, int], limits: Limits) -> None:
+    def reconfigure(self, address: tuple[str, int], limits: Limits) -> None:
         """Discovery may be elsewhere by a new configuration; the list that is known stays in force."""
         self._limits = limits
         self._set_backoff(limits)
@@ -236,7 +236,7 @@
                 # Guards against a watch that waits on at the old address: that tells nothing more.
                 self._scheduler.interrupt(self._task, Redirected())
 
-    def keep_watching(self) -> None:
+    def watch_loop(self) -> None:
         self._task = self._scheduler.current
         # Guards against balancers that start together and ask together; the known list is in force meanwhile.
         spread = self._limits.first_call_spread if self._index is not None else 0
@@ -260,7 +260,7 @@
             try:
                 self._call()
                 if self._failures:
-                    self._printer.say(f"discovery answers again after {self._failures} calls")
+                    self._log_writer.write(f"discovery answers again after {self._failures} calls")
                     self._failures = 0
                     self._set_backoff(self._limits)
             except (Gone, Late, Malformed, Overbooked) as problem:
@@ -269,7 +269,7 @@
                 self._failures += 1
                 self._counters["discovery failures"] += 1
                 if self._failures & (self._failures - 1) == 0:
-                    self._printer.say(
+                    self._log_writer.write(
                         f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
                         "the known list stays in force"
                     )
@@ -288,7 +288,7 @@
         path, until = LIST, now + self._limits.watch_slack
         if self._index is not None:
             # The first answer tells that the list known at the start is the one in force: it is not waited for.
-            wait = self._limits.watch_wait if self.told else 0
+            wait = self._limits.watch_wait if self.has_answered else 0
             path = f"{LIST}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
         if self._stream is None:
@@ -321,5 +321,5 @@
         self._counters["discovery answers"] += 1
         if content.unreadable_count:
             self._counters["discovery entries that can't be read"] += content.unreadable_count
-        self._facade.listed(Scope.FULL if content.is_full else Scope.DELTA, content)
-        self._index, self.told = content.version, True
+        self._facade.apply_listing(Scope.FULL if content.is_full else Scope.DELTA, content)
+        self._index, self.has_answered = content.version, True
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -11,9 +11,8 @@
 
 from corklift.interface import Scope, Status
 from corklift.membership.peers import Peers
-from corklift.net.admin import Answer as Reply
-from corklift.net.admin import Otherwise
-from corklift.net.facade import Refusal
+from corklift.net.admin import AdminResponse, IncompleteOperationError
+from corklift.net.facade import Rejection
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.parsers import Listing, LoginRequest, ServerEntry
 from corklift.net.scheduler import Task
@@ -40,11 +39,11 @@
 from corklift.rpc.core import Code, RpcError
 from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
-from corklift.store.log import Notes
-from corklift.store.worker import Folders, Keeper
+from corklift.store.log import OpenReport
+from corklift.store.worker import StoreFolders, StoreWorker
 
 if TYPE_CHECKING:
-    from corklift.service import Process
+    from corklift.service import BalancerProcess
 
 ASK, TELL = "/corklift.Peers/Ask", "/corklift.Peers/Tell"
 MESSAGE = 1 << 20  # bytes, of a list of some 15,000 servers
@@ -73,13 +72,13 @@
 class RecoveryDriver:
     def __init__(
         self,
-        process: Process,
+        process: BalancerProcess,
         given: StoreConfig,
         name: str,
         period: int,
         tell: Callable[..., None],
         with_peers: Callable[[dict[str, Any]], Peers] | None,
-        folders: Folders | None = None,
+        folders: StoreFolders | None = None,
     ) -> None:
         """`with_peers`: makes the part with peers, given further calls to answer; None: this balancer is alone."""
         self._process, self._tell, self._given = process, tell, given
@@ -115,7 +114,9 @@
             expected=arguments["balancers"],
             alone=self._peers is None,
         )
-        self._keeper = Keeper(self._scheduler, folders or Folders(given.path), self._opened)
+        self._store_worker = StoreWorker(
+            self._scheduler, folders or StoreFolders(given.path), self._opened
+        )
         self._let_in: set[int] = set()
         self._listing: Listing | None = None  # all that is listed, as it was told last
         self._again = False  # what is listed is no news
@@ -129,7 +130,7 @@
             self._went,
             self._believed,
         )
-        before = facade.reported
+        before = facade.load_reported
 
         def reported(server: int, connections: float) -> None:
             before(server, connections)
@@ -137,33 +138,33 @@
                 self._scheduler.now(), facade.server_name(server), connections
             )
 
-        facade.reported = reported
+        facade.load_reported = reported
         facade.server_unresponsive = lambda server: self.core.server_unresponsive(
             self._scheduler.now(), facade.server_name(server)
         )
         process.apply_operator_override = self._word
         process.may_serve = lambda: self.core.phase >= RecoveryPhase.OPEN
-        process.overlap.overrides_kept_elsewhere = True
-        process.more_figures.append(self._figures)
+        process.handover.overrides_stored_elsewhere = True
+        process.extra_stats.append(self._figures)
 
-    # Part
+    # Component
 
-    def jobs(self) -> Sequence[Callable[[], None]]:
-        self._keeper.start()
-        jobs = [self._keeper.keep_hearing, self._keep_going]
-        return [*jobs, *self._peers.jobs()] if self._peers else jobs
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
+        self._store_worker.start()
+        jobs = [self._store_worker.run_callbacks, self._keep_going]
+        return [*jobs, *self._peers.background_tasks()] if self._peers else jobs
 
-    def leave(self) -> None:
+    def on_stop_requested(self) -> None:
         self.core.stopping(self._scheduler.now())
         if self._peers:
-            self._peers.leave()
+            self._peers.on_stop_requested()
 
-    def left(self) -> None:
+    def on_clients_drained(self) -> None:
         if self._peers:
-            self._peers.left()
-        self._keeper.settle(min(SECOND, self._period))
+            self._peers.on_clients_drained()
+        self._store_worker.wait_until_idle(min(SECOND, self._period))
         self._left = True
-        self._keeper.stop()
+        self._store_worker.stop()
 
     @property
     def refused_why(self) -> str:
@@ -195,11 +196,11 @@
                     self.core.count_changed(now, members.count.value)
             if self.core.phase >= RecoveryPhase.OPEN and now >= self._size_at:
                 self._size_at = now + self._period
-                self.core.sizes_changed(now, facade.sizes())
+                self.core.sizes_changed(now, facade.server_sizes())
             self.core.servers_probed(
                 now,
                 [facade.server_name(server) for server in facade.ready_servers()],
-                facade.all_heard(),
+                facade.all_servers_probed(),
             )
             due = self.core.tick(self._scheduler.now())
             self._scheduler.wait({}, min(due, now + self._period // LOOKS))
@@ -270,13 +271,13 @@
                 self._scheduler.sleep(self._period // 8)
 
     def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep(
+        self._store_worker.submit(
             dict(map(encode_fact, facts)),
             lambda sequence, why: self.core.persisted(self._scheduler.now(), number, sequence, why),
         )
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
-        self._keeper.keep(
+        self._store_worker.submit(
             {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
         )
 
@@ -311,12 +312,12 @@
         if listing is not None:
             self._again = True
             try:
-                self._process.facade.listed(Scope.FULL, listing)
+                self._process.facade.apply_listing(Scope.FULL, listing)
             finally:
                 self._again = False
         sizes = self.core.facts.get(SIZES)
         if sizes is not None and self.core.phase is not RecoveryPhase.FULL:
-            self._process.facade.hint(sizes.value)
+            self._process.facade.apply_size_hints(sizes.value)
 
     def probe_servers(self, span: int) -> None:
         for server in self._process.facade.ready_servers():
@@ -327,7 +328,7 @@
         self._process.facade.probe(server)
 
     def server_start_times(self) -> dict[str, int]:
-        return self._process.facade.ages()
+        return self._process.facade.server_start_times()
 
     def phase_changed(self, step: RecoveryPhase, why: str) -> None:
         if step >= RecoveryPhase.OPEN:
@@ -340,10 +341,10 @@
     # The disk
 
     def _opened(
-        self, notes: Notes | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
     ) -> None:
         now = self._scheduler.now()
-        if notes is None:
+        if report is None:
             self.core.store_unreadable(now, why)
             return
         facts = []
@@ -352,7 +353,7 @@
                 facts.append(decode_fact(value))
             except FactDecodeError as problem:
                 lost = "; ".join(filter(None, (lost, f"{key!r:.80}: {problem}")))
-        for cut in notes.cuts:
+        for cut in report.torn_tails:
             self._tell(
                 "store",
                 kind="a torn end is left out",
@@ -361,7 +362,12 @@
                 length=cut.length,
             )
         self.core.store_loaded(
-            now, facts, Marker(notes.store, notes.sequence), notes.fresh, lost, notes.trouble
+            now,
+            facts,
+            Marker(report.store_id, report.sequence),
+            report.fresh,
+            lost,
+            report.write_error,
         )
 
     # The list
@@ -428,7 +434,7 @@
         facade = self._process.facade
         return facade.importance(login_request) / self._importance if self._importance else 1.0
 
-    def _door(self, login_request: LoginRequest, number: int) -> Refusal | None:
+    def _door(self, login_request: LoginRequest, number: int) -> Rejection | None:
         if self.core.phase is RecoveryPhase.FULL:
             return None
         wait = self.core.admit_login(self._scheduler.now(), self._importance_of(login_request))
@@ -437,7 +443,7 @@
                 self._let_in.add(number)
             return None
         self._counters["logins refused while the door opens"] += 1
-        return Refusal(True, wait) if self._bounces else Refusal(False, 0)
+        return Rejection(True, wait) if self._bounces else Rejection(False, 0)
 
     def _went(self, number: int, up: bool | None) -> None:
         if number in self._let_in:
@@ -452,15 +458,15 @@
         while self.core.phase < RecoveryPhase.LOOK:
             # Guards against a word that is numbered below what the disk and peers are about to tell.
             if self._scheduler.now() >= until:
-                raise Otherwise(
-                    Reply(
+                raise IncompleteOperationError(
+                    AdminResponse(
                         503,
                         "It has not read its disk and heard its peers yet; nothing was changed.\n",
                     )
                 )
             self._scheduler.sleep(self._period // LOOKS)
         facade = self._process.facade
-        if not facade.knows(name) and self.core.facts.get("out", name) is None:
+        if not facade.knows_server(name) and self.core.facts.get("out", name) is None:
             return False
         task, found = self._scheduler.current, []
 
@@ -476,8 +482,8 @@
             "word", server=name, out=out, outcome=outcome.name.lower(), kept=kept, wanted=wanted
         )
         if outcome is ReplicationOutcome.PARTLY:
-            raise Otherwise(
-                Reply(
+            raise IncompleteOperationError(
+                AdminResponse(
                     202,
                     f"Server {name:.80} is {'out' if out else 'free to serve'} here, but {kept} of {wanted} disks keep "
                     "this: it may be forgotten in a loss of power. Say it again.\n",
@@ -490,7 +496,7 @@
         return (
             f"app.recovery_step:{int(core.phase)}|g\napp.store_behind:{int(core.store_behind)}|g\napp.store_trouble:{int(bool(core.store_error))}|g\n"
             f"app.store_commits:{core.own_marker.sequence}|c\napp.store_waiting_ms:"
-            f"{(self._scheduler.now() - self._keeper.since) // MS if self._keeper.under_way else 0}|g\n"
+            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}|g\n"
         )
 
     # Calls that come in
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -20,8 +20,8 @@
 
 from corklift.configuration import Configuration
 from corklift.membership.peers import Peers, split
-from corklift.net.limits import MS, ConfigError, Counters, Limits, Printer, raise_descriptor_limit
-from corklift.service import Part, Process, carry_on
+from corklift.net.limits import MS, ConfigError, Counters, Limits, LogWriter, raise_descriptor_limit
+from corklift.service import BalancerProcess, Component, carry_on
 from corklift.toml_tables import Table, locate_error
 
 Name = Annotated[str, Meta(min_length=1, max_length=100, pattern=r"^[!-~]+$")]
@@ -124,7 +124,7 @@
     return found
 
 
-class JsonPrinter(Printer):
+class JsonLogWriter(LogWriter):
     """Each line a JSON object, by structlog's renderers: `at_ns` on the one clock, `event`, and what the event brings."""
 
     def __init__(
@@ -135,12 +135,12 @@
         self._fields: dict[str, Any] = {}
         self._render = structlog.processors.JSONRenderer()
 
-    def tell(self, event: str, **fields: Any) -> None:
+    def write_event(self, event: str, **fields: Any) -> None:
         self._fields = fields
-        self.say(event, always=True)
+        self.write(event, always=True)
         self._fields = {}
 
-    def form(self, text: str) -> str:
+    def format_line(self, text: str) -> str:
         line = self._render(
             None,
             "info",
@@ -152,7 +152,7 @@
 def main(path: str) -> int:
     made: list[Any] = []
 
-    def make() -> Process:
+    def make() -> BalancerProcess:
         given = read(path)
         if given.peers is not None and os.environ.get("BALANCER_LISTEN_FD"):
             raise ConfigError(
@@ -160,9 +160,9 @@
             )
         name = given.peers.name if given.peers else ""
 
-        def part(process: Process) -> Part:
-            assert isinstance(process.printer, JsonPrinter)
-            tell, peers, store = process.printer.tell, given.peers, given.store
+        def component(process: BalancerProcess) -> Component:
+            assert isinstance(process.log_writer, JsonLogWriter)
+            tell, peers, store = process.log_writer.write_event, given.peers, given.store
             if store is None:
                 assert peers is not None
                 made.append(Peers(process, peers, tell))
@@ -190,11 +190,11 @@
                 )
             return made[0]
 
-        return Process(
+        return BalancerProcess(
             given.whole(),
             read_anew=lambda: read(path).whole(),
-            printer=partial(JsonPrinter, name=name),
-            parts=[part] if given.peers or given.store else [],
+            log_writer=partial(JsonLogWriter, name=name),
+            components=[component] if given.peers or given.store else [],
         )
 
     code = carry_on(make)
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -18,15 +18,15 @@
 
 from corklift.configuration import Configuration, read
 from corklift.interface import Scope
-from corklift.net.admin import Admin, Desk, figures
+from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
-from corklift.net.kin import folder
-from corklift.net.limits import MS, SECOND, ConfigError, Counters, Printer, Seconds
-from corklift.net.overlap import Overlap
+from corklift.net.handover_files import folder
+from corklift.net.limits import MS, SECOND, ConfigError, Counters, LogWriter, SecondSummary
+from corklift.net.handover_driver import HandoverDriver
 from corklift.net.relay import Relay
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.stream import Stream
-from corklift.net.upkeep import Probes, Watch
+from corklift.net.monitoring import ServerProbes, DiscoveryWatch
 from corklift.settings import left_out
 
 
@@ -48,15 +48,23 @@
     raise ConfigError(f"environment: BALANCER_LISTEN_FD holds {text!r:.40}: {problem}")
 
 
-class Part(Protocol):
-    """What a program has beside the parts of `run`."""
+class Component(Protocol):
+    """An optional component of a balancer process, such as peer membership or recovery."""
 
-    def jobs(self) -> Sequence[Callable[[], None]]: ...  # tasks that last as long as the process
-    def leave(self) -> None: ...  # told to stop: new clients come for a moment yet
-    def left(self) -> None: ...  # the last client has gone; may wait, not for long
+    def background_tasks(self) -> Sequence[Callable[[], None]]:
+        """Returns functions that run as tasks for the lifetime of the process."""
+        ...
 
+    def on_stop_requested(self) -> None:
+        """Called when the process is asked to stop; new clients still arrive for a moment."""
+        ...
 
-class Process:
+    def on_clients_drained(self) -> None:
+        """Called after the last client has disconnected; may block briefly."""
+        ...
+
+
+class BalancerProcess:
     """The parts of one balancer, put together."""
 
     def __init__(
@@ -66,8 +74,8 @@
         poller: Any = None,
         *,
         read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
-        printer: Callable[..., Printer] = Printer,
-        parts: Sequence[Callable[[Process], Part]] = (),
+        log_writer: Callable[..., LogWriter] = LogWriter,
+        components: Sequence[Callable[[BalancerProcess], Component]] = (),
     ) -> None:
         """`read_anew`: the configuration anew, at SIGHUP; `parts`: what this program has beside those of `run`."""
         self.counters = Counters()
@@ -78,7 +86,7 @@
         )  # of this process, so it goes before the file's
         self._configuration = given = Configuration.of(config, self._admin_told)
         self.limits = limits = given.limits
-        self.printer = printer(limits, now, self.counters)
+        self.log_writer = log_writer(limits, now, self.counters)
         self.scheduler = scheduler = Scheduler(now, self._failed, poller)
         self.facade = Facade(
             scheduler,
@@ -89,53 +97,57 @@
             given.localities,
             given.kinds,
             limits.settle_time,
-            self.printer.say,
+            self.log_writer.write,
             self.counters,
         )
         self.relay = Relay(scheduler, limits, self.counters, self.facade)
         listen_fd = os.environ.get("BALANCER_LISTEN_FD", "")
         self.port = (
-            self.relay.share(inherited(listen_fd)) if listen_fd else self.relay.listen(given.listen)
+            self.relay.listen_on_inherited_socket(inherited(listen_fd))
+            if listen_fd
+            else self.relay.listen(given.listen)
         )
         self._shares = bool(listen_fd)
         name = os.environ.get("BALANCER_NAME") or (
             "%s:%d" % given.listen if given.listen[1] else ""
         )
         place = folder(os.environ.get("TMPDIR"), name)
-        self.overlap = Overlap(
+        self.handover = HandoverDriver(
             scheduler,
             limits,
             self.counters,
-            lambda text: self.printer.say(text, always=True),
+            lambda text: self.log_writer.write(text, always=True),
             self.facade,
             self.relay,
             place,
             self._shares,
         )
-        self.probes = Probes(scheduler, limits, self.counters, self.facade, given.kept_for)
-        self.watch = Watch(
+        self.probes = ServerProbes(scheduler, limits, self.counters, self.facade, given.kept_for)
+        self.watch = DiscoveryWatch(
             scheduler,
             limits,
             self.counters,
-            self.printer,
+            self.log_writer,
             self.facade,
             given.discovery,
             Random(given.seed ^ 1),
             given.known.version if given.known.is_full and given.known.entries else None,
         )
-        self.admin = Admin(scheduler, limits, self.counters, Desk(self))
+        self.admin = Admin(scheduler, limits, self.counters, AdminHandler(self))
         self.admin_port = self.admin.listen(given.admin) if given.admin else 0
         self._stopping = False
         self.apply_operator_override: Callable[[str, bool], bool] = (
-            lambda name, out: (  # a part that keeps operators' words sets it
-                self.overlap.take_out_of_service(name)
+            lambda name, out: (  # set by a component that stores operator overrides
+                self.handover.take_out_of_service(name)
                 if out
-                else self.overlap.restore_to_service(name)
+                else self.handover.restore_to_service(name)
             )
         )
-        self.may_serve: Callable[[], bool] = lambda: True  # a part that holds the door sets it
-        self.more_figures: list[Callable[[], str]] = []
-        self._parts = [part(self) for part in parts]
+        self.may_serve: Callable[[], bool] = lambda: (
+            True
+        )  # set by a component that delays admission
+        self.extra_stats: list[Callable[[], str]] = []
+        self._components = [component(self) for component in components]
 
     @property
     def configuration(self) -> Configuration:
@@ -145,19 +157,19 @@
     def start(self) -> None:
         scheduler = self.scheduler
         printing = scheduler.spawn(self._keep_printing)
-        self.printer.wake = lambda: scheduler.wake(printing)
-        self.overlap.join()
-        self.facade.listed(Scope.CACHED, self._configuration.known)
+        self.log_writer.wake = lambda: scheduler.wake(printing)
+        self.handover.join()
+        self.facade.apply_listing(Scope.CACHED, self._configuration.known)
         for job in (
-            self.facade.keep_ticking,
-            self.probes.keep_probing,
-            self.watch.keep_watching,
-            self.admin.keep_accepting,
-            self.relay.keep_accepting,
+            self.facade.timer_loop,
+            self.probes.probe_loop,
+            self.watch.watch_loop,
+            self.admin.accept_loop,
+            self.relay.accept_loop,
             self._get_ready,
             self._keep_telling,
-            self.overlap.keep_looking,
-            *(job for part in self._parts for job in part.jobs()),
+            self.handover.poll_loop,
+            *(job for component in self._components for job in component.background_tasks()),
         ):
             scheduler.spawn(self._keep, job)
 
@@ -193,17 +205,17 @@
         except (ConfigError, OSError) as problem:
             self.counters["configurations refused"] += 1
             what = problem if isinstance(problem, ConfigError) else f"config: listen: {problem}"
-            self.printer.say(f"{what}; the old configuration stays in force", always=True)
+            self.log_writer.write(f"{what}; the old configuration stays in force", always=True)
             return
         self._configuration, self.limits = new, new.limits
-        self.printer.limits = new.limits
+        self.log_writer.limits = new.limits
         self.facade.settings_changed(
             new.arguments, new.report_names, new.told, new.localities, new.kinds
         )
         self.relay.reconfigure(new.limits)
         self.admin.reconfigure(new.limits)
         self.probes.reconfigure(new.limits, new.kept_for)
-        self.watch.follow(new.discovery, new.limits)
+        self.watch.reconfigure(new.discovery, new.limits)
         changed = sorted(
             {
                 name
@@ -214,23 +226,32 @@
             }
         )
         self.counters["configurations taken"] += 1
-        self.printer.say(
+        self.log_writer.write(
             f"configuration read anew, changed: {' '.join(changed) or 'nothing'}", always=True
         )
 
     # What operators ask and tell
 
-    def serves(self) -> bool:
-        return self.relay.serves and self.overlap.serves and self.may_serve() and not self._stopping
+    def is_serving(self) -> bool:
+        return (
+            self.relay.is_serving
+            and self.handover.is_serving
+            and self.may_serve()
+            and not self._stopping
+        )
 
-    def figures(self) -> str:
+    def stats(self) -> str:
         known, avoided = self.facade.known_and_excluded_servers()
         return "".join(
             [
-                figures(
-                    self.counters, self.facade.workloads(), self.relay.in_flight, known, avoided
+                format_stats(
+                    self.counters,
+                    self.facade.workload_names(),
+                    self.relay.in_flight,
+                    known,
+                    avoided,
                 ),
-                *(more() for more in self.more_figures),
+                *(more() for more in self.extra_stats),
             ]
         )
 
@@ -255,62 +276,64 @@
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
         self._tell_counters()
-        self.printer.print_all()
+        self.log_writer.flush()
 
     def _tell_counters(self) -> None:
         self.counters["sockets open"] = Stream.open_count
-        self.printer.say(self.counters.text(), always=True)
+        self.log_writer.write(self.counters.text(), always=True)
 
     def _get_ready(self) -> None:
         """Serves, as PING is told, once the list and a first count of each server are there, or soon anyway."""
         until = self.scheduler.now() + self.limits.ready_time
-        while self.scheduler.now() < until and not (self.watch.told and self.facade.all_heard()):
+        while self.scheduler.now() < until and not (
+            self.watch.has_answered and self.facade.all_servers_probed()
+        ):
             self.scheduler.sleep(25 * MS)
         self.relay.ready = True
 
     def leave(self) -> None:
         if not self._stopping:
             self._stopping = True
-            self.printer.say("told to stop")
-            self.overlap.leave()
-            for part in self._parts:
-                part.leave()
+            self.log_writer.write("told to stop")
+            self.handover.leave()
+            for component in self._components:
+                component.on_stop_requested()
             self.scheduler.spawn(self._see_out)
 
     def _see_out(self) -> None:
         try:
             self.relay.stop()
-            for part in self._parts:
-                part.left()
+            for component in self._components:
+                component.on_clients_drained()
         finally:
             self.scheduler.stop()
 
     def _failed(self, trace: str) -> None:
         self.counters["exceptions"] += 1
-        self.printer.say(f"exception: {trace}")
+        self.log_writer.write(f"exception: {trace}")
 
     def _keep_telling(self) -> None:
-        seconds = Seconds(self.counters)
+        summary = SecondSummary(self.counters)
         while True:
             self.scheduler.sleep(SECOND)
-            line = seconds.line()
+            line = summary.next_line()
             if line is not None:
-                self.printer.say(line)
+                self.log_writer.write(line)
 
     def _keep_printing(self) -> None:
         while True:
-            if not self.printer.waiting:
+            if not self.log_writer.has_pending_lines:
                 self.scheduler.wait({})
             elif self.scheduler.wait({sys.stderr.fileno(): WRITE}):
-                self.printer.print_one()
+                self.log_writer.write_next()
 
 
 def balance() -> int:
     """`run`: the balancer alone, from BALANCER_CONFIG."""
-    return carry_on(lambda: Process(read(os.environ.get("BALANCER_CONFIG"))))
+    return carry_on(lambda: BalancerProcess(read(os.environ.get("BALANCER_CONFIG"))))
 
 
-def carry_on(make: Callable[[], Process]) -> int:
+def carry_on(make: Callable[[], BalancerProcess]) -> int:
     """Makes a process and serves until it is told to stop; returns how the program ends."""
     # Guards against the signal's usual effect, an end, and its loss before the first configuration is in use.
     early: list[int] = []
