--- a/corklift/net/handover_driver.py
+++ b/corklift/net/handover_driver.py
@@ -1,7 +1,9 @@
-"""Keeps this process in step with the others of its balancer: who takes clients, and who is out by operators' word.
+"""Coordinates this process with the other processes of its balancer during an upgrade.
 
-Owns this process's place among them. Must never take clients beside another one that does, wait for another process with
-a client at hand, or answer an operator before the word is written where the next process finds it.
+The driver decides with `Handover` whether this process accepts clients, and shares operator
+overrides and learned state with the other processes through `HandoverFiles`. Invariants: two
+processes never accept clients at the same time; no accepted client waits for another process; an
+operator is answered only after the override is written where the next process finds it.
 """
 
 from __future__ import annotations
@@ -18,6 +20,8 @@
 
 
 class HandoverDriver:
+    """Runs the handover of one process: reads the others' states and applies what follows."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -27,157 +31,178 @@
         facade: Facade,
         relay: Relay,
         path: str | None,
-        shares: bool,
+        socket_shared: bool,
     ) -> None:
-        """`path`: where the processes meet, if anywhere; `shares`: whether the clients' socket is shared with them."""
+        """Creates the driver.
+
+        Args:
+            path: the directory of the state files; None if there is none.
+            socket_shared: whether the processes share the listening socket.
+        """
         self._scheduler, self._limits, self._counters, self._log = scheduler, limits, counters, log
-        self._facade, self._relay, self._path, self._shares = facade, relay, path, shares
-        self._files: HandoverFiles | None = None
-        self._place = Handover(0)
-        self._yielded = False  # what this process has learned is told
-        self._held = 0  # as last told
-        self._ended: dict[
-            tuple[int, int], float
-        ] = {}  # by process and server, what earlier ones have told of it
-        self._followed: set[int] = set()  # processes whose learning has been taken over
-        self._others_live = True  # until a look has shown it
-        self.overrides_stored_elsewhere = (
-            False  # operators' words are kept by another part, which knows better
+        self._facade, self._relay, self._path, self._socket_shared = (
+            facade,
+            relay,
+            path,
+            socket_shared,
         )
+        self._files: HandoverFiles | None = None
+        self._handover = Handover(0)
+        self._has_yielded = False  # the learned state is part of the written state
+        self._written_client_count = 0  # the client count in the state written last
+        # Load of the connections that ended at earlier processes and was already applied, by
+        # generation and server.
+        self._ended_loads: dict[tuple[int, int], float] = {}
+        # Generations whose learned state has been imported.
+        self._imported_generations: set[int] = set()
+        self._others_running = True  # assumed until the first poll
+        # Set by recovery, which stores the operator overrides itself and is authoritative for them.
+        self.overrides_stored_elsewhere = False
 
     @property
     def is_serving(self) -> bool:
-        return not self._shares or self._place.stage in (Stage.SERVING, Stage.YIELDED)
+        """Whether this process accepts clients, or has yielded that to a later process."""
+        return not self._socket_shared or self._handover.stage in (Stage.SERVING, Stage.YIELDED)
 
     def join(self) -> None:
-        """Takes in what earlier processes were told, before any login."""
-        if not (self._shares or self._path and os.path.isdir(self._path)) or not self._enter():
-            if self._shares:
-                # Guards against a door that nobody opens, where the system gives the processes no place to meet.
-                self._shares = False  # alone, as far as can be known
+        """Applies the operator overrides of earlier processes; called before the first login."""
+        if (
+            not (self._socket_shared or self._path and os.path.isdir(self._path))
+            or not self._ensure_files()
+        ):
+            if self._socket_shared:
+                # Without a directory the other processes can't be seen. This process assumes that
+                # it is alone: otherwise nobody might accept clients.
+                self._socket_shared = False
                 self._relay.set_accepting(True)
             return
-        living, ended = self._files.others()
-        self._take_words(living + ended)
-        self._tell()
-        self._files.forget(ended)
+        running, ended = self._files.read_others()
+        self._merge_overrides(running + ended)
+        self._write_state()
+        self._files.remove_files(ended)
 
     def poll_loop(self) -> None:
-        """Where the clients' socket is shared: follows an earlier process, and yields to a later one."""
-        while self._shares and self._files is not None:
+        """Polls the other processes while the listening socket is shared.
+
+        Takes over from an earlier process, and yields to a later one.
+        """
+        while self._socket_shared and self._files is not None:
             try:
-                self._look()
+                self._poll()
             except OSError as problem:
-                # Guards against a folder that is taken away under it: clients are served all the same.
+                # The directory may have been removed; clients are served all the same.
                 if not self._counters["looks at other processes that failed"]:
-                    self._log(f"other processes of this balancer can't be looked at: {problem}")
+                    self._log(f"cannot read the state of the balancer's other processes: {problem}")
                 self._counters["looks at other processes that failed"] += 1
             self._scheduler.sleep(self._limits.look_pause)
 
     def take_out_of_service(self, name: str) -> bool:
+        """Drains the server and stores the override; returns whether there is such a server."""
         if not self._facade.take_out_of_service(name):
             return False
-        self._say(name, True)
+        self._record_override(name, True)
         return True
 
     def restore_to_service(self, name: str) -> bool:
+        """Ends an override and stores that; returns whether there is such a server."""
         if not self._facade.restore_to_service(name):
             return False
-        if name in self._place.servers_out_of_service():
-            self._say(name, False)
+        if name in self._handover.servers_out_of_service():
+            self._record_override(name, False)
         return True
 
     def leave(self) -> None:
-        """Told to stop: whoever follows need not wait for this one."""
-        self._place.leave()
-        if self._shares and self._files is not None:
+        """Stops accepting and says so, so that a later process need not wait for this one."""
+        self._handover.leave()
+        if self._socket_shared and self._files is not None:
             self._relay.set_accepting(False)
-            self._tell()
+            self._write_state()
 
-    # Within
+    # Internals
 
-    def _enter(self) -> bool:
+    def _ensure_files(self) -> bool:
+        """Claims a generation on first use; returns whether state files can be written."""
         if self._files is None and self._path is not None:
             try:
                 self._files = HandoverFiles(self._path, self._log)
-                stage, words = self._place.stage, self._place.overrides
-                self._place = Handover(self._files.generation)
-                self._place.stage, self._place.overrides = stage, words
+                stage, overrides = self._handover.stage, self._handover.overrides
+                self._handover = Handover(self._files.generation)
+                self._handover.stage, self._handover.overrides = stage, overrides
             except OSError as problem:
                 self._path = None
-                self._log(f"words of operators end with this process: {problem}")
+                self._log(f"operator overrides will be lost at the end of this process: {problem}")
         return self._files is not None
 
-    def _say(self, name: str, out: bool) -> None:
-        if self._enter():
-            self._place.record_override(name, out)
-            self._tell()
+    def _record_override(self, name: str, out_of_service: bool) -> None:
+        if self._ensure_files():
+            self._handover.record_override(name, out_of_service)
+            self._write_state()
 
-    def _tell(self) -> None:
+    def _write_state(self) -> None:
         if self._files is not None:
-            self._held = self._relay.client_count
-            learned = self._facade.export_learned_state() if self._yielded else {}
+            self._written_client_count = self._relay.client_count
+            learned = self._facade.export_learned_state() if self._has_yielded else {}
             try:
-                self._files.tell(
+                self._files.write_state(
                     ProcessState(
-                        self._place.generation,
-                        self._place.stage,
-                        self._held,
-                        self._place.overrides,
+                        self._handover.generation,
+                        self._handover.stage,
+                        self._written_client_count,
+                        self._handover.overrides,
                         learned,
                     )
                 )
             except OSError as problem:
                 self._counters["files that can't be written"] += 1
-                self._log(f"what this process tells the next can't be written: {problem}")
+                self._log(f"cannot write the state for the balancer's other processes: {problem}")
 
-    def _take_words(self, lives: list[ProcessState]) -> None:
-        for name, out in (
-            sorted(self._place.merge_overrides(lives).items())
+    def _merge_overrides(self, states: list[ProcessState]) -> None:
+        for name, out_of_service in (
+            sorted(self._handover.merge_overrides(states).items())
             if not self.overrides_stored_elsewhere
             else ()
         ):
-            self._facade.apply_operator_override(name, out)
+            self._facade.apply_operator_override(name, out_of_service)
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         assert self._files is not None
         if (
-            not self._files.changed()
-            and not self._others_live
-            and self._place.stage is Stage.SERVING
+            not self._files.has_changed()
+            and not self._others_running
+            and self._handover.stage is Stage.SERVING
         ):
-            return  # alone, as before
-        living, ended = self._files.others()
-        if self._others_live and not living:
+            return  # still the only process
+        running, ended = self._files.read_others()
+        if self._others_running and not running:
             self._facade.other_processes_ended()
-        self._others_live = bool(living)
-        self._take_words(living + ended)
-        self._relay.clients_elsewhere = sum(life.client_count for life in living)
-        for life in living + ended if self._place.stage is Stage.SERVING else []:
-            self._take_ended(life)
-        while self._place.advance(living, self._relay.ready):
-            self._change(living)
-            self._tell()
-            living, _ = self._files.others()
-        if living and self._held != self._relay.client_count:
-            self._tell()
-
-    def _take_ended(self, life: ProcessState) -> None:
-        """Connections of an earlier process end while their clients come back to this one."""
-        for server, load in life.learned_state.get("ended", ()):
-            more = load - self._ended.get((life.generation, server), 0.0)
-            if more > 0:
-                self._ended[life.generation, server] = load
-                self._facade.connection_ended_elsewhere(server, more)
-
-    def _change(self, living: list[ProcessState]) -> None:
-        stage = self._place.stage
-        self._log(f"process {self._place.generation} of this balancer is {stage.value}")
+        self._others_running = bool(running)
+        self._merge_overrides(running + ended)
+        self._relay.clients_elsewhere = sum(state.client_count for state in running)
+        for state in running + ended if self._handover.stage is Stage.SERVING else []:
+            self._apply_ended_connections(state)
+        while self._handover.advance(running, self._relay.ready):
+            self._apply_stage(running)
+            self._write_state()
+            running, _ = self._files.read_others()
+        if running and self._written_client_count != self._relay.client_count:
+            self._write_state()
+
+    def _apply_ended_connections(self, state: ProcessState) -> None:
+        """Applies connections that ended at an earlier process, whose clients log in again here."""
+        for server, load in state.learned_state.get("ended", ()):
+            new_load = load - self._ended_loads.get((state.generation, server), 0.0)
+            if new_load > 0:
+                self._ended_loads[state.generation, server] = load
+                self._facade.connection_ended_elsewhere(server, new_load)
+
+    def _apply_stage(self, running: list[ProcessState]) -> None:
+        stage = self._handover.stage
+        self._log(f"process {self._handover.generation} of this balancer is {stage.value}")
         self._relay.set_accepting(stage is Stage.SERVING)
         if stage is Stage.SERVING:
-            for life in living:
-                if life.learned_state and life.generation not in self._followed:
-                    self._followed.add(life.generation)
-                    self._facade.import_learned_state(life.learned_state)
+            for state in running:
+                if state.learned_state and state.generation not in self._imported_generations:
+                    self._imported_generations.add(state.generation)
+                    self._facade.import_learned_state(state.learned_state)
         self._facade.set_standby(stage is Stage.YIELDED)
-        self._yielded = stage is Stage.YIELDED
+        self._has_yielded = stage is Stage.YIELDED
--- a/corklift/net/handover_files.py
+++ b/corklift/net/handover_files.py
@@ -1,8 +1,10 @@
-"""The files by which the processes of one balancer know of each other, in a folder that outlives each of them.
+"""The state files through which the processes of one balancer exchange state during an upgrade.
 
-Owns this process's two files there: `N.lock`, locked for its life, and `N.life`, what it tells. Must never read or remove
-what another living process has locked, or raise for what a file holds: that is told and left out. A
-few hundred bytes are written where something has changed, beside and then renamed, so a reader finds them whole.
+They are in a directory that outlives the processes. Each process owns two files there, named by its
+generation N: `N.lock`, which it keeps locked while it runs, and `N.life`, its state. A state file
+has a few hundred bytes; it is written to a temporary file and renamed, so that readers never see a
+part of it. A file with unreadable content is logged and ignored. Files of a running process are
+never removed by another one.
 """
 
 from __future__ import annotations
@@ -14,34 +16,42 @@
 
 from corklift.handover import ProcessState, UnreadableStateError, decode, encode
 
-MOST = 1 << 20  # bytes of a file that is read
+MAX_FILE_BYTES = 1 << 20
 
 
-def folder(base: str | None, name: str) -> str | None:
-    """Where the processes of the balancer of this name meet, if it has one and the system gives them a place."""
+def handover_directory(base: str | None, name: str) -> str | None:
+    """Returns the directory for the balancer with this name; None without a name or a base."""
     if not base or not name:
         return None
     return os.path.join(base, "corklift-" + re.sub(r"[^A-Za-z0-9_.-]", "_", name))
 
 
 class HandoverFiles:
+    """The files of this process, and access to those of the other processes of the balancer."""
+
     def __init__(self, path: str, log: Callable[[str], None]) -> None:
-        """Takes the next generation's number; raises OSError where nothing can be written."""
+        """Creates the directory and claims the next generation.
+
+        Raises:
+            OSError: the directory or a file can't be created.
+        """
         self._path, self._log = path, log
         os.makedirs(path, mode=0o700, exist_ok=True)
-        self._told: set[str] = set()  # files that were told of as unreadable
-        self._seen: object = None
+        self._reported_files: set[str] = set()  # unreadable files that were logged
+        self._last_mtime: object = None
         while True:
             self.generation = 1 + max(self._generations(), default=0)
             try:
-                self._lock = os.open(self._file("lock"), os.O_CREAT | os.O_EXCL | os.O_RDWR, 0o600)
+                self._lock = os.open(
+                    self._file_path("lock"), os.O_CREAT | os.O_EXCL | os.O_RDWR, 0o600
+                )
                 break
             except FileExistsError:
-                continue  # another one has started at the same time
-        # Waits for no more than another's look, which holds the lock for that moment.
+                continue  # another process has started at the same time
+        # Waits for a moment at most, while `_is_running` of another process holds the lock.
         fcntl.flock(self._lock, fcntl.LOCK_EX)
 
-    def _file(self, kind: str, generation: int | None = None) -> str:
+    def _file_path(self, kind: str, generation: int | None = None) -> str:
         return os.path.join(
             self._path, f"{self.generation if generation is None else generation}.{kind}"
         )
@@ -55,41 +65,45 @@
             }
         )
 
-    def tell(self, life: ProcessState) -> None:
-        beside = self._file("new")
-        with open(beside, "wb") as file:
-            file.write(encode(life))
-        os.rename(beside, self._file("life"))
-
-    def changed(self) -> bool:
-        """Whether any of them has written since this was last asked."""
-        seen = os.stat(self._path).st_mtime_ns
-        seen, self._seen = self._seen, seen
-        return seen != self._seen
-
-    def others(self) -> tuple[list[ProcessState], list[ProcessState]]:
-        """What the other processes tell: of those that live, and of those that have ended."""
-        living, ended = [], []
+    def write_state(self, state: ProcessState) -> None:
+        """Replaces the state file of this process."""
+        temporary_path = self._file_path("new")
+        with open(temporary_path, "wb") as file:
+            file.write(encode(state))
+        os.rename(temporary_path, self._file_path("life"))
+
+    def has_changed(self) -> bool:
+        """Whether any process has written since the last call."""
+        mtime = os.stat(self._path).st_mtime_ns
+        mtime, self._last_mtime = self._last_mtime, mtime
+        return mtime != self._last_mtime
+
+    def read_others(self) -> tuple[list[ProcessState], list[ProcessState]]:
+        """Returns the states of the other processes: of the running ones, and of the ended ones."""
+        running, ended = [], []
         for generation in self._generations():
             if generation != self.generation:
-                lives = self._lives(generation)
-                life = self._read(generation)
-                if life is not None:
-                    (living if lives else ended).append(life)
-        return living, ended
-
-    def forget(self, lives: list[ProcessState]) -> None:
-        """Removes what those who have ended left, once this process tells it too."""
-        for life in lives:
+                is_running = self._is_running(generation)
+                state = self._read_state(generation)
+                if state is not None:
+                    (running if is_running else ended).append(state)
+        return running, ended
+
+    def remove_files(self, ended: list[ProcessState]) -> None:
+        """Removes the files of ended processes.
+
+        Call it only once this process has written a state that includes theirs.
+        """
+        for state in ended:
             for kind in ("life", "new", "lock"):
                 try:
-                    os.unlink(self._file(kind, life.generation))
+                    os.unlink(self._file_path(kind, state.generation))
                 except OSError:
                     pass
 
-    def _lives(self, generation: int) -> bool:
+    def _is_running(self, generation: int) -> bool:
         try:
-            lock = os.open(self._file("lock", generation), os.O_RDWR)
+            lock = os.open(self._file_path("lock", generation), os.O_RDWR)
         except OSError:
             return False
         try:
@@ -100,18 +114,18 @@
         finally:
             os.close(lock)
 
-    def _read(self, generation: int) -> ProcessState | None:
-        path = self._file("life", generation)
+    def _read_state(self, generation: int) -> ProcessState | None:
+        path = self._file_path("life", generation)
         try:
             with open(path, "rb") as file:
-                life = decode(file.read(MOST))
-            if life.generation != generation:
-                raise UnreadableStateError(f"it is of generation {life.generation}")
-            return life
+                state = decode(file.read(MAX_FILE_BYTES))
+            if state.generation != generation:
+                raise UnreadableStateError(f"it belongs to generation {state.generation}")
+            return state
         except FileNotFoundError:
-            return None  # it has not told anything yet
+            return None  # that process has not written its state yet
         except (OSError, UnreadableStateError) as problem:
-            if path not in self._told:
-                self._told.add(path)
-                self._log(f"{os.path.basename(path)} of an earlier process is left out: {problem}")
+            if path not in self._reported_files:
+                self._reported_files.add(path)
+                self._log(f"ignoring state file {os.path.basename(path)}: {problem}")
             return None
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -289,8 +289,8 @@
                 self._counters["discovery failures"] += 1
                 if self._failures & (self._failures - 1) == 0:
                     self._log_writer.write(
-                        f"discovery: {type(problem).__name__} {problem}, {self._failures} in a row; "
-                        "the known list stays in force"
+                        f"discovery: {type(problem).__name__} {problem}, "
+                        f"{self._failures} in a row; the known list stays in force"
                     )
                 if isinstance(problem, Malformed):
                     self._index = None  # request the full list again
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -20,7 +20,7 @@
 from corklift.interface import Scope
 from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
-from corklift.net.handover_files import folder
+from corklift.net.handover_files import handover_directory
 from corklift.net.limits import MS, SECOND, ConfigError, Counters, LogWriter, SecondSummary
 from corklift.net.handover_driver import HandoverDriver
 from corklift.net.relay import Relay
@@ -111,7 +111,7 @@
         name = os.environ.get("BALANCER_NAME") or (
             "%s:%d" % given.listen if given.listen[1] else ""
         )
-        place = folder(os.environ.get("TMPDIR"), name)
+        directory = handover_directory(os.environ.get("TMPDIR"), name)
         self.handover = HandoverDriver(
             scheduler,
             limits,
@@ -119,7 +119,7 @@
             lambda text: self.log_writer.write(text, always=True),
             self.facade,
             self.relay,
-            place,
+            directory,
             self._shares,
         )
         self.probes = ServerProbes(scheduler, limits, self.counters, self.facade, given.kept_for)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -109,15 +109,19 @@
             whole if number == 3 else encode(life._replace(generation=7))[:-1]
         )
     files = HandoverFiles(str(tmp_path), said.append)
-    assert files.generation == 8 and files.others() == ([], []) and files.others() == ([], [])
+    assert (
+        files.generation == 8
+        and files.read_others() == ([], [])
+        and files.read_others() == ([], [])
+    )
     assert len(said) == 2 and "7.life" in said[1]
-    files.tell(life._replace(generation=8))
+    files.write_state(life._replace(generation=8))
     other = HandoverFiles(str(tmp_path), said.append)
-    assert other.others() == ([life._replace(generation=8)], [])
+    assert other.read_others() == ([life._replace(generation=8)], [])
     os.close(files._lock)  # as when its process has ended
-    assert other.others() == ([], [life._replace(generation=8)])
-    other.forget(other.others()[1])
-    assert other.others() == ([], []) and other.changed() and not other.changed()
+    assert other.read_others() == ([], [life._replace(generation=8)])
+    other.remove_files(other.read_others()[1])
+    assert other.read_others() == ([], []) and other.has_changed() and not other.has_changed()
 
 
 def test_the_cold_budget_goes_over_and_is_spent_once():
