--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -1,8 +1,9 @@
-"""Operators' calls over HTTP/1.1, one to a connection: health, figures, a server taken out and put back.
+"""The operators' HTTP/1.1 endpoint: health, statistics, and taking servers out of service.
 
-Owns the operators' door and the connections that came in by it: few, with descriptors of their own. Each whole call
-gets one answer, at once. Must never wait for a client, a server or discovery to answer a call, change anything by a
-call that can't be read, or decide what follows from a server's absence.
+Operators have their own listening socket and a small number of connections with descriptors
+reserved for them. Each connection serves one request. A request never waits for a client, a server
+or discovery, and one that can't be parsed changes nothing. What follows from a server that is out of
+service is decided elsewhere.
 """
 
 from __future__ import annotations
@@ -25,85 +26,97 @@
 
 
 class AdminResponse(NamedTuple):
+    """Status and body of an HTTP response."""
+
     status: int
     text: str
 
 
 class IncompleteOperationError(Exception):
-    """What was asked for is answered in another way than by yes or no."""
+    """An operation was not carried out completely; holds the response that says so."""
 
-    def __init__(self, answer: AdminResponse) -> None:
-        super().__init__(answer.text)
-        self.answer = answer
+    def __init__(self, response: AdminResponse) -> None:
+        super().__init__(response.text)
+        self.response = response
 
 
 class ManagedBalancer(Protocol):
-    """What operators may ask of a balancer and tell it."""
+    """What operators may do with a balancer.
+
+    The operations on a server return whether there is a server with this name.
+    """
 
     def is_serving(self) -> bool: ...
     def stats(self) -> str: ...
-    def take_out_of_service(self, name: str) -> bool: ...  # whether there is such a server
+    def take_out_of_service(self, name: str) -> bool: ...
     def restore_to_service(self, name: str) -> bool: ...
 
 
 class AdminHandler:
-    """Answers whole calls."""
+    """Handles complete requests."""
 
     def __init__(self, balancer: ManagedBalancer) -> None:
         self._balancer = balancer
-        self._calls: dict[str, tuple[str, Callable[[HttpRequest], AdminResponse]]] = {
+        self._endpoints: dict[str, tuple[str, Callable[[HttpRequest], AdminResponse]]] = {
             "/admin/health": ("GET", self._health),
-            "/admin/stats": ("GET", lambda call: AdminResponse(200, balancer.stats())),
+            "/admin/stats": ("GET", lambda request: AdminResponse(200, balancer.stats())),
             "/admin/cordon": (
                 "POST",
-                lambda call: self._member(call, balancer.take_out_of_service, "out"),
+                lambda request: self._member(request, balancer.take_out_of_service, "out"),
             ),
             "/admin/uncordon": (
                 "POST",
-                lambda call: self._member(call, balancer.restore_to_service, "free to serve"),
+                lambda request: self._member(request, balancer.restore_to_service, "free to serve"),
             ),
         }
 
     def method(self, path: str) -> str:
-        """The one that a path is called by; empty where there is no such path."""
-        return self._calls[path][0] if path in self._calls else ""
+        """Returns the method that the path supports; an empty string if there is no such path."""
+        return self._endpoints[path][0] if path in self._endpoints else ""
+
+    def handle(self, request: HttpRequest) -> AdminResponse:
+        """Handles a request.
 
-    def answer(self, call: HttpRequest) -> AdminResponse:
-        method = self.method(call.path)
+        Raises:
+            Malformed: the body is not as required.
+        """
+        method = self.method(request.path)
         if not method:
-            return AdminResponse(404, f"There is no {call.path:.80} here.\n")
-        if call.method != method:
-            return AdminResponse(405, f"{call.path} is called by {method}.\n")
-        return self._calls[call.path][1](call)
+            return AdminResponse(404, f"There is no {request.path:.80} here.\n")
+        if request.method != method:
+            return AdminResponse(405, f"{request.path} requires the method {method}.\n")
+        return self._endpoints[request.path][1](request)
 
-    def _health(self, call: HttpRequest) -> AdminResponse:
+    def _health(self, request: HttpRequest) -> AdminResponse:
         return (
             AdminResponse(200, "It serves.\n")
             if self._balancer.is_serving()
             else AdminResponse(503, "It does not serve.\n")
         )
 
-    def _member(self, call: HttpRequest, act: Callable[[str], bool], what: str) -> AdminResponse:
-        name = call.json_object().get("member")
+    def _member(
+        self, request: HttpRequest, operation: Callable[[str], bool], state_name: str
+    ) -> AdminResponse:
+        name = request.json_object().get("member")
         if not isinstance(name, str) or not name:
             raise Malformed("member is no name of a server")
         try:
-            known = act(name)
-        except IncompleteOperationError as other:
-            return other.answer
-        if not known:
+            exists = operation(name)
+        except IncompleteOperationError as error:
+            return error.response
+        if not exists:
             return AdminResponse(404, f"No server has the name {name!r:.80}.\n")
-        return AdminResponse(200, f"Server {name:.80} is {what}.\n")
+        return AdminResponse(200, f"Server {name:.80} is {state_name}.\n")
 
 
 def format_stats(
     counters: Counters, workloads: list[str], in_flight: int, known: int, excluded: int
 ) -> str:
-    """A line a figure, from the counts that the program itself keeps: `|c` has grown since the start, `|g` stands now."""
+    """Returns one statistic a line: `|c` marks a counter since the start, `|g` a current value."""
     lines = [
-        f"app.{word}.{_part(name)}:{counters.answers[word, name]}|c"
+        f"app.{result}.{_stat_name(name)}:{counters.answers[result, name]}|c"
         for name in workloads
-        for word in ("served", "refused", "failed")
+        for result in ("served", "refused", "failed")
     ]
     lines += [
         f"app.attempts:{counters['hand-offs written']}|c",
@@ -116,33 +129,33 @@
     return "\n".join(lines) + "\n"
 
 
-def _part(name: str) -> str:
-    """A workload's name as a part of a figure's."""
+def _stat_name(name: str) -> str:
+    """Returns a workload's name without the characters that a statistic's name can't contain."""
     return "".join(
         letter if letter.isprintable() and letter not in ":|@#. " else "_" for letter in name
     )
 
 
 class Admin:
-    """The door for operators."""
+    """Accepts the operators' connections and serves each of them in a task of its own."""
 
     def __init__(
-        self, scheduler: Scheduler, limits: Limits, counters: Counters, desk: AdminHandler
+        self, scheduler: Scheduler, limits: Limits, counters: Counters, handler: AdminHandler
     ) -> None:
-        self._scheduler, self._limits, self._counters, self._desk = (
+        self._scheduler, self._limits, self._counters, self._handler = (
             scheduler,
             limits,
             counters,
-            desk,
+            handler,
         )
-        self._door: socket.socket | None = None
+        self._listener: socket.socket | None = None
         self._acceptor: Task | None = None
-        self._callers: dict[Stream, Task] = {}  # oldest first
+        self._connections: dict[Stream, Task] = {}  # oldest first
 
     def listen(self, address: tuple[str, int]) -> int:
-        """Opens the door, instead of the one before if there is one; returns its port."""
+        """Opens the listening socket, in place of an earlier one; returns its port."""
         sock = listening_socket(address)
-        old, self._door = self._door, sock
+        old, self._listener = self._listener, sock
         if self._acceptor is not None:
             self._scheduler.interrupt(self._acceptor, Gone())
         if old is not None:
@@ -150,25 +163,27 @@
         return sock.getsockname()[1]
 
     def reconfigure(self, limits: Limits) -> None:
+        """Applies new limits."""
         self._limits = limits
 
     def accept_loop(self) -> None:
+        """Accepts connections for the lifetime of the process."""
         self._acceptor = self._scheduler.current
         while True:
             try:
-                if self._door is None:
+                if self._listener is None:
                     self._scheduler.wait({})
-                elif self._scheduler.wait({self._door.fileno(): READ}):
-                    self._accept(self._door)
+                elif self._scheduler.wait({self._listener.fileno(): READ}):
+                    self._accept(self._listener)
             except Gone:
-                continue  # there is another door
+                continue  # `listen` has replaced the listening socket
 
     def _accept(self, sock: socket.socket) -> None:
-        while len(self._callers) >= self._limits.calls:
-            # Guards against callers who hold a place without a call: whoever has held one longest makes room.
-            caller = next(iter(self._callers))
+        while len(self._connections) >= self._limits.calls:
+            # Closes the oldest connection, so that idle connections can't block new ones.
+            oldest = next(iter(self._connections))
             self._counters["operators' connections that made way"] += 1
-            self._scheduler.interrupt(self._callers.pop(caller), Gone())
+            self._scheduler.interrupt(self._connections.pop(oldest), Gone())
             self._scheduler.wait({}, self._scheduler.now())
         try:
             stream = Stream(sock.accept()[0], self._limits)
@@ -178,48 +193,48 @@
             self._counters["no descriptor for an operator"] += 1
             self._scheduler.sleep(self._limits.operator_pause)
             return
-        self._callers[stream] = self._scheduler.spawn(self._serve, stream)
+        self._connections[stream] = self._scheduler.spawn(self._serve, stream)
 
     def _serve(self, stream: Stream) -> None:
         try:
-            answer = self._answer(stream)
+            response = self._respond(stream)
             drain_and_close(
                 self._scheduler,
                 stream,
-                answer,
+                response,
                 self._scheduler.now() + self._limits.turned_away_time,
             )
         except Gone:
             pass
         finally:
-            self._callers.pop(stream, None)
+            self._connections.pop(stream, None)
             stream.close()
 
-    def _answer(self, stream: Stream) -> bytes:
+    def _respond(self, stream: Stream) -> bytes:
         try:
-            call = self._call(stream)
-            status, text = self._desk.answer(call)
-            more = f"Allow: {self._desk.method(call.path)}\r\n" if status == 405 else ""
+            request = self._read_request(stream)
+            status, text = self._handler.handle(request)
+            headers = f"Allow: {self._handler.method(request.path)}\r\n" if status == 405 else ""
         except MessageTooLongError as problem:
-            status, text, more = 413, f"The call is too long: {problem}.\n", ""
+            status, text, headers = 413, f"The request is too long: {problem}.\n", ""
         except Malformed as problem:
-            status, text, more = 400, f"The call can't be read: {problem}.\n", ""
+            status, text, headers = 400, f"The request can't be parsed: {problem}.\n", ""
         except Late:
-            status, text, more = 408, "No whole call has come.\n", ""
+            status, text, headers = 408, "The request was not complete in time.\n", ""
         self._counters["operators' calls" if status == 200 else "operators' calls turned down"] += 1
-        return format_http_response(status, text, more)
+        return format_http_response(status, text, headers)
 
-    def _call(self, stream: Stream) -> HttpRequest:
+    def _read_request(self, stream: Stream) -> HttpRequest:
         until = self._scheduler.now() + self._limits.call_time
-        call, urged = HttpRequest(self._limits.call), False
+        request, sent_continue = HttpRequest(self._limits.call), False
         while True:
             stream.receive()
             if len(stream.receive_buffer):
-                call.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
-            if call.done:
-                return call
-            if call.header_done and call.expects_continue and not urged:
-                urged = True
+                request.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
+            if request.done:
+                return request
+            if request.header_done and request.expects_continue and not sent_continue:
+                sent_continue = True
                 stream.write(CONTINUE_RESPONSE)
             if stream.broken or stream.peer_closed:
                 raise Gone
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -161,7 +161,7 @@
     assert wire.answers["hesitant"][0] == 100 and "s1 is out" in wire.answers["hesitant"][1]
     assert (
         len(wire.answers) == 81
-        and not wire.process.admin._callers
+        and not wire.process.admin._connections
         and not wire.counters["exceptions"]
     )
 
