--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -2,8 +2,8 @@
 
 Operators have their own listening socket and a small number of connections with descriptors
 reserved for them. Each connection serves one request. A request never waits for a client, a server
-or discovery, and one that can't be parsed changes nothing. What follows from a server that is out of
-service is decided elsewhere.
+or discovery, and one that can't be parsed changes nothing. What follows from a server that is out
+of service is decided elsewhere.
 """
 
 from __future__ import annotations
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -220,7 +220,8 @@
     `tools/fleet_count.py` adds up the lines of a fleet.
     """
 
-    SHOWN = {
+    # The counters that are summed up under each name in the line.
+    COUNTERS_BY_NAME = {
         "logins": ("logins in",),
         "bounced": ("logins bounced", "logins bounced without room"),
         "terminated": ("logins terminated",),
@@ -240,23 +241,27 @@
         "list calls": ("discovery answers", "discovery failures"),
         "list failures": ("discovery failures",),
     }
-    SHOWN_IF_ANY = ("bounced", "terminated", "full", "failed", "moved", "broken", "list failures")
+    # Names whose growth is a problem.
+    PROBLEMS = ("bounced", "terminated", "full", "failed", "moved", "broken", "list failures")
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
-        self._last = self._now()
+        self._last_totals = self._totals()
 
-    def _now(self) -> dict[str, int]:
-        return {name: sum(self._counters[key] for key in keys) for name, keys in self.SHOWN.items()}
+    def _totals(self) -> dict[str, int]:
+        return {
+            name: sum(self._counters[key] for key in keys)
+            for name, keys in self.COUNTERS_BY_NAME.items()
+        }
 
     def next_line(self) -> str | None:
         """Returns the changes since the last call; None if none of them is a problem."""
-        now, last = self._now(), self._last
-        self._last = now
-        if not any(now[name] > last[name] for name in self.SHOWN_IF_ANY):
+        totals, last = self._totals(), self._last_totals
+        self._last_totals = totals
+        if not any(totals[name] > last[name] for name in self.PROBLEMS):
             return None
         return "second: " + " ".join(
-            f"{name}={now[name] - last[name]}" for name in now if now[name] > last[name]
+            f"{name}={totals[name] - last[name]}" for name in totals if totals[name] > last[name]
         )
 
 
@@ -270,6 +275,7 @@
         self.wake: Callable[[], None] = lambda: None
 
     def write(self, text: str, always: bool = False) -> None:
+        """Queues a line; drops it beyond the rate or the queue's length unless `always` is set."""
         second = self._now() // SECOND
         if second != self._second:
             self._second, self._remaining = second, self.limits.printed
