--- a/tests/loop.py
+++ b/tests/loop.py
@@ -1,4 +1,4 @@
-"""A scheduler in a thread of its own, for tests whose other side is a library with threads."""
+"""Runs a scheduler in a thread, for tests against libraries that use threads themselves."""
 
 from __future__ import annotations
 
@@ -12,6 +12,8 @@
 
 
 class Loop:
+    """A scheduler in its own thread; as a context manager it runs for the duration of the block."""
+
     def __init__(self) -> None:
         self.problems: list[str] = []
         self.counters = Counters()
@@ -39,28 +41,29 @@
             self.scheduler.sleep(2_000_000)
 
     def do(self, job: Callable[[], Any], timeout: float = 10.0) -> Any:
-        """Runs this in a greenlet there and returns what it does, or raises what it raises."""
-        done, out = threading.Event(), []
+        """Runs the job in a task of the scheduler; returns its result or raises its exception."""
+        done, results = threading.Event(), []
 
         def run() -> None:
             try:
-                out.append((job(), None))
+                results.append((job(), None))
             except BaseException as problem:
-                out.append((None, problem))
+                results.append((None, problem))
             done.set()
 
         self._jobs.append(lambda: self.scheduler.spawn(run))
-        assert done.wait(timeout), "the job has not come to an end"
-        if out[0][1] is not None:
-            raise out[0][1]
-        return out[0][0]
+        assert done.wait(timeout), "the job did not finish in time"
+        if results[0][1] is not None:
+            raise results[0][1]
+        return results[0][0]
 
 
-def wait_for(true: Callable[[], Any], seconds: float = 8.0) -> Any:
+def wait_for(condition: Callable[[], Any], seconds: float = 8.0) -> Any:
+    """Waits until the condition returns a true value, and returns that value."""
     until = time.monotonic() + seconds
     while True:
-        found = true()
+        found = condition()
         if found:
             return found
-        assert time.monotonic() < until, "it has not come true in time"
+        assert time.monotonic() < until, "the condition did not become true in time"
         time.sleep(0.005)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_histories_against_a_model(kind):
+def test_random_histories_against_a_model(kind):
     for seed in range(150):
         verdict = play(seed, kind)
         assert not verdict.invented and not verdict.lost_synced and not verdict.silent, verdict.what
@@ -61,23 +61,23 @@
 def test_a_segment_that_failed_is_never_written_to_again(fault):
     disk = Memory(Random(2))
     store = create_store(disk)
-    (before,) = disk.names()
+    (old_segment,) = disk.names()
     disk.faults = Faults(**{fault: 1.0})
     if fault in ("append", "sync"):
         with pytest.raises(CommitFailedError):
             store.commit([{b"lost": b"1"}])
     disk.faults = Faults()
-    size = len(disk.read(before)) if before in disk.names() else 0
+    size = len(disk.read(old_segment)) if old_segment in disk.names() else 0
     assert store.commit([{b"kept": b"1"}]) == 6
     if fault in ("append", "sync"):
-        assert store.get(b"lost") is None and disk.names() != [before]
-        assert before not in disk.names() or len(disk.read(before)) == size
+        assert store.get(b"lost") is None and disk.names() != [old_segment]
+        assert old_segment not in disk.names() or len(disk.read(old_segment)) == size
     disk.power_lost()
     found = load(disk.names(), disk.read)
     assert found.state[b"kept"] == b"1" and b"lost" not in found.state and found.sequence == 6
 
 
-def test_a_full_disk_at_the_first_write_and_room_later():
+def test_a_disk_full_at_the_first_write_that_later_has_space():
     disk = Memory(Random(3), Faults(full=20))
     store = Store(disk)
     assert "No space" in store.open_report.write_error and store.open_report.fresh
@@ -88,7 +88,7 @@
     assert Store(disk).get(b"a") == b"2"
 
 
-def test_compaction_goes_on_beside_commits_and_a_cut_at_any_call_loses_nothing():
+def test_a_power_cut_at_any_call_during_compaction_and_commits_loses_nothing():
     for cut in range(1, 60):
         disk = Memory(Random(cut))
         store = Store(disk, min_compaction_bytes=500)
@@ -109,7 +109,7 @@
         ), cut
 
 
-def test_foreign_newer_missing_and_swapped_segments_are_told_apart():
+def test_foreign_newer_missing_and_swapped_segments_are_distinguished():
     disk = Memory(Random(4))
     create_store(disk)
     (name,) = disk.names()
@@ -148,7 +148,7 @@
     return store_format.encode_header(header._replace(number=number)) + frames
 
 
-def test_one_process_at_a_time_and_what_another_left_is_written_anew(tmp_path):
+def test_one_process_at_a_time_and_a_start_rewrites_the_segment(tmp_path):
     disk = DiskFiles(str(tmp_path / "store"))
     store = create_store(disk)
     with pytest.raises(StoreInUseError):
@@ -162,27 +162,27 @@
     ]
 
 
-def test_commands_say_where_a_store_is_damaged_and_salvage_the_rest(tmp_path):
-    path, to = tmp_path / "store", tmp_path / "saved"
+def test_commands_report_where_a_store_is_damaged_and_salvage_the_rest(tmp_path):
+    path, target = tmp_path / "store", tmp_path / "saved"
     disk = DiskFiles(str(path))
     store = create_store(disk)
     store.close()
     disk.release()
     file = path / store_format.segment_name(1)
-    run = CliRunner().invoke
-    assert run(cli, ["store", "check", str(path)]).exit_code == 0
-    assert "k4" in run(cli, ["store", "dump", str(path)]).output
+    invoke = CliRunner().invoke
+    assert invoke(cli, ["store", "check", str(path)]).exit_code == 0
+    assert "k4" in invoke(cli, ["store", "dump", str(path)]).output
     content = bytearray(file.read_bytes())
     content[200] ^= 1
     file.write_bytes(content)
-    found = run(cli, ["store", "check", str(path)])
+    found = invoke(cli, ["store", "check", str(path)])
     assert found.exit_code == 1 and f"{file.name} at byte" in found.output
     assert file.read_bytes() == content
-    salvaged = run(cli, ["store", "salvage", str(path), "--to", str(to)])
+    salvaged = invoke(cli, ["store", "salvage", str(path), "--to", str(target)])
     assert salvaged.exit_code == 0 and "bytes" in salvaged.output
-    assert load(os.listdir(to), DiskFiles(str(to)).read).state[b"a"] == b"4"
-    assert run(cli, ["store", "copy", str(to), str(tmp_path / "copy")]).exit_code == 0
-    assert run(cli, ["store", "check", str(tmp_path / "copy")]).exit_code == 0
+    assert load(os.listdir(target), DiskFiles(str(target)).read).state[b"a"] == b"4"
+    assert invoke(cli, ["store", "copy", str(target), str(tmp_path / "copy")]).exit_code == 0
+    assert invoke(cli, ["store", "check", str(tmp_path / "copy")]).exit_code == 0
 
 
 def run_with_worker(folders, conduct):
@@ -211,7 +211,7 @@
     return result[0]
 
 
-def test_a_disk_that_stalls_delays_no_tick(tmp_path):
+def test_a_stalled_disk_does_not_delay_the_scheduler(tmp_path):
     control = tmp_path / "rig"
     control.mkdir()
 
@@ -252,7 +252,7 @@
         assert found.state[b"n"] in (b"%d" % seed, b"lied") and found.sequence >= sequence
 
 
-def _unchecked(monkeypatch):
+def _checksums_ignored(monkeypatch):
     monkeypatch.setattr(store_format, "crc32c", lambda content: 7)
 
 
@@ -260,23 +260,23 @@
     monkeypatch.setattr(Memory, "sync_folder", lambda self: None)
 
 
-def _tail_accepted(monkeypatch):
-    monkeypatch.setattr(store_format, "_highest_synced", lambda content, since: 0)
+def _damage_taken_for_torn_tail(monkeypatch):
+    monkeypatch.setattr(store_format, "_highest_synced", lambda content, start: 0)
 
 
-def _sync_tried_again(monkeypatch):
+def _failed_sync_retried(monkeypatch):
     real_sync = Memory.sync
 
-    def twice(self, handle):
+    def sync_with_retry(self, handle):
         try:
             real_sync(self, handle)
         except OSError:
             real_sync(self, handle)
 
-    monkeypatch.setattr(Memory, "sync", twice)
+    monkeypatch.setattr(Memory, "sync", sync_with_retry)
 
 
-def _old_removed_first(monkeypatch):
+def _old_segments_removed_first(monkeypatch):
     finish_snapshot = log.Store._finish_snapshot
 
     def finish(self, writer, sequence, batches):
@@ -292,14 +292,14 @@
 @pytest.mark.parametrize(
     "fault, kind",
     [
-        (_unchecked, "flip"),
+        (_checksums_ignored, "flip"),
         (_folder_not_synced, "power"),
-        (_tail_accepted, "flip"),
-        (_sync_tried_again, "failing"),
-        (_old_removed_first, "power"),
+        (_damage_taken_for_torn_tail, "flip"),
+        (_failed_sync_retried, "failing"),
+        (_old_segments_removed_first, "power"),
     ],
 )
-def test_deliberate_faults_are_found(monkeypatch, fault, kind):
+def test_deliberate_faults_are_detected(monkeypatch, fault, kind):
     fault(monkeypatch)
     if kind == "flip":
         disk = Memory(Random(1))
@@ -321,25 +321,25 @@
         )
 
 
-def test_a_batch_is_whole_or_not_there():
+def test_a_batch_is_atomic():
     disk = Memory(Random(6))
     store = Store(disk)
-    store.commit([{b"%d" % at: b"1" * 30 for at in range(1000)}])
+    store.commit([{b"%d" % index: b"1" * 30 for index in range(1000)}])
     (name,) = disk.names()
     content = disk.read(name)
-    frame = next(
-        at
-        for at in range(HEAD.size, len(content))
-        if getattr(store_format.decode_frame(content, at), "kind", 0) == BATCH
+    batch_offset = next(
+        offset
+        for offset in range(HEAD.size, len(content))
+        if getattr(store_format.decode_frame(content, offset), "kind", 0) == BATCH
     )
-    for at in range(frame, len(content) - 36, 997):
-        assert load([name], lambda _, at=at: content[:at]).state == {}
+    for end in range(batch_offset, len(content) - 36, 997):
+        assert load([name], lambda _, end=end: content[:end]).state == {}
     with pytest.raises(ValueError):
         store.commit([{b"": b"1"}])
     assert len(store.items(b"99")) == 11
 
 
-def test_a_damaged_store_is_left_as_it_is_and_the_next_has_what_could_be_read(tmp_path):
+def test_a_damaged_store_is_left_as_it_is_and_the_next_gets_its_readable_part(tmp_path):
     disk = DiskFiles(str(tmp_path / "store-1"))
     create_store(disk).close()
     disk.release()
