--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -43,87 +43,92 @@
 class Limits:
     """The limits of one balancer process. Times are in ns."""
 
-    # Clients relayed at a time, with two sockets each.
+    # Maximum number of clients relayed at a time; each takes two sockets.
     clients: int
-    # Further clients whose first line is still being read, or that are answered BUSY.
+    # Maximum number of further clients, whose first line is being read or that are answered BUSY.
     waiting: int
-    # Connections kept open for probes.
+    # Maximum number of connections kept open for probes.
     probes: int
-    # Within which a connect to a server must succeed.
+    # Timeout of a connect to a server.
     connect_time: int
-    # After SIGTERM until the process ends, whatever is left.
+    # Time from SIGTERM to the end of the process, whatever is still open.
     stop_time: int
-    # Bytes of a line, including its line end.
+    # Maximum bytes of a line, including its line end.
     line: int = 4096
-    # Bytes of a ring buffer; at least two lines.
+    # Bytes of a ring buffer; it must hold at least two lines.
     ring: int = 8192
-    # Bytes of an answer of discovery; parsing one takes about ten times as much memory.
+    # Maximum bytes of an answer of discovery; parsing takes about ten times as much memory.
     body: int = 4 << 20
-    # From a client's connect, or its first PONG, to the end of its first line.
+    # Time from a client's connect, or from its first PONG, to the end of its first line.
     first_line_time: int = 2 * SECOND
-    # How long a connection's name stays in use after the connection ends, or after its last misuse.
+    # How long a connection's name stays reserved after the connection ends, or after its last
+    # misuse.
     name_time: int = 3 * SECOND
-    # How long a rejected client has after its answer to close the connection itself ...
+    # How long a rejected client has, after its answer, to close the connection itself ...
     turned_away_time: int = 100 * MS
-    # ... and how many bytes of it are still read meanwhile.
+    # ... and how many bytes from it are still read during that time.
     turned_away_bytes: int = 1 << 16
     # How long before a client's time limit its answer is sent, so that it arrives in time.
     answer_margin: int = 25 * MS
     # A client that claims to wait longer than this is rejected.
     longest_wait: int = 3600 * SECOND
-    # To bring up again a connection that was open before a restart ...
+    # Time to re-establish a connection that was open before a restart ...
     standing_time: int = 35 * SECOND
     # ... and the pause between the attempts.
     standing_pause: int = 250 * MS
-    # After such a connection is up, until load reports certainly include it.
+    # Time after such a connection is up until load reports are certain to include it.
     settle_time: int = 1500 * MS
-    # The client of a line that had no answer for so long is moved.
+    # If a line has had no answer for so long, its client is moved to another server.
     silent_time: int = 5 * SECOND
-    # To pass on the end of a connection, and to wait for the other side to close.
+    # Time to pass on the end of a connection and for the other side to close.
     end_time: int = 700 * MS
     # How long discovery may hold a request of the list watch.
     watch_wait: int = 4 * SECOND
     # How late an answer may be before the watch starts again; it can come 2 s late.
     watch_slack: int = 2500 * MS
-    # Within which the rest of an answer must arrive; shorter than the minimum grace of a drain.
+    # How long an answer that has begun may stall; less than the minimum grace period of a drain.
     watch_stall: int = 100 * MS
-    # Mean delay after a failed call, doubled after each further failure ...
+    # Mean delay after a failed call to discovery, doubled after each further failure ...
     watch_pause: int = 50 * MS
-    # ... up to this mean.
+    # ... up to this value.
     watch_pause_most: int = 2500 * MS
     # The same delays after discovery answered that it is overloaded.
     overbooked_pause: int = 5 * SECOND
     overbooked_pause_most: int = 20 * SECOND
-    # Over which the first calls of processes that start with a known list are spread, if discovery
-    # only answers requests.
+    # Maximum random delay of the first call to discovery by a process that starts with a known
+    # list, where discovery only answers requests.
     first_call_spread: int = 0
-    # After which a process serves even if discovery or some servers have not answered yet.
+    # Time from the start after which a process serves, even if discovery or some servers have not
+    # answered yet.
     ready_time: int = 1500 * MS
     # How long clients are still accepted after SIGTERM.
     stop_accepting: int = 500 * MS
-    # Interval at which the files of other processes of this balancer are read.
+    # Interval between reads of the files of other processes of this balancer.
     look_pause: int = 50 * MS
-    # Connections of operators at a time.
+    # Maximum number of operators' connections at a time.
     calls: int = 0
-    # Bytes of an operator's request body.
+    # Maximum bytes of an operator's request, without its header.
     call: int = 16384
-    # Within which an operator's whole request must arrive.
+    # Time for an operator's complete request to arrive.
     call_time: int = 5 * SECOND
-    # Pause after an operator's connection found no free descriptor.
+    # Pause before the next accept when there is no descriptor for an operator's connection.
     operator_pause: int = 20 * MS
-    # Log lines per second.
+    # Maximum log lines per second.
     printed: int = 20
-    # Log lines waiting to be written.
+    # Maximum log lines waiting to be written.
     print_queue: int = 200
 
     def time_to_move_connections(self, accepting: int) -> int:
-        """Returns how long the moves after SIGTERM may take: what is left less 500 ms."""
+        """Returns how long connections are moved once clients are no longer accepted.
+
+        The last 500 ms, or half of the time if that is less, are for the moved ones to end.
+        """
         remaining = self.stop_time - accepting
         return max(remaining // 2, remaining - 500 * MS)
 
     @property
     def unanswered_line_time(self) -> int:
-        """How long a line may be unanswered before the decisions learn of it, each time again."""
+        """Interval after which an unanswered line is reported to the decisions, each time again."""
         return self.connect_time
 
     @property
@@ -292,7 +297,7 @@
         return bool(self._queue)
 
     def flush(self) -> None:
-        """Writes all pending lines. For the end of the process, as it may block."""
+        """Writes all pending lines. It may block, so it is for the end of the process only."""
         while self._queue:
             self.write_next()
 
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -53,9 +53,10 @@
 def stable_id(text: str, allow_hexadecimal: bool = True) -> int:
     """Returns the id of a name. It is the same at every balancer, as decisions order servers by it.
 
-    The id of a hexadecimal name, with or without a word in front, is that number, as on the
-    simulator's wire; both then order servers alike. Any other name is hashed. For a name whose
-    number another name has too, call with `allow_hexadecimal=False` to hash it.
+    A name that is a hexadecimal number, with or without a prefix such as `s-`, has that number as
+    its id. The simulator's wire uses the same numbers, so servers are ordered alike there. Any
+    other name is hashed. With `allow_hexadecimal=False` every name is hashed, for the case that
+    another name has the same number.
     """
     found = _HEXADECIMAL_NAME.fullmatch(text) if allow_hexadecimal else None
     number = (
--- a/corklift/store/log.py
+++ b/corklift/store/log.py
@@ -83,7 +83,7 @@
         self.synced = sequence + 1
 
     def write_sync_mark(self, sequence: int) -> None:
-        """Records in the file what is synced, so that a later bit flip differs from a torn end.
+        """Records in the file what is synced, so that a bit flip is not mistaken for a torn end.
 
         The mark itself is not synced.
         """
@@ -310,7 +310,7 @@
             pass
 
     def compact(self, commit_waits: Callable[[], bool] = lambda: False) -> bool:
-        """Does a part of the compaction that is due; returns whether more is left.
+        """Does a part of the compaction, if one is due; returns whether more is left.
 
         It returns early when `commit_waits` returns true, so that the commit goes first.
         """
