--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -334,15 +334,15 @@
             assert seen[1] in ("DEADLINE_EXCEEDED", "CANCELLED") and seen[3] == "CANCELLED"
             calls = [double.future(b"%d" % n, timeout=10) for n in range(200)]
             assert [call.result() for call in calls] == [b"%d" % n * 2 for n in range(200)]
-            stand = channel.stream_stream("/t/Both", **SAME)(iter_of := _Talk(), timeout=20)
+            live = channel.stream_stream("/t/Both", **SAME)(iter_of := _Talk(), timeout=20)
             iter_of.say(b"one")
-            assert next(stand) == b"eno"
+            assert next(live) == b"eno"
             loop.do(lambda: loop.scheduler.spawn(server.shut_down, 3 * SECOND))
             time.sleep(0.2)
             iter_of.say(b"two")
-            assert next(stand) == b"owt"  # a call that stands goes on
+            assert next(live) == b"owt"  # a live call continues
             iter_of.say(None)
-            assert list(stand) == []
+            assert list(live) == []
             wait_for(lambda: not server.connections)
 
 
