--- a/corklift/recovery/__init__.py
+++ b/corklift/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What is believed at a start, who is asked, in which order service returns. See docs/design/recovery.md."""
+"""Recovery of a balancer after a restart. See docs/design/recovery.md."""
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -1,11 +1,17 @@
-"""From a start to full service: what is read, who is asked, what is looked at, how far the door opens; and words that must not be lost.
+"""Recovery of a balancer from its start to full service, and durable replication of operator
+overrides.
 
-READ: what the disk says. ASK: peers that live, a few, for newer words. LOOK: each server that may serve has answered a probe, or has not. OPEN: what
-is let in follows what the servers show. FULL. From the first moment each login is answered: let in or refused at once.
+The phases: READ loads the local store. ASK queries a few live peers for newer facts. LOOK waits
+until each server that may serve has replied to a probe or failed to. OPEN admits logins as the
+servers take them (see `admission`). FULL admits all. In every phase each login is answered at once,
+by admission or rejection.
 
-Owns the order, the facts and the door. Free of I/O and clocks: it is told what happened and at what time, and acts by calls on its host. Must
-never wait for a span of time where something can show it, wait for one that waits for this one, let a fact that was only read confirm
-another that was, or give operators a yes for a word that is not on enough disks.
+Does no I/O and reads no clock: the caller passes in each event with its time, and the module acts
+through its `Host`.
+
+Invariants: never waits for a fixed time where an event can end the wait; never waits for a peer
+that waits for this balancer; a fact that was only read from a disk never confirms another one that
+was; an override is never acknowledged to operators before it is on enough disks.
 """
 
 from __future__ import annotations
@@ -44,15 +50,19 @@
     provenance_of,
 )
 
-LOOK_PART = 5  # of a period, over which servers are asked at a start: hundreds of balancers may do so at once
-LOST_FROM, LOST_PART = (
-    4.0,
-    0.25,
-)  # connections that a server held, of which under this part is left: it began anew
-SIZE_CHANGE = 0.2  # of a server's size that is worth a write
+# The first probes are spread over the period divided by this, as hundreds of balancers may start at
+# once.
+PROBE_SPREAD = 5
+# A server that held at least so many connections and now holds less than this share of them has
+# restarted.
+RESTART_MIN_CONNECTIONS, RESTART_MAX_SHARE = (4.0, 0.25)
+# Relative change of a server's size that is worth a write.
+MIN_SIZE_CHANGE = 0.2
 
 
 class RecoveryPhase(IntEnum):
+    """Phase of the recovery after a start; see the module's docstring."""
+
     READ = 0
     ASK = 1
     LOOK = 2
@@ -61,67 +71,100 @@
 
 
 class RecoveryConfig(NamedTuple):
-    """Times as ratios to the peers' probe period, and counts; the period and the longest time to come back are in ns."""
+    """Timeouts and limits. `period` and `max_retry_after` are in ns; other times are in probe
+    periods.
+    """
 
     period: int = 1_000_000_000
-    store_timeout: float = 3.0  # periods after which a disk that has not answered is not waited for
-    reply_timeout: float = 1.0  # a period, for a peer's answer
-    clean_query_timeout: float = 2.0  # periods after which a peer that may yet come is not waited for, by one that was told to stop ...
-    unclean_query_timeout: float = 5.0  # ... or was not: its disk may lack the last that was said
-    wanted_replies: int = 3  # peers whose answers are wanted at a start
-    max_queries: int = 12  # peers that are asked at a start, at the most
-    copies: int = 2  # others on whose disk a word is, before operators get a yes; fewer where a majority is fewer
-    max_concurrent_replications: int = 8  # peers that are told of a word at a time
-    replication_timeout: float = 5.0  # periods for a yes
-    sync_interval: float = 10.0  # periods between two looks whether another one holds the same
-    max_gone_drains: int = (
-        1000  # drains of servers that are listed no longer which are kept, the newest
-    )
-    max_retry_after: int = 1_000_000_000  # to come back
-    cold: ColdRule = ColdRule(1.0, 1, 1.0, 1)  # of the settings
+    # After this time the recovery goes on without the local store; it is merged when it loads late.
+    store_timeout: float = 3.0
+    # For a peer's reply.
+    reply_timeout: float = 1.0
+    # How long to wait for peers that have not started yet, after a clean stop.
+    clean_query_timeout: float = 2.0
+    # The same without a clean stop: the local store may lack the last facts.
+    unclean_query_timeout: float = 5.0
+    # Replies of peers that are wanted at a start.
+    wanted_replies: int = 3
+    # Queries to peers that are sent at a start, at most.
+    max_queries: int = 12
+    # Peers that must have stored an override before it is acknowledged; fewer in a fleet whose
+    # majority is smaller.
+    copies: int = 2
+    # Peers to which one override is sent at the same time.
+    max_concurrent_replications: int = 8
+    # For the acknowledgement of an override.
+    replication_timeout: float = 5.0
+    # Mean time between two comparisons with a random peer.
+    sync_interval: float = 10.0
+    # Drains that are kept of servers that are no longer listed, the newest ones.
+    max_gone_drains: int = 1000
+    # Longest time after which a rejected login is to retry.
+    max_retry_after: int = 1_000_000_000
+    # The cold rule of the settings.
+    cold: ColdRule = ColdRule(1.0, 1, 1.0, 1)
 
 
 class Host(Protocol):
-    """What a recovery may do."""
-
-    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None: ...
-    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None: ...
-    def persist(self, number: int, facts: tuple[Fact, ...]) -> None: ...
-    def delete_persisted(
-        self, facts: tuple[Fact, ...]
-    ) -> None: ...  # they need not be kept any longer
-    def apply_recovered(
-        self, out: set[str], put_back: set[str]
-    ) -> None: ...  # operators' words that hold from now on
-    def probe_servers(
-        self, span: int
-    ) -> None: ...  # ask each server that may serve, within the span
-    def reapply_list(
-        self,
-    ) -> None: ...  # what the list says is to be heard anew, as facts have changed
-    def server_start_times(
-        self,
-    ) -> dict[str, int]: ...  # by server, when it started, as the decisions know it now
-    def phase_changed(self, step: RecoveryPhase, why: str) -> None: ...
-    def log(self, what: str, **fields: object) -> None: ...
+    """Actions that the recovery takes through its environment."""
+
+    def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
+        """Queries a peer; ends in `reply_received`, or in `request_failed` by the time `until`."""
+        ...
+
+    def replicate(self, request_id: int, name: str, message: Replicate, until: int) -> None:
+        """Sends facts to a peer; ends in `replicate_reply_received` by the time `until`."""
+        ...
+
+    def persist(self, write_id: int, facts: tuple[Fact, ...]) -> None:
+        """Writes facts to the local store; ends in `persisted`."""
+        ...
+
+    def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
+        """Deletes facts from the local store."""
+        ...
+
+    def apply_recovered(self, out_of_service: set[str], restored: set[str]) -> None:
+        """Applies operator overrides: servers out of service, and servers restored to service."""
+        ...
+
+    def probe_servers(self, span: int) -> None:
+        """Probes each server that may serve, at a random time within the span in ns."""
+        ...
+
+    def reapply_list(self) -> None:
+        """Applies the list of servers again, because facts that bear on it have changed."""
+        ...
+
+    def server_start_times(self) -> dict[str, int]:
+        """Returns the start time of each server as the decision module knows it."""
+        ...
+
+    def phase_changed(self, phase: RecoveryPhase, reason: str) -> None:
+        """The recovery has entered a phase."""
+        ...
+
+    def log(self, what: str, **fields: object) -> None:
+        """Writes a log line, as an event and its fields."""
+        ...
 
 
 class NullHost:
-    """A host that does nothing where it is not said what: for one that is alone, and for small worlds."""
+    """A host that ignores every call, as a base class for hosts that need only some of them."""
 
-    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
+    def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
         pass
 
-    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None:
+    def replicate(self, request_id: int, name: str, message: Replicate, until: int) -> None:
         pass
 
-    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, write_id: int, facts: tuple[Fact, ...]) -> None:
         pass
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
         pass
 
-    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
+    def apply_recovered(self, out_of_service: set[str], restored: set[str]) -> None:
         pass
 
     def probe_servers(self, span: int) -> None:
@@ -133,7 +176,7 @@
     def server_start_times(self) -> dict[str, int]:
         return {}
 
-    def phase_changed(self, step: RecoveryPhase, why: str) -> None:
+    def phase_changed(self, phase: RecoveryPhase, reason: str) -> None:
         pass
 
     def log(self, what: str, **fields: object) -> None:
@@ -141,25 +184,29 @@
 
 
 class ReplicationOutcome(IntEnum):
-    """Of an operator's replication."""
+    """How the replication of an operator override ended."""
 
-    KEPT = 0  # by enough
-    PARTLY = 1  # it is in force here, and known to fewer
+    KEPT = 0  # stored on enough disks
+    PARTLY = 1  # in force at this balancer, and stored on too few disks
 
 
 @dataclass(slots=True)
 class _Replication:
+    """The replication of one fact to this store and to the peers."""
+
     fact: Fact
     callback: Callable[[ReplicationOutcome, int, int], None]
     deadline: int
-    persisted_here: bool | None = None  # kept on this disk; None: not known yet
-    persisted_by: set[str] = field(default_factory=set)  # that keep it
-    pending: set[str] = field(default_factory=set)  # that were told and have not answered
-    unsent: list[str] = field(default_factory=list)
+    persisted_here: bool | None = None  # whether it is in the local store; None: not known yet
+    persisted_by: set[str] = field(default_factory=set)  # peers that have stored it
+    pending: set[str] = field(default_factory=set)  # peers that have not replied yet
+    unsent: list[str] = field(default_factory=list)  # peers to which it is still to be sent
     finished: bool = False
 
 
 class Recovery:
+    """The recovery of one balancer: its phase, its facts and the admission of logins."""
+
     def __init__(
         self,
         host: Host,
@@ -174,8 +221,20 @@
         alone: bool = False,
         disk: bool = True,
     ) -> None:
-        """`boot`: what tells one boot of the machine from another; `expected`: balancers by the settings; `alone`: no peers are
-        configured; `disk`: whether there is one to read."""
+        """Creates a recovery in the phase READ.
+
+        Args:
+            host: carries out the actions.
+            rng: source of random numbers.
+            config: timeouts and limits.
+            now: current time, in ns.
+            name: name of this balancer.
+            instance_id: random number of this process.
+            boot: identifies the boot of the machine.
+            expected: number of balancers by the settings.
+            alone: whether no peers are configured.
+            disk: whether there is a store to load.
+        """
         self._host, self._rng, self.config = host, rng, config
         self.name, self._instance_id, self._boot, self._expected, self._alone = (
             name,
@@ -189,39 +248,42 @@
         self.own_marker = Marker()
         self._store_deadline = now + int(config.store_timeout * config.period) if disk else now
         self._store_done = not disk
-        self.store_error = ""  # of the disk, at present
-        self.store_behind = False  # this disk is known to lack what it once had, and nobody who lived has told it since
+        self.store_error = ""  # the store's present error; empty: none
+        # Whether the store is known to lack facts that it once had, and no peer that lived through
+        # it has replied since.
+        self.store_behind = False
         self._live_peers: list[str] = []
         self._membership_ready = alone
-        self._requests: dict[int, tuple[str, int]] = {}  # number: whom, and when
+        self._requests: dict[int, tuple[str, int]] = {}  # by request id: peer, time
         self._next_id = 1
-        self._queries_sent: dict[str, int] = {}  # peers, and how often each was
+        self._queries_sent: dict[str, int] = {}  # by peer, in this start
         self._query_deadline = now
-        self.replies: dict[str, bool] = {}  # peers that have answered, and whether they remember
-        self.unclean_stop = (
-            False  # it was not told to stop: its disk may lack the last that was said
-        )
-        self.live_peer_replied = False  # one that lived through it all has answered
+        self.replies: dict[str, bool] = {}  # by peer that replied: whether its store had facts
+        # Whether the previous process ended without being told to stop: its store may lack the last
+        # facts.
+        self.unclean_stop = False
+        self.live_peer_replied = False  # a peer that lived through the outage has replied
         self.known_start_times: dict[str, int] = {}
         self.power_lost = False
         self._has_memory = False
-        self.starts_empty = False  # nothing was on its disk: it is new, or has lost its memory
+        self.starts_empty = False  # the store had no facts: it is new, or was lost
         self._started_at = now
-        self._unresponsive: set[str] = set()  # servers that did not answer the last probe
-        self._connections: dict[str, float] = {}  # as each told last, to this process
-        self._restarted_at: dict[
-            str, int
-        ] = {}  # when a server showed that it had lost what it held
-        self._assumed_start: dict[str, int] = {}  # when a server was taken to have started ...
-        self._first_answer_at: dict[str, int] = {}  # ... and when it was, by its first answer
+        self._unresponsive: set[str] = set()  # servers that did not reply to the last probe
+        self._connections: dict[str, float] = {}  # by server, from its last report
+        # By server: when its report showed that it had lost its connections.
+        self._restarted_at: dict[str, int] = {}
+        # By server: the assumed time of its start, and the time of its first reply to a probe.
+        self._assumed_start: dict[str, int] = {}
+        self._first_answer_at: dict[str, int] = {}
         self.admission: AdmissionControl | None = None
         self._replications: dict[int, _Replication] = {}
-        self._replicate_calls: dict[int, tuple[int, str]] = {}  # number: the word and who was told
+        # By request id: replication id, peer.
+        self._replicate_calls: dict[int, tuple[int, str]] = {}
         self._persist_callbacks: dict[int, Callable[[bool], None]] = {}
         self._next_sync_at = now
-        self.peer_markers: dict[str, Marker] = {}  # what others told of their stores
+        self.peer_markers: dict[str, Marker] = {}  # by peer, its store's last known position
 
-    # The disk
+    # The local store
 
     def store_loaded(
         self,
@@ -230,23 +292,32 @@
         marker: Marker,
         fresh: bool,
         lost: str = "",
-        trouble: str = "",
+        error: str = "",
     ) -> None:
-        """What the disk says, in time or late. `lost`: what a damaged one had that could not be read."""
+        """The store has been loaded, in time or late.
+
+        Args:
+            now: current time, in ns.
+            facts: the facts in the store.
+            marker: the store's position.
+            fresh: whether the store was new.
+            lost: what a damaged store lost; empty: nothing.
+            error: why the store can't be written; empty: it can.
+        """
         late, self._store_done = self._store_done, True
-        self.own_marker, self.store_error = marker, trouble
+        self.own_marker, self.store_error = marker, error
         changed = [fact for fact in facts if self.facts.merge(fact, Provenance.READ)]
         self.store_behind = self.store_behind or bool(lost)
         ended = self.facts.get(ENDED)
-        # What counts is the machine's boot: a program that was killed leaves the servers as they were.
+        # Decided by the boot of the machine, because killing the program has no effect on the
+        # servers.
         self.power_lost = not fresh and (ended is None or ended.value[0] != self._boot)
         self.unclean_stop = not fresh and (ended is None or not ended.value[1])
         self.starts_empty = fresh
-        self._has_memory = (
-            not fresh and not lost and not trouble
-        )  # a disk that can not be written lacks the last that was told
-        for held in self.facts.of_kind(MARKER):
-            self.peer_markers.setdefault(held.fact.name, Marker(*held.fact.value))
+        # A store that can't be written lacks the last facts.
+        self._has_memory = not fresh and not lost and not error
+        for known in self.facts.of_kind(MARKER):
+            self.peer_markers.setdefault(known.fact.name, Marker(*known.fact.value))
         self._host.log(
             "read",
             facts=len(changed),
@@ -255,79 +326,88 @@
             late=late,
             power_lost=self.power_lost,
             lost=lost,
-            trouble=trouble,
+            trouble=error,
         )
         self._persist_own((Fact(ENDED, "", (1,), [self._boot, False], self.name, now),))
         self._apply_facts(changed)
         self.tick(now)
 
-    def store_unreadable(self, now: int, why: str) -> None:
-        """The disk can't be read, nor what is on it salvaged."""
+    def store_unreadable(self, now: int, reason: str) -> None:
+        """The store can't be read, and nothing was salvaged from it; the balancer starts without
+        facts.
+        """
         self._store_done, self.store_error, self.store_behind, self.starts_empty = (
             True,
-            why,
+            reason,
             True,
             True,
-        )  # it remembers nothing
-        self._host.log("unread", why=why)
+        )
+        self._host.log("unread", why=reason)
         self.tick(now)
 
-    def persisted(self, now: int, number: int, sequence: int, why: str) -> None:
-        """What was to be kept is on the disk, or (`why`) is not known to be."""
-        if why != self.store_error:
-            self._host.log("disk", why=why)
-        self.store_error = why
-        if not why:
+    def persisted(self, now: int, write_id: int, sequence: int, reason: str) -> None:
+        """A write has ended: the facts are on the disk, or, with a reason, they may not be."""
+        if reason != self.store_error:
+            self._host.log("disk", why=reason)
+        self.store_error = reason
+        if not reason:
             self.own_marker = Marker(self.own_marker.store, max(sequence, self.own_marker.sequence))
-        self._persist_callbacks.pop(number, lambda fine: None)(not why)
+        self._persist_callbacks.pop(write_id, lambda succeeded: None)(not reason)
 
     def _persist(
-        self, facts: tuple[Fact, ...], done: Callable[[bool], None] = lambda fine: None
+        self, facts: tuple[Fact, ...], callback: Callable[[bool], None] = lambda succeeded: None
     ) -> None:
-        number, self._next_id = self._next_id, self._next_id + 1
-        self._persist_callbacks[number] = done
-        self._host.persist(number, facts)
+        write_id, self._next_id = self._next_id, self._next_id + 1
+        self._persist_callbacks[write_id] = callback
+        self._host.persist(write_id, facts)
 
     def _persist_own(self, facts: tuple[Fact, ...]) -> None:
-        """Facts of this balancer itself, whose number only grows here."""
-        made = []
+        """Stores facts of this balancer itself that have changed, each with the next version."""
+        updated = []
         for fact in facts:
-            before = self.facts.get(*fact.key)
-            if before is None or before.value != fact.value:
-                made.append(
+            previous = self.facts.get(*fact.key)
+            if previous is None or previous.value != fact.value:
+                updated.append(
                     Fact(
                         fact.kind,
                         fact.name,
-                        ((before.version[0] if before else 0) + 1,),
+                        ((previous.version[0] if previous else 0) + 1,),
                         fact.value,
                         fact.source,
                         fact.recorded_at,
                     )
                 )
-                self.facts.merge(made[-1], Provenance.LIVE)
-        if made:
-            self._persist(tuple(made))
+                self.facts.merge(updated[-1], Provenance.LIVE)
+        if updated:
+            self._persist(tuple(updated))
 
-    def own_incarnation_changed(self, now: int, incarnation: int, turn: int) -> None:
-        """This balancer's own, by membership."""
-        self._persist_own((Fact(SELF, "", (1,), [incarnation, turn], self.name, now),))
+    def own_incarnation_changed(self, now: int, incarnation: int, restart_count: int) -> None:
+        """Stores this balancer's incarnation and restart count, as membership has them."""
+        self._persist_own((Fact(SELF, "", (1,), [incarnation, restart_count], self.name, now),))
 
     @property
     def next_incarnation(self) -> tuple[int, int]:
-        """Incarnation and turn that a start goes on from: above those of before, which others may still be told."""
-        held = self.facts.get(SELF)
-        return (int(held.value[0]) + 1, int(held.value[1]) + 1) if held is not None else (0, 1)
+        """Incarnation and restart count to start with: above the stored ones, which peers may still
+        gossip.
+        """
+        previous = self.facts.get(SELF)
+        return (
+            (int(previous.value[0]) + 1, int(previous.value[1]) + 1)
+            if previous is not None
+            else (0, 1)
+        )
 
     def count_changed(self, now: int, balancers: int) -> None:
-        held = self.facts.get(COUNT)
-        if held is None or held.value != balancers:
+        """Stores the number of balancers."""
+        previous = self.facts.get(COUNT)
+        if previous is None or previous.value != balancers:
             self._merge_shared(
                 now,
                 [
                     Fact(
                         COUNT,
                         "",
-                        ((held.version[0] if held else 0) + 1,),
+                        ((previous.version[0] if previous else 0) + 1,),
                         balancers,
                         self.name,
                         now,
@@ -337,11 +417,12 @@
             )
 
     def sizes_changed(self, now: int, sizes: dict[str, float]) -> None:
-        """What servers can do, as the decisions know it; kept now and then."""
-        held = self.facts.get(SIZES)
-        before = held.value if held is not None else {}
+        """Stores the sizes of the servers if one has changed enough."""
+        current = self.facts.get(SIZES)
+        previous = current.value if current is not None else {}
         if any(
-            abs(size - before.get(name, 0.0)) > SIZE_CHANGE * size for name, size in sizes.items()
+            abs(size - previous.get(name, 0.0)) > MIN_SIZE_CHANGE * size
+            for name, size in sizes.items()
         ):
             self._merge_shared(
                 now,
@@ -349,8 +430,8 @@
                     Fact(
                         SIZES,
                         "",
-                        ((held.version[0] if held else 0) + 1,),
-                        {**before, **sizes},
+                        ((current.version[0] if current else 0) + 1,),
+                        {**previous, **sizes},
                         self.name,
                         now,
                     )
@@ -360,27 +441,39 @@
 
     @property
     def max_balancers(self) -> int:
-        """That there may be, before any is known: the hint may only raise it."""
-        held = self.facts.get(COUNT)
-        return max(self._expected, int(held.value) if held is not None else 0)
+        """Number of balancers that may exist; a stored count can only raise the configured one."""
+        stored = self.facts.get(COUNT)
+        return max(self._expected, int(stored.value) if stored is not None else 0)
 
     def stopping(self, now: int) -> None:
-        """Told to stop: the next start is no recovery from a loss."""
+        """Stores that this process was told to stop, so that the next start is not treated as one
+        after a loss.
+        """
         self._persist_own((Fact(ENDED, "", (1,), [self._boot, True], self.name, now),))
 
     # Peers
 
-    def members_changed(self, now: int, living: list[str], admitted: bool) -> None:
-        """Whom membership holds for living, this one not; whether it has done what a start does."""
-        self._live_peers = living
+    def members_changed(self, now: int, live_peers: list[str], admitted: bool) -> None:
+        """Membership has changed.
+
+        Args:
+            now: current time, in ns.
+            live_peers: peers that are alive.
+            admitted: whether membership has admitted this balancer.
+        """
+        self._live_peers = live_peers
         if admitted and not self._membership_ready:
             self._membership_ready = True
         self.tick(now)
 
     @property
     def state_complete(self) -> bool:
-        """Whether it has what was said before: one that lived told it, or enough that a word is on one of their disks; or there was
-        nothing, as nobody remembers any."""
+        """Whether all facts of before the start are known.
+
+        That holds if a peer that lived through the outage has replied, if so many peers with stored
+        facts have replied that one of them has each acknowledged override, or if no peer has any
+        facts.
+        """
         return (
             self.live_peer_replied
             or self._alone
@@ -389,152 +482,182 @@
             or len(self.replies) >= min(self.config.max_queries, self.max_balancers - 1)
         )
 
-    def _request_state(self, now: int, name: str, whole: bool) -> None:
-        number, self._next_id = self._next_id, self._next_id + 1
-        self._requests[number] = name, now
+    def _request_state(self, now: int, name: str, full: bool) -> None:
+        request_id, self._next_id = self._next_id, self._next_id + 1
+        self._requests[request_id] = name, now
         self._host.request_state(
-            number,
+            request_id,
             name,
-            StateRequest(self.name, self._instance_id, self.own_marker, self.facts.digest, whole),
+            StateRequest(self.name, self._instance_id, self.own_marker, self.facts.digest, full),
             now + int(self.config.reply_timeout * self.config.period),
         )
 
-    def reply_received(self, now: int, number: int, answer: StateReply) -> None:
-        if self._requests.pop(number, None) is None:
+    def reply_received(self, now: int, request_id: int, reply: StateReply) -> None:
+        """A peer has replied to a query."""
+        if self._requests.pop(request_id, None) is None:
             return
         if self.starts_empty and not self.replies:
-            # One answer may be of a disk that lost the same: the others are asked as long as one that remembers would ask.
+            # The disk of this peer may have lost the same facts, so the other peers are queried as
+            # long as after an unclean stop.
             self._query_deadline = max(
                 self._query_deadline,
                 now + int(self.config.unclean_query_timeout * self.config.period),
             )
-        self.replies[answer.sender] = answer.has_memory or self.replies.get(answer.sender, False)
-        self.peer_markers[answer.sender] = answer.marker
+        self.replies[reply.sender] = reply.has_memory or self.replies.get(reply.sender, False)
+        self.peer_markers[reply.sender] = reply.marker
         changed = [
             fact
-            for fact, told in zip(answer.facts, answer.provenances)
+            for fact, provenance in zip(reply.facts, reply.provenances)
             if fact.kind in SHARED
             and self.facts.merge(
                 fact,
                 Provenance.LIVE
-                if answer.lived_through and provenance_of(told) is Provenance.LIVE
+                if reply.lived_through and provenance_of(provenance) is Provenance.LIVE
                 else Provenance.HEARD,
             )
         ]
-        mine = answer.requester_marker
+        known_marker = reply.requester_marker
         if (
             self._store_done
-            and mine.store
-            and (mine.store != self.own_marker.store or mine.sequence > self.own_marker.sequence)
+            and known_marker.store
+            and (
+                known_marker.store != self.own_marker.store
+                or known_marker.sequence > self.own_marker.sequence
+            )
         ):
-            # Shown by a peer: a disk that went back, was emptied, or lied about a sync.
+            # The peer knows a later position of this store: it was rolled back or emptied, or
+            # acknowledged a sync without doing it.
             if not self.store_behind:
                 self._host.log(
                     "behind",
-                    by=answer.sender,
-                    had=mine.sequence,
+                    by=reply.sender,
+                    had=known_marker.sequence,
                     has=self.own_marker.sequence,
-                    other_store=mine.store != self.own_marker.store,
+                    other_store=known_marker.store != self.own_marker.store,
                 )
             self.store_behind = True
-        if self.starts_empty and answer.power_lost:
-            self.power_lost = True  # one that remembers says so
-        if answer.lived_through:
-            # It has been told all that was told meanwhile; two that have both only read can't say so of each other.
+        if self.starts_empty and reply.power_lost:
+            self.power_lost = True
+        if reply.lived_through:
+            # This peer has received all facts meanwhile; two balancers that both only read their
+            # disks can't confirm that.
             self.live_peer_replied = True
             self.known_start_times = {
-                **answer.start_times,
+                **reply.start_times,
                 **{
-                    key: max(age, answer.start_times.get(key, 0))
-                    for key, age in self.known_start_times.items()
+                    key: max(start, reply.start_times.get(key, 0))
+                    for key, start in self.known_start_times.items()
                 },
             }
             if self.store_behind:
                 self.store_behind = False
-                self._host.log("made good", by=answer.sender)
+                self._host.log("made good", by=reply.sender)
         if changed:
             self._persist(tuple(changed))
         self._apply_facts(changed)
         self.tick(now)
 
-    def request_failed(self, now: int, number: int) -> None:
-        self._requests.pop(number, None)
+    def request_failed(self, now: int, request_id: int) -> None:
+        """A query to a peer has timed out or failed."""
+        self._requests.pop(request_id, None)
         self.tick(now)
 
-    def state_requested(self, now: int, ask: StateRequest) -> StateReply:
-        """A peer asks."""
-        yours = self.peer_markers.get(ask.sender, Marker())
-        told = (
+    def state_requested(self, now: int, request: StateRequest) -> StateReply:
+        """Answers a peer's query."""
+        requester_marker = self.peer_markers.get(request.sender, Marker())
+        selected = (
             self.facts.shared()
-            if ask.full
-            else [held for held in self.facts.shared() if held.fact.kind in BINDING_SHARED]
+            if request.full
+            else [known for known in self.facts.shared() if known.fact.kind in BINDING_SHARED]
         )
-        if ask.digest == self.facts.digest and not ask.full:
-            told = []
-        lived = self.phase is RecoveryPhase.FULL and self.state_complete
-        answer = StateReply(
+        if request.digest == self.facts.digest and not request.full:
+            selected = []
+        lived_through = self.phase is RecoveryPhase.FULL and self.state_complete
+        reply = StateReply(
             self.name,
             self._instance_id,
-            lived,
-            tuple(held.fact for held in told),
-            tuple(int(held.provenance) for held in told),
+            lived_through,
+            tuple(known.fact for known in selected),
+            tuple(int(known.provenance) for known in selected),
             self.own_marker,
-            yours,
-            self._host.server_start_times() if lived and ask.full else {},
+            requester_marker,
+            self._host.server_start_times() if lived_through and request.full else {},
             self._has_memory,
             self._assume_cold,
         )
-        if ask.marker.store and (
-            ask.marker.store != yours.store or ask.marker.sequence > yours.sequence
+        if request.marker.store and (
+            request.marker.store != requester_marker.store
+            or request.marker.sequence > requester_marker.sequence
         ):
-            self._record_marker(now, ask.sender, ask.marker)
-        return answer
+            self._record_marker(now, request.sender, request.marker)
+        return reply
 
     def _record_marker(self, now: int, name: str, marker: Marker) -> None:
-        """How far a peer's disk has come. Kept with the next thing that is kept: one a word is enough."""
+        """Remembers the position of a peer's store; it is stored with the next override, which is
+        often enough.
+        """
         self.peer_markers[name] = marker
 
     def replicate_received(
-        self, now: int, tell: Replicate, reply: Callable[[ReplicateReply], None]
+        self, now: int, request: Replicate, reply: Callable[[ReplicateReply], None]
     ) -> None:
-        """A peer tells: answered once it is on this disk, or is known not to get there."""
-        self._record_marker(now, tell.sender, tell.marker)
+        """A peer sends facts; the reply follows once they are on this disk or the write has failed."""
+        self._record_marker(now, request.sender, request.marker)
         newer = []
         changed = []
-        for fact in tell.facts:
+        for fact in request.facts:
             if fact.kind not in BINDING_SHARED:
                 continue
             if self.facts.merge(fact, Provenance.LIVE):
                 changed.append(fact)
             else:
-                held = self.facts.get(*fact.key)
-                if held is not None and held.rank > fact.rank:
-                    newer.append(held)
-        marker = self.peer_markers[tell.sender]
-        kept = (
-            *(fact for fact in tell.facts if fact.kind in BINDING_SHARED and not newer),
+                current = self.facts.get(*fact.key)
+                if current is not None and current.rank > fact.rank:
+                    newer.append(current)
+        marker = self.peer_markers[request.sender]
+        written = (
+            *(fact for fact in request.facts if fact.kind in BINDING_SHARED and not newer),
             Fact(
                 MARKER,
-                tell.sender,
+                request.sender,
                 (marker.sequence,),
                 [marker.store, marker.sequence],
-                tell.sender,
+                request.sender,
                 now,
             ),
         )
-        self._persist(kept, lambda fine: reply(ReplicateReply(fine, tuple(newer), self.own_marker)))
+        self._persist(
+            written,
+            lambda succeeded: reply(ReplicateReply(succeeded, tuple(newer), self.own_marker)),
+        )
         self._apply_facts(changed)
 
-    # Operators' words
+    # Operator overrides
 
     def set_out_of_service(
-        self, now: int, server: str, out: bool, done: Callable[[ReplicationOutcome, int, int], None]
+        self,
+        now: int,
+        server: str,
+        out_of_service: bool,
+        callback: Callable[[ReplicationOutcome, int, int], None],
     ) -> None:
-        """In force here from now on; `done` once enough others keep it or can't be reached, with how many keep it and how many should."""
-        facts = [Fact(OUT, server, self.facts.next_version(OUT, server), out, self.name, now)]
+        """Takes a server out of service or restores it, at once at this balancer, and replicates
+        that.
+
+        Args:
+            now: current time, in ns.
+            server: name of the server.
+            out_of_service: whether the server is taken out of service.
+            callback: called once with the outcome, the number of disks that store it, and the
+                number that should.
+        """
+        facts = [
+            Fact(OUT, server, self.facts.next_version(OUT, server), out_of_service, self.name, now)
+        ]
         drain = self.facts.get(DRAIN, server)
-        if not out and drain is not None and drain.value:
-            # Operators say it for a list that can't: its numbers begin anew, or it is older than the drain.
+        if not out_of_service and drain is not None and drain.value:
+            # Operators also end a drain that the list can't end, because its index restarted or it
+            # is older than the drain.
             facts.append(
                 Fact(
                     DRAIN,
@@ -548,65 +671,68 @@
         for fact in facts:
             self.facts.merge(fact, Provenance.LIVE)
         self._apply_facts(facts)
-        self._replicate(now, facts, done)
+        self._replicate(now, facts, callback)
 
     def _replicate(
-        self, now: int, facts: list[Fact], done: Callable[[ReplicationOutcome, int, int], None]
+        self, now: int, facts: list[Fact], callback: Callable[[ReplicationOutcome, int, int], None]
     ) -> None:
-        number, self._next_id = self._next_id, self._next_id + 1
-        replication = self._replications[number] = _Replication(
-            facts[0], done, now + int(self.config.replication_timeout * self.config.period)
+        replication_id, self._next_id = self._next_id, self._next_id + 1
+        replication = self._replications[replication_id] = _Replication(
+            facts[0], callback, now + int(self.config.replication_timeout * self.config.period)
         )
         replication.unsent = list(self._live_peers)
         self._rng.shuffle(replication.unsent)
 
-        def kept(fine: bool) -> None:
-            replication.persisted_here = fine
-            self._update_replication(now, number)
+        def on_persisted(succeeded: bool) -> None:
+            replication.persisted_here = succeeded
+            self._update_replication(now, replication_id)
 
-        self._persist(tuple(facts), kept)
-        self._send_replications(now, number, facts)
-        self._update_replication(now, number)
+        self._persist(tuple(facts), on_persisted)
+        self._send_replications(now, replication_id, facts)
+        self._update_replication(now, replication_id)
 
-    def _send_replications(self, now: int, number: int, facts: list[Fact]) -> None:
-        replication = self._replications[number]
+    def _send_replications(self, now: int, replication_id: int, facts: list[Fact]) -> None:
+        replication = self._replications[replication_id]
         while (
             replication.unsent
             and len(replication.pending) < self.config.max_concurrent_replications
         ):
             name = replication.unsent.pop()
             replication.pending.add(name)
-            tell, self._next_id = self._next_id, self._next_id + 1
-            self._replicate_calls[tell] = number, name
+            request_id, self._next_id = self._next_id, self._next_id + 1
+            self._replicate_calls[request_id] = replication_id, name
             self._host.replicate(
-                tell,
+                request_id,
                 name,
                 Replicate(self.name, self._instance_id, self.own_marker, tuple(facts)),
                 replication.deadline,
-            )  # a disk's time too
-
-    def replicate_reply_received(self, now: int, number: int, told: ReplicateReply | None) -> None:
-        """A peer's answer to what it was told; None: there is none."""
-        at, name = self._replicate_calls.pop(number, (0, ""))
-        if told is not None and told.marker.store:
-            self._record_marker(now, name, told.marker)
-        replication = self._replications.get(at)
+            )
+
+    def replicate_reply_received(
+        self, now: int, request_id: int, reply: ReplicateReply | None
+    ) -> None:
+        """A peer has replied to a replication; None: the call has failed."""
+        replication_id, name = self._replicate_calls.pop(request_id, (0, ""))
+        if reply is not None and reply.marker.store:
+            self._record_marker(now, name, reply.marker)
+        replication = self._replications.get(replication_id)
         if replication is None:
             return
         replication.pending.discard(name)
         newer = (
             [
                 fact
-                for fact in told.newer
+                for fact in reply.newer
                 if fact.key == replication.fact.key and fact.rank > replication.fact.rank
             ]
-            if told
+            if reply
             else []
         )
         if newer:
-            # This balancer's knowledge was old: its word is said anew, above what the others hold.
+            # This balancer's version was outdated: the override is repeated with a version above
+            # the peer's.
             self.facts.merge(newer[0], Provenance.HEARD)
-            del self._replications[at]
+            del self._replications[replication_id]
             fact = Fact(
                 OUT,
                 replication.fact.name,
@@ -620,72 +746,83 @@
             if not replication.finished:
                 self._replicate(now, [fact], replication.callback)
             return
-        if told is not None and told.persisted:
+        if reply is not None and reply.persisted:
             replication.persisted_by.add(name)
-        self._send_replications(now, at, [replication.fact])
-        self._update_replication(now, at)
+        self._send_replications(now, replication_id, [replication.fact])
+        self._update_replication(now, replication_id)
 
     def _wanted_copies(self) -> int:
-        """Disks that a word is on before operators get a yes, this one's too."""
+        """Number of disks, with this one, that must store an override before it is acknowledged."""
         fleet = max(len(self._live_peers) + 1, 1 if self._alone else self.max_balancers)
         return min(1 + self.config.copies, fleet // 2 + 1)
 
-    def _update_replication(self, now: int, number: int) -> None:
-        replication = self._replications.get(number)
+    def _update_replication(self, now: int, replication_id: int) -> None:
+        replication = self._replications.get(replication_id)
         if replication is None:
             return
-        keep = len(replication.persisted_by) + (replication.persisted_here is True)
+        copies = len(replication.persisted_by) + (replication.persisted_here is True)
         wanted = self._wanted_copies()
         if not replication.finished:
-            done = (
+            all_replied = (
                 replication.persisted_here is not None
                 and not replication.pending
                 and not replication.unsent
             )
-            if keep >= wanted:
+            if copies >= wanted:
                 replication.finished = True
-                replication.callback(ReplicationOutcome.KEPT, keep, wanted)
-            elif done or now >= replication.deadline:
+                replication.callback(ReplicationOutcome.KEPT, copies, wanted)
+            elif all_replied or now >= replication.deadline:
                 replication.finished = True
-                replication.callback(ReplicationOutcome.PARTLY, keep, wanted)
+                replication.callback(ReplicationOutcome.PARTLY, copies, wanted)
         if (
             replication.finished
             and replication.persisted_here is not None
             and not replication.pending
             and not replication.unsent
         ):
-            self._replications.pop(number, None)
+            self._replications.pop(replication_id, None)
 
-    # What is believed
+    # Effects of facts
 
     def _apply_facts(self, changed: Iterable[Fact]) -> None:
         changed = list(changed)
-        out = {fact.name for fact in changed if fact.kind == OUT and fact.value}
-        back = {fact.name for fact in changed if fact.kind == OUT and not fact.value}
-        if out or back:
-            self._host.apply_recovered(out, back)
+        out_of_service = {fact.name for fact in changed if fact.kind == OUT and fact.value}
+        restored = {fact.name for fact in changed if fact.kind == OUT and not fact.value}
+        if out_of_service or restored:
+            self._host.apply_recovered(out_of_service, restored)
         if any(fact.kind in (DRAIN, LIST) for fact in changed):
             self._host.reapply_list()
 
-    def _merge_shared(self, now: int, facts: list[Fact], known: Provenance) -> None:
-        changed = tuple(fact for fact in facts if self.facts.merge(fact, known))
+    def _merge_shared(self, now: int, facts: list[Fact], provenance: Provenance) -> None:
+        changed = tuple(fact for fact in facts if self.facts.merge(fact, provenance))
         if changed:
             self._persist(changed)
 
     def update_drain(self, now: int, name: str, started_at: int, index: int, leaving: bool) -> bool:
-        """The list says of a server that it leaves, or is ready; returns whether it is held for leaving."""
-        held = self.facts.get(DRAIN, name)
+        """Records whether the list shows a server as leaving or as ready.
+
+        Args:
+            now: current time, in ns.
+            name: name of the server.
+            started_at: the server's start by the list, in ns.
+            index: index of the list.
+            leaving: whether the list shows the server as leaving.
+
+        Returns:
+            Whether the server is to be treated as leaving.
+        """
+        current = self.facts.get(DRAIN, name)
         if leaving:
-            if held is None or not held.value or held.version < (started_at, index):
+            if current is None or not current.value or current.version < (started_at, index):
                 self._merge_shared(
                     now,
                     [Fact(DRAIN, name, (started_at, index), True, "discovery", now)],
                     Provenance.LIVE,
                 )
             return True
-        if held is None or not held.value:
+        if current is None or not current.value:
             return False
-        if held.version >= (started_at, index):
+        if current.version >= (started_at, index):
             return True
         self._merge_shared(
             now, [Fact(DRAIN, name, (started_at, index), False, "discovery", now)], Provenance.LIVE
@@ -693,20 +830,21 @@
         return False
 
     def list_received(self, now: int, servers: list[StoredServer], index: int) -> None:
-        """The whole list, as discovery tells it now: kept as places to ask."""
+        """Stores the full list of discovery, as the servers to probe after a restart."""
         listed = {server.name for server in servers}
-        for held in (
+        for known in (
             self._assumed_start,
             self._first_answer_at,
             self._connections,
             self._restarted_at,
             self.known_start_times,
         ):
-            for name in [name for name in held if name not in listed]:
-                del held[name]
+            for name in [name for name in known if name not in listed]:
+                del known[name]
         self._unresponsive &= listed
-        # Guards against growth with every server that ever was: drains of those that are gone end with age.
-        gone = [held.fact for held in self.facts.of_kind(DRAIN) if held.fact.name not in listed]
+        # Bounds the number of stored drains: of the servers that are no longer listed, only the
+        # newest ones are kept.
+        gone = [known.fact for known in self.facts.of_kind(DRAIN) if known.fact.name not in listed]
         for fact in sorted(gone, key=lambda fact: fact.version)[
             : max(0, len(gone) - self.config.max_gone_drains)
         ]:
@@ -717,12 +855,14 @@
         )
 
     def server_unresponsive(self, now: int, name: str) -> None:
-        """A server has not answered, or has broken a connection."""
+        """A server has not replied, or has broken a connection."""
         self._unresponsive.add(name)
 
     def server_answered(self, now: int, name: str, connections: float | None = None) -> None:
-        """A server has answered a probe, with how many connections it holds: it has not started later than that."""
-        before = self._connections.get(name, 0.0)
+        """A server has replied to a probe, with its number of connections; so it had started
+        before.
+        """
+        previous = self._connections.get(name, 0.0)
         if connections is not None:
             self._connections[name] = connections
         if name not in self._first_answer_at:
@@ -730,77 +870,95 @@
             if self._assume_cold and self._first_answer_at[name] > self._assumed_start.get(
                 name, now
             ):
-                self._host.reapply_list()  # it is colder than it was taken for
+                self._host.reapply_list()  # it started later than assumed
         elif (
             name in self._unresponsive
             and connections is not None
-            and before >= LOST_FROM
-            and connections < LOST_PART * before
+            and previous >= RESTART_MIN_CONNECTIONS
+            and connections < RESTART_MAX_SHARE * previous
         ):
-            # Guards against a server that was away for a second or two while no list tells of it: what it held is gone. Also holds
-            # against one whose process was replaced behind one address. Hurts one that was only stopped while its clients were moved.
+            # Detects a server that restarted within a second or two without any change of the list,
+            # or whose process was replaced behind one address. A server that was only paused while
+            # its clients were moved is treated so as well.
             self._restarted_at[name] = now
-            self._host.log("a server began anew", server=name, held=before, holds=connections)
+            self._host.log("a server began anew", server=name, held=previous, holds=connections)
             self._host.reapply_list()
         self._unresponsive.discard(name)
 
     @property
     def _assume_cold(self) -> bool:
-        """Whether servers are taken to have started with this loss: it took the power, and nobody lived to know better.
+        """Whether servers are assumed to have started with this outage.
 
-        Guards against servers that are back before any list says that they were away. Hurts where only the balancers' machines were
-        lost: warm servers then get what cold ones may."""
+        That is so if the power was lost and no peer lived through it. It guards against servers
+        that are back before any list shows that they were away. If only the machines of the
+        balancers lost power, warm servers get the load of cold ones.
+        """
         return self.power_lost and not self.live_peer_replied
 
-    def effective_start(self, now: int, name: str, told: int) -> int:
-        """When a server is taken to have started, of which the list says `told`. After a loss of power that is when it first answered: what
-        the disk or an old list says is nothing, and what one that lived knows is more."""
-        told = max(
-            min(told, now), self._restarted_at.get(name, 0)
-        )  # a clock that is ahead keeps no server cold for a year
+    def effective_start(self, now: int, name: str, listed_start: int) -> int:
+        """Returns the time at which a server is considered to have started.
+
+        After a loss of power this is its first reply to a probe, because the store and an old list
+        are outdated; the start time that a peer knows which lived through the outage takes
+        precedence.
+
+        Args:
+            now: current time, in ns.
+            name: name of the server.
+            listed_start: its start time by the list, in ns.
+        """
+        # Limited to now: otherwise a server whose clock is ahead would stay cold for too long.
+        listed_start = max(min(listed_start, now), self._restarted_at.get(name, 0))
         if name in self.known_start_times:
-            return max(told, min(now, self.known_start_times[name]))
+            return max(listed_start, min(now, self.known_start_times[name]))
         return (
             max(
-                told,
+                listed_start,
                 self._first_answer_at.get(
                     name,
-                    self._assumed_start.setdefault(name, now + self.config.period // LOOK_PART),
+                    self._assumed_start.setdefault(name, now + self.config.period // PROBE_SPREAD),
                 ),
             )
             if self._assume_cold
-            else told
+            else listed_start
         )
 
     # Clients
 
     def admit_login(self, now: int, importance: float) -> int | None:
-        """None: let in, and `ended` is called once. Otherwise the time after which to come back, ns."""
+        """Returns None if the login is admitted, and else the time in ns after which to retry.
+
+        For a login that is admitted in the phase OPEN, `login_finished` is to be called once.
+        """
         if self.phase is RecoveryPhase.FULL:
             return None
         if (
             self.admission is not None
             and self.phase is RecoveryPhase.OPEN
-            and self.admission.may_pass(now, importance)
+            and self.admission.try_admit(now, importance)
         ):
             return None
         return retry_after(self._rng, self.config.max_retry_after, importance)
 
-    def login_finished(self, now: int, up: bool | None) -> None:
-        """How a login that was let in while the door opened went."""
+    def login_finished(self, now: int, fulfilled: bool | None) -> None:
+        """A login that was admitted in the phase OPEN has ended; see
+        `AdmissionControl.login_finished`.
+        """
         if self.admission is not None:
-            self.admission.ended(up)
-            if self.admission.wide_enough and self.phase is RecoveryPhase.OPEN:
-                self._enter(now, RecoveryPhase.FULL, "servers bear it")
+            self.admission.login_finished(fulfilled)
+            if self.admission.unrestricted and self.phase is RecoveryPhase.OPEN:
+                self._enter(now, RecoveryPhase.FULL, "servers accept all logins")
 
     def exploration_state(self, now: int) -> object:
-        """All that bears on what it does next, times told from now: for exploration."""
+        """Returns all state that affects future behaviour, with times relative to now, for state
+        space exploration.
+        """
         return (
             self.phase,
             sorted(
-                (held.fact.key, held.fact.version, held.provenance)
+                (known.fact.key, known.fact.version, known.provenance)
                 for kind in KINDS
-                for held in self.facts.of_kind(kind)
+                for known in self.facts.of_kind(kind)
             ),
             self._live_peers,
             sorted(self._requests.items()),
@@ -816,24 +974,24 @@
             sorted(self.peer_markers.items()),
             sorted(
                 (
-                    number,
+                    replication_id,
                     replication.persisted_here,
                     sorted(replication.persisted_by),
                     sorted(replication.pending),
                     replication.finished,
                 )
-                for number, replication in self._replications.items()
+                for replication_id, replication in self._replications.items()
             ),
-            self.admission and (self.admission.window, self.admission.under_way),
+            self.admission and (self.admission.window, self.admission.in_progress),
         )
 
-    # The order
+    # Phases
 
-    def servers_probed(self, now: int, ready: Collection[str], all_heard: bool) -> None:
-        """These servers may serve; whether a probe of each has come to an end."""
-        if self.phase is RecoveryPhase.LOOK and ready and all_heard:
+    def servers_probed(self, now: int, ready: Collection[str], all_probed: bool) -> None:
+        """The servers that may serve, and whether the first probe of each has ended."""
+        if self.phase is RecoveryPhase.LOOK and ready and all_probed:
             if self.live_peer_replied:
-                self._enter(now, RecoveryPhase.FULL, "others served on")
+                self._enter(now, RecoveryPhase.FULL, "other balancers kept serving")
                 return
             self.admission = AdmissionControl(
                 now,
@@ -843,20 +1001,22 @@
             )
             self._enter(now, RecoveryPhase.OPEN, f"{len(ready)} servers")
         if self.phase is RecoveryPhase.OPEN and self.admission is not None:
-            held = self.facts.get(SIZES)
-            sizes = held.value if held is not None else {}
+            stored = self.facts.get(SIZES)
+            sizes = stored.value if stored is not None else {}
             cold = [
                 (since, sizes.get(name, 0.0))
                 for name in ready
                 if (since := self._cold_since(now, name)) is not None
             ]
             if cold:
-                self.admission.cold(now, cold, max(self.max_balancers, len(self._live_peers) + 1))
+                self.admission.set_cold_servers(
+                    now, cold, max(self.max_balancers, len(self._live_peers) + 1)
+                )
             else:
-                self.admission.warm()
+                self.admission.clear_cold_servers()
 
     def _cold_since(self, now: int, name: str) -> int | None:
-        """Since when a server warms up; None: it is not taken for cold."""
+        """Returns since when a server has been warming up; None: it is not assumed to be cold."""
         since = (
             self._first_answer_at.get(name, self._assumed_start.get(name))
             if self._assume_cold
@@ -865,14 +1025,13 @@
         return since if since is not None and now - since < self.config.cold.ramp else None
 
     def tick(self, now: int) -> int:
-        """Does what is due; returns when the next is."""
+        """Does the work that is due; returns the time of the next tick."""
         config = self.config
         if self.phase is RecoveryPhase.READ and (self._store_done or now >= self._store_deadline):
             if not self._store_done:
-                self.store_error = self.store_error or "it has not answered"
-                self._store_done = self.starts_empty = (
-                    True  # as one that remembers nothing, till it answers
-                )
+                self.store_error = self.store_error or "the store has not been loaded in time"
+                # Treated as empty until it is loaded.
+                self._store_done = self.starts_empty = True
             self._enter(now, RecoveryPhase.ASK, self.store_error or "read")
         if (
             self._membership_ready
@@ -885,8 +1044,8 @@
                 config.sync_interval * config.period * self._rng.uniform(0.5, 1.5)
             )
             self._request_state(now, self._rng.choice(self._live_peers), False)
-        for number in list(self._replications):
-            self._update_replication(now, number)
+        for replication_id in list(self._replications):
+            self._update_replication(now, replication_id)
         due = [
             self._next_sync_at
             if self.phase >= RecoveryPhase.LOOK and self._live_peers
@@ -904,20 +1063,23 @@
         return max(now + 1, min(due))
 
     def _query_peers(self, now: int) -> None:
-        """A few of those that live, by chance: an answer is worth the same whoever gives it, and hundreds may ask at once."""
-        under_way = {name for name, _ in self._requests.values()}
-        left = [
-            name for name in self._live_peers if name not in under_way and name not in self.replies
+        """Queries a few live peers, chosen at random because hundreds of balancers may start at
+        once.
+        """
+        pending = {name for name, _ in self._requests.values()}
+        candidates = [
+            name for name in self._live_peers if name not in pending and name not in self.replies
         ]
         wanted = 0 if self.state_complete else self.config.wanted_replies - len(self._requests)
-        while wanted > 0 and left and sum(self._queries_sent.values()) < self.config.max_queries:
-            fewest = min(
-                self._queries_sent.get(name, 0) for name in left
-            )  # a call may be lost: nobody is given up by one
+        while (
+            wanted > 0 and candidates and sum(self._queries_sent.values()) < self.config.max_queries
+        ):
+            # A lost call does not exclude a peer: those that were queried least often come first.
+            fewest = min(self._queries_sent.get(name, 0) for name in candidates)
             name = self._rng.choice(
-                [name for name in left if self._queries_sent.get(name, 0) == fewest]
+                [name for name in candidates if self._queries_sent.get(name, 0) == fewest]
             )
-            left.remove(name)
+            candidates.remove(name)
             self._queries_sent[name] = fewest + 1
             self._request_state(now, name, True)
             wanted -= 1
@@ -926,19 +1088,21 @@
             or not self.state_complete
             and (self._requests or now < self._query_deadline)
         ):
-            return  # others may be starting too: a bound on a question that nobody may answer
+            return  # until the deadline, because other balancers may still be starting
         if self.starts_empty and not self.replies and not self._alone:
-            return  # without any memory it may not serve before one has answered: see `store init` for a fleet's first
+            # Without any facts, it serves only after a peer has replied; `store init` is for the
+            # first balancer of a fleet.
+            return
         self._enter(
             now,
             RecoveryPhase.LOOK,
             f"{len(self.replies)} peers answered"
-            + ("" if self.state_complete else ", not enough to know all"),
+            + ("" if self.state_complete else ", too few to know all facts"),
         )
 
-    def _enter(self, now: int, step: RecoveryPhase, why: str) -> None:
-        self.phase = step
-        if step is RecoveryPhase.ASK:
+    def _enter(self, now: int, phase: RecoveryPhase, reason: str) -> None:
+        self.phase = phase
+        if phase is RecoveryPhase.ASK:
             self._query_deadline = now + int(
                 (
                     self.config.unclean_query_timeout
@@ -947,8 +1111,8 @@
                 )
                 * self.config.period
             )
-        self._host.phase_changed(step, why)
-        if step is RecoveryPhase.LOOK:
+        self._host.phase_changed(phase, reason)
+        if phase is RecoveryPhase.LOOK:
             self._assumed_start.clear()
             self._host.reapply_list()
-            self._host.probe_servers(self.config.period // LOOK_PART)
+            self._host.probe_servers(self.config.period // PROBE_SPREAD)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -473,32 +473,36 @@
 
 
 def test_the_door_follows_what_servers_show_and_what_cold_ones_bear():
-    door = AdmissionControl(0, RULE, 4, 2)
-    assert door.window == 2.0
-    assert door.may_pass(0, 1.0) and door.may_pass(0, 1.0) and not door.may_pass(0, 1.0)
-    door.ended(True)
-    door.ended(True)
-    assert door.window == 4.0 and [door.may_pass(0, 0.0) for _ in range(3)] == [
+    admission = AdmissionControl(0, RULE, 4, 2)
+    assert admission.window == 2.0
+    assert (
+        admission.try_admit(0, 1.0)
+        and admission.try_admit(0, 1.0)
+        and not admission.try_admit(0, 1.0)
+    )
+    admission.login_finished(True)
+    admission.login_finished(True)
+    assert admission.window == 4.0 and [admission.try_admit(0, 0.0) for _ in range(3)] == [
         True,
         True,
         False,
     ]  # least importance: half of it
-    door.ended(False)
-    assert door.window == 2.0
+    admission.login_finished(False)
+    assert admission.window == 2.0
     for _ in range(40):
-        door.ended(None)
-    door.cold(0, [(0, 200.0)] * 4, 2)
+        admission.login_finished(None)
+    admission.set_cold_servers(0, [(0, 200.0)] * 4, 2)
     for _ in range(100):
-        door.ended(True)
+        admission.login_finished(True)
     passed = 0
     for at in range(0, 2 * SECOND, SECOND // 100):
-        if door.may_pass(at, 1.0):
-            door.ended(True)
+        if admission.try_admit(at, 1.0):
+            admission.login_finished(True)
             passed += 1
     bears = 4 * 3.0 * 0.3 * 200 / 8 / 2  # a second, this balancer's half
-    assert 0.6 * bears * 2 < passed < bears * 2 and not door.wide_enough
-    door.warm()
-    assert door.wide_enough
+    assert 0.6 * bears * 2 < passed < bears * 2 and not admission.unrestricted
+    admission.clear_cold_servers()
+    assert admission.unrestricted
     assert all(0 < retry_after(Random(at), SECOND, 1.0) < 0.7 * SECOND for at in range(50))
 
 
@@ -558,7 +562,9 @@
 
 def _budget_left_out(monkeypatch):
     monkeypatch.setattr(
-        recovery_core.AdmissionControl, "cold", lambda self, now, servers, balancers: None
+        recovery_core.AdmissionControl,
+        "set_cold_servers",
+        lambda self, now, servers, balancers: None,
     )
 
 
