--- a/corklift/__main__.py
+++ b/corklift/__main__.py
@@ -7,7 +7,7 @@
 
 import sys
 
-from corklift.service import balance
+from corklift.service import run_balancer
 
 
 def main() -> int:
@@ -16,7 +16,7 @@
         from corklift.cli import main as command
 
         command(prog_name="corklift")
-    return balance()
+    return run_balancer()
 
 
 if __name__ == "__main__":
--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -11,7 +11,7 @@
 from corklift.benchlink import codec
 from corklift.interface import ListedServer, Login, MeasurementKind, Outcome, Scope
 from corklift.policy import Balancer
-from corklift.settings import BadSettings, translate
+from corklift.settings import SettingsError, translate
 
 OUTCOMES = {
     0: Outcome.FULFILLED,
@@ -109,7 +109,7 @@
             else:
                 try:
                     self._event(who, code, fields, content, batch.now)
-                except BadSettings as problem:
+                except SettingsError as problem:
                     self.reply.fault(who, str(problem))
                 except (
                     Exception
@@ -123,7 +123,7 @@
             try:
                 settings = json.loads(content)
             except ValueError as problem:
-                raise BadSettings(f"settings: no JSON text: {problem}") from None
+                raise SettingsError(f"settings: no JSON text: {problem}") from None
             arguments, self._fields[who] = translate(settings)
             host = Instance(who, self.reply)
             self._balancers[who] = Balancer(host, random.Random(fields[0]), now=now, **arguments)
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -31,9 +31,9 @@
 
 @main.command(help="The balancer, configured by BALANCER_CONFIG; the same as no command.")
 def run() -> None:
-    from corklift.service import balance
+    from corklift.service import run_balancer
 
-    sys.exit(balance())
+    sys.exit(run_balancer())
 
 
 @main.command(help="The balancer with peers, configured by a TOML file; see docs/operate/peers.md.")
--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -1,6 +1,7 @@
-"""All that one balancer is told before it starts, and again at SIGHUP: read and checked whole before any of it is used.
+"""Reads and validates the configuration of one balancer, at its start and again at SIGHUP.
 
-Owns the form of the balancer's own keys. Must never apply a part of a file that has a fault elsewhere, or look a name up.
+The whole file is checked before any of it is used: a file with an error changes nothing.
+Addresses are IPv4 only; host names are never resolved.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 from corklift.interface import MeasurementKind
 from corklift.net.limits import ConfigError, Limits, raise_descriptor_limit, require_key
 from corklift.net.parsers import Listing, Malformed, parse_listing
-from corklift.settings import BadSettings, report_names, told_figure, translate
+from corklift.settings import SettingsError, pushed_measurement, report_names, translate
 
 
-def address(config: Any, key: str, told: str | None = None) -> tuple[str, int]:
-    """An address of the configuration, or the one that the environment tells instead."""
-    text = told or require_key(config, key, str)
+def parse_address(config: Any, key: str, override: str | None = None) -> tuple[str, int]:
+    """Parses an address of the configuration, or `override` from the environment if it is set."""
+    text = override or require_key(config, key, str)
     host, _, port = text.rpartition(":")
     try:
-        # Guards against a name, whose look-up would block everything at each connect.
+        # Rejects host names: resolving one would block the whole process at each connect.
         socket.inet_pton(socket.AF_INET, host)
         if not (port.isascii() and port.isdecimal()) or int(port) > 65535:
             raise ValueError
@@ -29,15 +30,15 @@
     return host, int(port)
 
 
-def _names(settings: dict[str, Any], key: str) -> list[str]:
+def _parse_names(settings: dict[str, Any], key: str) -> list[str]:
     names = settings.get(key) or []
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ConfigError(f"config: settings.{key} holds {names!r:.60}")
     return names
 
 
-def read(path: str | None) -> Any:
-    """The file of `run`: JSON."""
+def read_config(path: str | None) -> Any:
+    """Reads the JSON file that configures `corklift run`."""
     if not path:
         raise ConfigError("config: BALANCER_CONFIG is not set")
     try:
@@ -48,27 +49,36 @@
 
 
 class Configuration(NamedTuple):
-    """All that the file tells, read and checked before any of it is used."""
+    """A validated configuration."""
 
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
     known: Listing
     limits: Limits
-    arguments: dict[str, Any]  # of the decisions
+    # Keyword arguments of `Balancer`.
+    arguments: dict[str, Any]
     report_names: dict[str, str]
-    told: tuple[MeasurementKind, int] | None
+    pushed_measurement: tuple[MeasurementKind, int] | None
     localities: list[str]
     kinds: list[str]
-    kept_for: int  # how long a connection for probes idles
-    admin: tuple[str, int] | None  # where operators call, if they do
-    whole: dict[str, Any]  # as it was read
+    # How long a probe connection is kept open while idle, in ns.
+    probe_keepalive: int
+    # Address of the admin endpoints, if enabled.
+    admin: tuple[str, int] | None
+    # The configuration as it was read.
+    raw: dict[str, Any]
 
     @classmethod
-    def of(cls, config: Any, admin_told: str | None = None) -> Configuration:
-        listen, discovery = address(config, "listen"), address(config, "discovery")
-        operated = bool(admin_told) or "admin_addr" in config
-        admin = address(config, "admin_addr", admin_told) if operated else None
+    def parse(cls, config: Any, admin_override: str | None = None) -> Configuration:
+        """Validates a configuration; `admin_override` replaces the address of the admin endpoints.
+
+        Raises:
+            ConfigError: names the key at fault.
+        """
+        listen, discovery = parse_address(config, "listen"), parse_address(config, "discovery")
+        has_admin = bool(admin_override) or "admin_addr" in config
+        admin = parse_address(config, "admin_addr", admin_override) if has_admin else None
         seed = require_key(config, "seed", (str, int))
         try:
             seed = seed if isinstance(seed, int) else int(seed, 16)
@@ -77,8 +87,8 @@
         settings = require_key(config, "settings", dict)
         try:
             arguments, _ = translate(settings)
-            names, told = report_names(settings), told_figure(settings)
-        except BadSettings as problem:
+            field_names, measurement = report_names(settings), pushed_measurement(settings)
+        except SettingsError as problem:
             raise ConfigError(str(problem)) from None
         except (TypeError, ValueError, KeyError, AttributeError, OverflowError) as problem:
             raise ConfigError(f"config: settings: {problem!r:.60}") from None
@@ -86,25 +96,27 @@
             known = parse_listing(require_key(config, "known", dict))
         except Malformed as problem:
             raise ConfigError(f"config: known: {problem}") from None
-        allow = require_key(settings, "permissions", dict, "settings.")
-        connect_time = require_key(allow, "connect-timeout-ns", int, "settings.permissions.")
-        longest = max(workload.time_limit for workload in arguments["workloads"])
-        given = require_key(config, "limits", dict)
-        given = given | {
-            "sockets": raise_descriptor_limit(require_key(given, "sockets", int, "limits."))
+        permissions = require_key(settings, "permissions", dict, "settings.")
+        connect_timeout = require_key(
+            permissions, "connect-timeout-ns", int, "settings.permissions."
+        )
+        max_time_limit = max(workload.time_limit for workload in arguments["workloads"])
+        limits_table = require_key(config, "limits", dict)
+        limits_table = limits_table | {
+            "sockets": raise_descriptor_limit(require_key(limits_table, "sockets", int, "limits."))
         }
         try:
             limits = Limits.from_deployment(
-                given,
-                connect_time,
+                limits_table,
+                connect_timeout,
                 len(known.entries),
-                longest,
+                max_time_limit,
                 arguments["ask_within"],
                 arguments["ask_for_list"],
-                operated,
+                has_admin,
             )
         except OverflowError:
-            raise ConfigError(f"config: limits holds {given!r:.60}") from None
+            raise ConfigError(f"config: limits holds {limits_table!r:.60}") from None
         return cls(
             listen,
             discovery,
@@ -112,11 +124,11 @@
             known,
             limits,
             arguments,
-            names,
-            told,
-            _names(settings, "localities"),
-            _names(settings, "skus"),
-            require_key(allow, "keepalive-ns", int, "settings.permissions."),
+            field_names,
+            measurement,
+            _parse_names(settings, "localities"),
+            _parse_names(settings, "skus"),
+            require_key(permissions, "keepalive-ns", int, "settings.permissions."),
             admin,
             config,
         )
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -332,7 +332,7 @@
     def name_rejected(self, reason: str) -> None:
         self._log_event("refused", why=reason)
         self.refused_why = reason
-        self._process.leave()
+        self._process.request_stop()
 
     def log(self, text: str) -> None:
         self._log_event("peers", what=text)
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -1,7 +1,8 @@
-"""The parts of one balancer put together, started, told of a new configuration and ended.
+"""Assembles the parts of one balancer process, and starts, reconfigures and stops them in order.
 
-Owns the order of these. What `run` has is here; a program with more, as `serve`, hands further parts in: one that is
-absent is absent, and the others go by a plain default (alone, the file's settings). Must never decide.
+`corklift run` uses this module alone; `corklift serve` adds components for peers and recovery.
+Without these, the balancer works alone and by the settings of its file. The decisions are made
+elsewhere (`corklift/policy.py`).
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from corklift.configuration import Configuration, read
+from corklift.configuration import Configuration, read_config
 from corklift.interface import Scope
 from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
@@ -27,12 +28,12 @@
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.stream import Stream
 from corklift.net.monitoring import ServerProbes, DiscoveryWatch
-from corklift.settings import left_out
+from corklift.settings import find_missing_key
 
 
-def inherited(text: str) -> socket.socket:
-    """The listening socket that this process was started with."""
-    problem: object = "is no number"
+def open_inherited_socket(text: str) -> socket.socket:
+    """Opens the listening socket whose descriptor this process inherited at its start."""
+    problem: object = "is not a number"
     if text.isascii() and text.isdecimal():
         try:
             sock = socket.socket(fileno=int(text))
@@ -42,7 +43,7 @@
                 sock.setblocking(False)
                 return sock
             sock.detach()
-            problem = "is no listening socket over IPv4"
+            problem = "is not a listening IPv4 socket"
         except (OSError, OverflowError) as found:
             problem = found
     raise ConfigError(f"environment: BALANCER_LISTEN_FD holds {text!r:.40}: {problem}")
@@ -65,7 +66,7 @@
 
 
 class BalancerProcess:
-    """The parts of one balancer, put together."""
+    """One process of a balancer: its parts, and their start, reload and stop."""
 
     def __init__(
         self,
@@ -73,29 +74,37 @@
         now: Callable[[], int] | None = None,
         poller: Any = None,
         *,
-        read_anew: Callable[[], Any] = lambda: read(os.environ.get("BALANCER_CONFIG")),
+        reload_config: Callable[[], Any] = lambda: read_config(os.environ.get("BALANCER_CONFIG")),
         log_writer: Callable[..., LogWriter] = LogWriter,
         components: Sequence[Callable[[BalancerProcess], Component]] = (),
     ) -> None:
-        """`read_anew`: the configuration anew, at SIGHUP; `parts`: what this program has beside those of `run`."""
+        """Assembles the parts; nothing runs before `start` or `run`.
+
+        Args:
+            config: The configuration as it was read.
+            now: The clock, in ns.
+            poller: Replaces the operating system's poll in tests.
+            reload_config: Reads the configuration again, at SIGHUP.
+            log_writer: Makes the writer of log lines.
+            components: Make the optional components of this process.
+        """
         self.counters = Counters()
-        self._read = read_anew
+        self._reload_config = reload_config
         now = now or wall_clock()
-        self._admin_told = os.environ.get(
-            "BALANCER_ADMIN_ADDR"
-        )  # of this process, so it goes before the file's
-        self._configuration = given = Configuration.of(config, self._admin_told)
-        self.limits = limits = given.limits
+        # The environment is set for this process alone, so it overrides the shared file.
+        self._admin_override = os.environ.get("BALANCER_ADMIN_ADDR")
+        self._configuration = configuration = Configuration.parse(config, self._admin_override)
+        self.limits = limits = configuration.limits
         self.log_writer = log_writer(limits, now, self.counters)
-        self.scheduler = scheduler = Scheduler(now, self._failed, poller)
+        self.scheduler = scheduler = Scheduler(now, self._log_exception, poller)
         self.facade = Facade(
             scheduler,
-            given.seed,
-            given.arguments,
-            given.report_names,
-            given.told,
-            given.localities,
-            given.kinds,
+            configuration.seed,
+            configuration.arguments,
+            configuration.report_names,
+            configuration.pushed_measurement,
+            configuration.localities,
+            configuration.kinds,
             limits.settle_time,
             self.log_writer.write,
             self.counters,
@@ -103,15 +112,15 @@
         self.relay = Relay(scheduler, limits, self.counters, self.facade)
         listen_fd = os.environ.get("BALANCER_LISTEN_FD", "")
         self.port = (
-            self.relay.listen_on_inherited_socket(inherited(listen_fd))
+            self.relay.listen_on_inherited_socket(open_inherited_socket(listen_fd))
             if listen_fd
-            else self.relay.listen(given.listen)
+            else self.relay.listen(configuration.listen)
         )
-        self._shares = bool(listen_fd)
+        self._inherits_socket = bool(listen_fd)
         name = os.environ.get("BALANCER_NAME") or (
-            "%s:%d" % given.listen if given.listen[1] else ""
+            "%s:%d" % configuration.listen if configuration.listen[1] else ""
         )
-        place = folder(os.environ.get("TMPDIR"), name)
+        handover_folder = folder(os.environ.get("TMPDIR"), name)
         self.handover = HandoverDriver(
             scheduler,
             limits,
@@ -119,86 +128,98 @@
             lambda text: self.log_writer.write(text, always=True),
             self.facade,
             self.relay,
-            place,
-            self._shares,
+            handover_folder,
+            self._inherits_socket,
+        )
+        self.probes = ServerProbes(
+            scheduler, limits, self.counters, self.facade, configuration.probe_keepalive
         )
-        self.probes = ServerProbes(scheduler, limits, self.counters, self.facade, given.kept_for)
         self.watch = DiscoveryWatch(
             scheduler,
             limits,
             self.counters,
             self.log_writer,
             self.facade,
-            given.discovery,
-            Random(given.seed ^ 1),
-            given.known.version if given.known.is_full and given.known.entries else None,
+            configuration.discovery,
+            Random(configuration.seed ^ 1),
+            configuration.known.version
+            if configuration.known.is_full and configuration.known.entries
+            else None,
         )
         self.admin = Admin(scheduler, limits, self.counters, AdminHandler(self))
-        self.admin_port = self.admin.listen(given.admin) if given.admin else 0
+        self.admin_port = self.admin.listen(configuration.admin) if configuration.admin else 0
         self._stopping = False
-        self.apply_operator_override: Callable[[str, bool], bool] = (
-            lambda name, out: (  # set by a component that stores operator overrides
-                self.handover.take_out_of_service(name)
-                if out
-                else self.handover.restore_to_service(name)
-            )
+        # Replaced by a component that stores operator overrides.
+        self.apply_operator_override: Callable[[str, bool], bool] = lambda name, out_of_service: (
+            self.handover.take_out_of_service(name)
+            if out_of_service
+            else self.handover.restore_to_service(name)
         )
-        self.may_serve: Callable[[], bool] = lambda: (
-            True
-        )  # set by a component that delays admission
+        # Replaced by a component that delays admission.
+        self.may_serve: Callable[[], bool] = lambda: True
+        # Further lines of the operators' statistics, added by components.
         self.extra_stats: list[Callable[[], str]] = []
         self._components = [component(self) for component in components]
 
     @property
     def configuration(self) -> Configuration:
-        """What is in force."""
+        """The configuration in force."""
         return self._configuration
 
     def start(self) -> None:
+        """Starts all background tasks of the process."""
         scheduler = self.scheduler
-        printing = scheduler.spawn(self._keep_printing)
-        self.log_writer.wake = lambda: scheduler.wake(printing)
+        log_task = scheduler.spawn(self._log_loop)
+        self.log_writer.wake = lambda: scheduler.wake(log_task)
         self.handover.join()
         self.facade.apply_listing(Scope.CACHED, self._configuration.known)
-        for job in (
+        for loop in (
             self.facade.timer_loop,
             self.probes.probe_loop,
             self.watch.watch_loop,
             self.admin.accept_loop,
             self.relay.accept_loop,
-            self._get_ready,
-            self._keep_telling,
+            self._become_ready,
+            self._summary_loop,
             self.handover.poll_loop,
-            *(job for component in self._components for job in component.background_tasks()),
+            *(loop for component in self._components for loop in component.background_tasks()),
         ):
-            scheduler.spawn(self._keep, job)
+            scheduler.spawn(self._run_with_restart, loop)
+
+    def _run_with_restart(self, loop: Callable[[], None]) -> None:
+        """Runs a background task, and restarts it whenever an exception ends it.
 
-    def _keep(self, job: Callable[[], None]) -> None:
-        """Runs one of the jobs that all connections live on, and runs it again if an exception ends it."""
-        again = False
+        All connections depend on these tasks, so a fault in one must not stop it for good.
+        """
+        failed = False
         while True:
             try:
-                if again:
-                    self.scheduler.sleep(20 * MS)  # within, as it may be interrupted too
-                return job()
+                if failed:
+                    # Inside the try block, because an interrupt may raise here as well.
+                    self.scheduler.sleep(20 * MS)
+                return loop()
             except Exception:
-                again = True
-                self._failed(traceback.format_exc(limit=-4))
+                failed = True
+                self._log_exception(traceback.format_exc(limit=-4))
 
     def reload(self) -> None:
-        """Takes what a new configuration changes; clients, the list and all counts stay. A bad one changes nothing."""
+        """Applies a new configuration; an invalid one changes nothing.
+
+        Clients, the server list and all counts are kept.
+        """
         old = self._configuration
         try:
-            new = Configuration.of(self._read(), self._admin_told)
-            # The list is for a start only, and whoever leaves the operators' address out keeps it.
-            lacks = left_out(
-                old.whole | {"known": None, "admin_addr": None}, new.whole | {"admin_addr": None}
+            new = Configuration.parse(self._reload_config(), self._admin_override)
+            # The content of `known` is not compared, as it is used at a start only. A file without
+            # `admin_addr` keeps the admin endpoints where they are.
+            missing_key = find_missing_key(
+                old.raw | {"known": None, "admin_addr": None}, new.raw | {"admin_addr": None}
             )
-            if lacks is not None:
+            if missing_key is not None:
                 raise ConfigError(
-                    f"config: {lacks} is missing, which the configuration in force has"
+                    f"config: {missing_key} is missing, which the configuration in force has"
                 )
-            if new.listen != old.listen and not self._stopping and not self._shares:
+            if new.listen != old.listen and not self._stopping and not self._inherits_socket:
                 self.port = self.relay.listen(new.listen)
             if new.admin != old.admin and new.admin is not None:
                 self.admin_port = self.admin.listen(new.admin)
@@ -210,11 +231,11 @@
         self._configuration, self.limits = new, new.limits
         self.log_writer.limits = new.limits
         self.facade.settings_changed(
-            new.arguments, new.report_names, new.told, new.localities, new.kinds
+            new.arguments, new.report_names, new.pushed_measurement, new.localities, new.kinds
         )
         self.relay.reconfigure(new.limits)
         self.admin.reconfigure(new.limits)
-        self.probes.reconfigure(new.limits, new.kept_for)
+        self.probes.reconfigure(new.limits, new.probe_keepalive)
         self.watch.reconfigure(new.discovery, new.limits)
         changed = sorted(
             {
@@ -222,7 +243,7 @@
                 if name in ("listen", "discovery", "seed", "known", "limits", "admin")
                 else "settings"
                 for name in new._fields
-                if name != "whole" and getattr(new, name) != getattr(old, name)
+                if name != "raw" and getattr(new, name) != getattr(old, name)
             }
         )
         self.counters["configurations taken"] += 1
@@ -230,9 +251,10 @@
             f"configuration read anew, changed: {' '.join(changed) or 'nothing'}", always=True
         )
 
-    # What operators ask and tell
+    # Requests of the admin endpoints.
 
     def is_serving(self) -> bool:
+        """Whether this process accepts clients, as the health check reports it."""
         return (
             self.relay.is_serving
             and self.handover.is_serving
@@ -241,7 +263,8 @@
         )
 
     def stats(self) -> str:
-        known, avoided = self.facade.known_and_excluded_servers()
+        """Returns the counters and gauges as text, one per line."""
+        known, excluded = self.facade.known_and_excluded_servers()
         return "".join(
             [
                 format_stats(
@@ -249,41 +272,49 @@
                     self.facade.workload_names(),
                     self.relay.in_flight,
                     known,
-                    avoided,
+                    excluded,
                 ),
-                *(more() for more in self.extra_stats),
+                *(extra() for extra in self.extra_stats),
             ]
         )
 
     def take_out_of_service(self, name: str) -> bool:
+        """Takes a server out of service for an operator; returns whether that succeeded."""
         return self.apply_operator_override(name, True)
 
     def restore_to_service(self, name: str) -> bool:
+        """Restores a server to service for an operator; returns whether that succeeded."""
         return self.apply_operator_override(name, False)
 
-    def run(self, early: Sequence[int] = ()) -> None:
-        """Serves until told to stop; `early` holds the signals to reload that came while it was put together."""
+    def run(self, early_reloads: Sequence[int] = ()) -> None:
+        """Serves until the process is asked to stop.
+
+        `early_reloads` holds the reload signals that arrived before this call.
+        """
         self.scheduler.on_signal(signal.SIGHUP, lambda: self.scheduler.spawn(self.reload))
-        if early:
+        if early_reloads:
             self.scheduler.spawn(self.reload)
-        self.scheduler.on_signal(signal.SIGTERM, self.leave)
-        self.scheduler.on_signal(signal.SIGINT, self.leave)
-        self.scheduler.on_signal(signal.SIGUSR1, self._tell_counters)
+        self.scheduler.on_signal(signal.SIGTERM, self.request_stop)
+        self.scheduler.on_signal(signal.SIGINT, self.request_stop)
+        self.scheduler.on_signal(signal.SIGUSR1, self._log_counters)
         self.start()
-        # Guards against collector pauses: what stands from the start is never walked again.
+        # Shortens garbage collection pauses: objects that exist now are never scanned again.
         gc.collect()
         gc.freeze()
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
-        self._tell_counters()
+        self._log_counters()
         self.log_writer.flush()
 
-    def _tell_counters(self) -> None:
+    def _log_counters(self) -> None:
         self.counters["sockets open"] = Stream.open_count
         self.log_writer.write(self.counters.text(), always=True)
 
-    def _get_ready(self) -> None:
-        """Serves, as PING is told, once the list and a first count of each server are there, or soon anyway."""
+    def _become_ready(self) -> None:
+        """Lets the relay answer `PING` once discovery has answered and each server has been probed.
+
+        After `Limits.ready_time` the relay answers in any case.
+        """
         until = self.scheduler.now() + self.limits.ready_time
         while self.scheduler.now() < until and not (
             self.watch.has_answered and self.facade.all_servers_probed()
@@ -291,16 +322,16 @@
             self.scheduler.sleep(25 * MS)
         self.relay.ready = True
 
-    def leave(self) -> None:
+    def request_stop(self) -> None:
         if not self._stopping:
             self._stopping = True
             self.log_writer.write("told to stop")
             self.handover.leave()
             for component in self._components:
                 component.on_stop_requested()
-            self.scheduler.spawn(self._see_out)
+            self.scheduler.spawn(self._drain_and_stop)
 
-    def _see_out(self) -> None:
+    def _drain_and_stop(self) -> None:
         try:
             self.relay.stop()
             for component in self._components:
@@ -308,11 +339,11 @@
         finally:
             self.scheduler.stop()
 
-    def _failed(self, trace: str) -> None:
+    def _log_exception(self, trace: str) -> None:
         self.counters["exceptions"] += 1
         self.log_writer.write(f"exception: {trace}")
 
-    def _keep_telling(self) -> None:
+    def _summary_loop(self) -> None:
         summary = SecondSummary(self.counters)
         while True:
             self.scheduler.sleep(SECOND)
@@ -320,7 +351,7 @@
             if line is not None:
                 self.log_writer.write(line)
 
-    def _keep_printing(self) -> None:
+    def _log_loop(self) -> None:
         while True:
             if not self.log_writer.has_pending_lines:
                 self.scheduler.wait({})
@@ -328,23 +359,24 @@
                 self.log_writer.write_next()
 
 
-def balance() -> int:
-    """`run`: the balancer alone, from BALANCER_CONFIG."""
-    return carry_on(lambda: BalancerProcess(read(os.environ.get("BALANCER_CONFIG"))))
+def run_balancer() -> int:
+    """Runs the balancer configured by BALANCER_CONFIG; returns the exit status."""
+    return run_process(lambda: BalancerProcess(read_config(os.environ.get("BALANCER_CONFIG"))))
 
 
-def carry_on(make: Callable[[], BalancerProcess]) -> int:
-    """Makes a process and serves until it is told to stop; returns how the program ends."""
-    # Guards against the signal's usual effect, an end, and its loss before the first configuration is in use.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+def run_process(create_process: Callable[[], BalancerProcess]) -> int:
+    """Creates a process and serves until it is asked to stop; returns the exit status."""
+    # SIGHUP would end the process by default. Until the first configuration is in use, it is
+    # recorded here, so that no reload is lost.
+    early_reloads: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
     try:
-        process = make()
+        process = create_process()
     except ConfigError as problem:
         print(f"corklift: {problem}", file=sys.stderr)
         return 2
     except OSError as problem:
         print(f"corklift: listen: {problem}", file=sys.stderr)
         return 2
-    process.run(early)
+    process.run(early_reloads)
     return 0
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -212,7 +212,7 @@
                 if " < OPEN" in line and "s1" in line or " < OPEN" in line and "s2" in line
             ]
         )
-        wire.process.leave()
+        wire.process.request_stop()
         wire.process.scheduler.run()
         assert wire.process.relay.in_flight == 0 and not wire.counters["exceptions"]
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -27,7 +27,7 @@
 from corklift.interface import ColdRule, Outcome, Report
 from corklift.net.handover_files import HandoverFiles
 from corklift.net.limits import ConfigError
-from corklift.service import inherited
+from corklift.service import open_inherited_socket
 
 
 def test_never_do_two_serve_and_the_latest_that_lives_does_in_the_end():
@@ -191,7 +191,7 @@
     read_end, write_end = os.pipe()
     for text in ("x", "-1", "99999", str(read_end), str(plain.fileno())):
         with pytest.raises(ConfigError, match="BALANCER_LISTEN_FD"):
-            inherited(text)
+            open_inherited_socket(text)
     plain.getsockname()  # and what is no such socket is left as it was
     os.close(read_end)
     os.close(write_end)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -270,7 +270,7 @@
     for number in range(1, 6):
         wire.client(f"c{number}", OPEN)
     wire.run(1000)
-    wire.process.leave()
+    wire.process.request_stop()
     wire.client("c6", 300, OPEN)  # still comes through the front
     wire.client("c7", 700, OPEN)
     began = wire.now
