--- a/corklift/service.py
+++ b/corklift/service.py
@@ -21,7 +21,7 @@
 from corklift.interface import Scope
 from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
-from corklift.net.handover_files import folder
+from corklift.net.handover_files import handover_directory
 from corklift.net.limits import MS, SECOND, ConfigError, Counters, LogWriter, SecondSummary
 from corklift.net.handover_driver import HandoverDriver
 from corklift.net.relay import Relay
@@ -120,7 +120,7 @@
         name = os.environ.get("BALANCER_NAME") or (
             "%s:%d" % configuration.listen if configuration.listen[1] else ""
         )
-        handover_folder = folder(os.environ.get("TMPDIR"), name)
+        directory = handover_directory(os.environ.get("TMPDIR"), name)
         self.handover = HandoverDriver(
             scheduler,
             limits,
@@ -128,7 +128,7 @@
             lambda text: self.log_writer.write(text, always=True),
             self.facade,
             self.relay,
-            handover_folder,
+            directory,
             self._inherits_socket,
         )
         self.probes = ServerProbes(
