--- a/corklift/handover.py
+++ b/corklift/handover.py
@@ -1,12 +1,16 @@
-"""Which of several processes of one balancer takes clients, and what they tell each other.
+"""Decides which of several processes of one balancer accepts clients during an upgrade.
 
-Owns the rule by which a process follows another, the operators' words that outlive both, and the form in which a process
-writes down what it has to tell. Free of I/O and clocks. Must never let two processes place logins at a time because one of
-them is slow, and never forget a server that operators have taken out.
+Each process has a generation, which is higher than those of all processes before it. The ready
+process with the highest generation accepts clients; the others leave them in the queue of the
+listening socket, which all processes share. A process first publishes that it is ready, and accepts
+clients once every earlier running process has yielded, that is, has published its learned state and
+stopped accepting. If the later process dies, an earlier one accepts clients again.
 
-Each process has a generation, later than all before it. The latest that is ready takes clients; the others leave them
-in the listening socket's queue, which all share. A process that is ready says so, and takes clients once each earlier
-one that lives has yielded: told what it learned, and stopped. If the later one dies, the earlier one takes clients again.
+Invariants: two processes never place logins at the same time, however slow one of them is; a
+server that operators have taken out of service stays so across processes.
+
+The module also defines how a process encodes its state for the others. It does no I/O and reads no
+clock.
 """
 
 from __future__ import annotations
@@ -21,36 +25,49 @@
 
 
 class Stage(Enum):
+    """What a process does about clients; the values are written to the state files."""
+
     STARTING = "starting"
-    READY = "ready"  # would take clients
+    # Able to accept clients, and waiting until earlier processes have yielded.
+    READY = "ready"
     SERVING = "serving"
-    YIELDED = "yielded"  # to a later one; would serve again
+    # Has stopped accepting in favour of a later process; serves again if that one dies.
+    YIELDED = "yielded"
+    # Asked to stop; final.
     LEAVING = "leaving"
 
 
 class OperatorOverride(NamedTuple):
-    """What operators have said of a server last: numbered, so that what is heard late or twice is known for it."""
+    """The last decision of operators about a server.
+
+    Decisions are ordered by number and then by generation, so that one that arrives late or twice
+    has no effect.
+    """
 
     number: int
-    generation: int  # of the process that was told; decides between two of one number
+    # Of the process that received the decision.
+    generation: int
     out_of_service: bool
 
 
 class ProcessState(NamedTuple):
-    """What one process tells of itself."""
+    """What one process publishes to the others."""
 
     generation: int
     stage: Stage
-    client_count: int  # clients
-    overrides: dict[str, OperatorOverride]  # by server's name
-    learned_state: dict[str, Any]  # by its decisions, at the moment of yielding
+    client_count: int
+    # By name of the server.
+    overrides: dict[str, OperatorOverride]
+    # The state exported by the decisions when the process yielded; empty before.
+    learned_state: dict[str, Any]
 
 
 class UnreadableStateError(Exception):
-    """What is written there is not whole, or not of this form."""
+    """An encoded state is incomplete or has another format."""
 
 
 def encode(state: ProcessState) -> bytes:
+    """Returns the content of a state file: a header line with a checksum, then JSON."""
     content = json.dumps(
         {
             "generation": state.generation,
@@ -63,32 +80,37 @@
     return b"%b %08x\n%b" % (FORMAT_HEADER, zlib.crc32(content), content)
 
 
-def decode(whole: bytes) -> ProcessState:
-    head, _, content = whole.partition(b"\n")
-    form, _, check = head.rpartition(b" ")
-    if form != FORMAT_HEADER:
-        raise UnreadableStateError(f"the form is {form[:20]!r}")
+def decode(data: bytes) -> ProcessState:
+    """Parses the content of a state file.
+
+    Raises:
+        UnreadableStateError: the content is incomplete or has another format.
+    """
+    head, _, content = data.partition(b"\n")
+    header, _, check = head.rpartition(b" ")
+    if header != FORMAT_HEADER:
+        raise UnreadableStateError(f"unknown format {header[:20]!r}")
     if check != b"%08x" % zlib.crc32(content):
-        raise UnreadableStateError("it is not whole")
+        raise UnreadableStateError("the checksum does not match")
     try:
-        told = json.loads(content)
+        document = json.loads(content)
         overrides = {
             str(name): OperatorOverride(int(number), int(generation), bool(out_of_service))
-            for name, (number, generation, out_of_service) in told["words"].items()
+            for name, (number, generation, out_of_service) in document["words"].items()
         }
         return ProcessState(
-            int(told["generation"]),
-            Stage(told["stage"]),
-            int(told["held"]),
+            int(document["generation"]),
+            Stage(document["stage"]),
+            int(document["held"]),
             overrides,
-            dict(told["learned"]),
+            dict(document["learned"]),
         )
     except (ValueError, TypeError, KeyError, AttributeError, RecursionError) as problem:
         raise UnreadableStateError(repr(problem)) from None
 
 
 class Handover:
-    """One process among those of its balancer."""
+    """The stage of one process, and the operator overrides that it knows."""
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
@@ -96,15 +118,19 @@
         self.overrides: dict[str, OperatorOverride] = {}
 
     def record_override(self, name: str, out_of_service: bool) -> None:
-        """Operators have told this process."""
+        """Records a decision of operators that this process received."""
         number = 1 + max((override.number for override in self.overrides.values()), default=0)
         self.overrides[name] = OperatorOverride(number, self.generation, out_of_service)
 
     def servers_out_of_service(self) -> set[str]:
+        """Returns the names of the servers that operators have taken out of service."""
         return {name for name, override in self.overrides.items() if override.out_of_service}
 
     def merge_overrides(self, states: Iterable[ProcessState]) -> dict[str, bool]:
-        """Takes in what others were told, living or not; returns which servers are out by that, or no longer."""
+        """Merges the overrides of other processes, running or ended.
+
+        Returns the servers that this takes out of service (True) or restores (False).
+        """
         before = self.servers_out_of_service()
         for state in states:
             for name, override in state.overrides.items():
@@ -113,26 +139,34 @@
         after = self.servers_out_of_service()
         return dict.fromkeys(after - before, True) | dict.fromkeys(before - after, False)
 
-    def advance(self, living: Iterable[ProcessState], ready: bool) -> bool:
-        """The next stage, by what the others that live tell; returns whether it is another one, which is to be told.
+    def advance(self, running_states: Iterable[ProcessState], ready: bool) -> bool:
+        """Moves to the next stage, given the states of the other running processes.
 
-        Nobody serves but after a look at the others since it told that it is ready. Guards against two that look at the
-        same moment and each find the other not yet ready."""
-        before, active = (
+        Returns whether the stage has changed, so that the caller publishes it. A process serves
+        only after it has published that it is ready and then read the others' states again.
+        Otherwise two processes that read at the same moment could each find the other not ready,
+        and both serve.
+        """
+        before, active_generations = (
             self.stage,
-            [state.generation for state in living if state.stage in (Stage.READY, Stage.SERVING)],
+            [
+                state.generation
+                for state in running_states
+                if state.stage in (Stage.READY, Stage.SERVING)
+            ],
         )
         if before is Stage.LEAVING:
             return False
         if not ready:
             self.stage = Stage.STARTING
-        elif any(generation > self.generation for generation in active):
+        elif any(generation > self.generation for generation in active_generations):
             self.stage = Stage.YIELDED
         elif before in (Stage.STARTING, Stage.YIELDED):
             self.stage = Stage.READY
-        elif not any(generation < self.generation for generation in active):
+        elif not any(generation < self.generation for generation in active_generations):
             self.stage = Stage.SERVING
         return self.stage is not before
 
     def leave(self) -> None:
+        """Enters the final stage; no later process waits for this one any more."""
         self.stage = Stage.LEAVING
