--- a/corklift/handover.py
+++ b/corklift/handover.py
@@ -147,7 +147,7 @@
         Otherwise two processes that read at the same moment could each find the other not ready,
         and both serve.
         """
-        before, active_generations = (
+        before, active = (
             self.stage,
             [
                 state.generation
@@ -159,11 +159,11 @@
             return False
         if not ready:
             self.stage = Stage.STARTING
-        elif any(generation > self.generation for generation in active_generations):
+        elif any(generation > self.generation for generation in active):
             self.stage = Stage.YIELDED
         elif before in (Stage.STARTING, Stage.YIELDED):
             self.stage = Stage.READY
-        elif not any(generation < self.generation for generation in active_generations):
+        elif not any(generation < self.generation for generation in active):
             self.stage = Stage.SERVING
         return self.stage is not before
 
