--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -25,11 +25,15 @@
 
 from benchmarks.report import arguments, tell
 from corklift.control import resources
-from corklift.control.resources import Place
+from corklift.control.resources import ServerEndpoint
 from corklift.control.service import CSDS
-from corklift.control.status import rows
-from corklift.control.views import Kind, Response, Views
-from corklift.control.views import Settings as ViewSettings
+from corklift.control.status import status_rows
+from corklift.control.subscriptions import (
+    ResourceKind,
+    Response,
+    SubscriptionManager,
+    SubscriptionSettings,
+)
 from corklift.control.weights import PublishedWeights
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import Scheduler, wall_clock
@@ -159,12 +163,12 @@
         self.port = int(self._events("started")[0][1]["listen"].rpartition(":")[2])
         self.channel = Channel(
             self.scheduler,
-            RpcLimits(ping_after=0, message=256 << 20),
+            RpcLimits(ping_after=0, max_message_bytes=256 << 20),
             Counters(),
             ("127.0.0.1", self.port),
             Random(1),
         )
-        self.scheduler.spawn(self.channel.keep_connected)
+        self.scheduler.spawn(self.channel.connect_loop)
         self._measure_updates()
         self._measure_drains()
         self._measure_even()
@@ -204,7 +208,7 @@
         answer = csds_pb2.ClientStatusResponse()
         answer.ParseFromString(content)
         self.streams = len(answer.config)
-        return list(rows(answer))
+        return list(status_rows(answer))
 
     def _counters(self) -> dict[str, int]:
         number = len(self._events("counters"))
@@ -413,40 +417,44 @@
 class _Sent:
     def __init__(self, incremental: bool) -> None:
         self.incremental, self.sizes = incremental, list[int]()
-        self.views = Views(self, ViewSettings())
+        self.views = SubscriptionManager(self, SubscriptionSettings())
 
     def send(self, stream: int, response: Response) -> None:
-        self.sizes.append(len(resources.response(response, self.incremental)))
+        self.sizes.append(len(resources.encode_response(response, self.incremental)))
 
 
 def drain_bytes(number: int, incremental: bool) -> int:
     """What one proxy is sent when one of so many servers drains."""
     host = _Sent(incremental)
     places = {
-        f"s{at:04}": Place(f"s{at:04}", (f"127.0.{at // 250}.{at % 250 + 1}", 9000), "here")
+        f"s{at:04}": ServerEndpoint(
+            f"s{at:04}", (f"127.0.{at // 250}.{at % 250 + 1}", 9000), "here"
+        )
         for at in range(number)
     }
     told = PublishedWeights({name: 10_000 // number for name in places}, 0)
-    host.views.changed(
+    host.views.update_snapshot(
         0,
         {
-            Kind.CLUSTERS: {"plain": resources.cluster("plain", SECOND)},
-            Kind.ENDPOINTS: {"plain": resources.endpoints("plain", told, places)},
+            ResourceKind.CLUSTERS: {"plain": resources.build_cluster("plain", SECOND)},
+            ResourceKind.ENDPOINTS: {"plain": resources.build_endpoints("plain", told, places)},
         },
     )
-    host.views.opened(0, 1, incremental)
-    for kind, names in ((Kind.CLUSTERS, ()), (Kind.ENDPOINTS, ("plain",))):
+    host.views.open_stream(0, 1, incremental)
+    for kind, names in ((ResourceKind.CLUSTERS, ()), (ResourceKind.ENDPOINTS, ("plain",))):
         if incremental:
-            host.views.requested_changes(0, 1, kind, names, (), {}, "", None)
+            host.views.handle_delta_request(0, 1, kind, names, (), {}, "", None)
         else:
-            host.views.requested(0, 1, kind, names, "", "", None)
-        host.views.room(0, 1)
+            host.views.handle_request(0, 1, kind, names, "", "", None)
+        host.views.stream_writable(0, 1)
     host.sizes.clear()
     left = PublishedWeights(
         {name: weight for name, weight in told.weights.items() if name != "s0007"}, 0
     )
-    host.views.changed(
-        0, {Kind.ENDPOINTS: {"plain": resources.endpoints("plain", left, places)}}, urgent=True
+    host.views.update_snapshot(
+        0,
+        {ResourceKind.ENDPOINTS: {"plain": resources.build_endpoints("plain", left, places)}},
+        urgent=True,
     )
     return sum(host.sizes)
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -9,7 +9,7 @@
 
 from loop import Loop, wait_for
 
-from corklift.control.config import Control, parse
+from corklift.control.config import ControlConfig, parse_config
 from corklift.control.program import Program
 from corklift.net.limits import MS
 from corklift.rpc.core import RpcLimits
@@ -38,7 +38,7 @@
 class Service:
     """The program in a thread of its own; as good as a process but for its signals."""
 
-    def __init__(self, config: Control, path: str | None = None) -> None:
+    def __init__(self, config: ControlConfig, path: str | None = None) -> None:
         self.program = Program(config, path)
         self.port = self.program.port
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -52,8 +52,8 @@
         """As a crash would: every socket is closed with nothing said."""
         self.program.scheduler.stop()
         self._thread.join(5)
-        for link in list(self.program.server.links):
-            link._stream.abort()
+        for connection in list(self.program.server.connections):
+            connection._stream.abort()
         listener = self.program.server._listener
         if listener is not None:
             listener.close()
@@ -112,11 +112,11 @@
 
         self.do(mark)
 
-    def config(self, head: str = "", tail: str = "", port: int | None = None) -> Control:
+    def config(self, head: str = "", tail: str = "", port: int | None = None) -> ControlConfig:
         text = CONFIG % (self.discovery_port, head, tail)
         if port is not None:
             text = text.replace("127.0.0.1:0", f"127.0.0.1:{port}")
-        return parse(text.encode())
+        return parse_config(text.encode())
 
     def service(self, head: str = "", tail: str = "", port: int | None = None) -> Service:
         service = Service(self.config(head, tail, port))
@@ -128,7 +128,7 @@
         service: Service | int,
         habits: Habits = Habits(),
         node: str = "",
-        limits: RpcLimits = RpcLimits(ping_after=0, back_off=100 * MS, ring=8192),
+        limits: RpcLimits = RpcLimits(ping_after=0, initial_backoff=100 * MS, ring=8192),
     ) -> Proxy:
         port = service if isinstance(service, int) else service.port
         proxy = Proxy(
