--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -564,7 +564,7 @@
         given,
         peers=peers,
         seed=seed,
-        spoil=spoil,
+        mutants=spoil,
         show=click.echo if verbose else lambda text: None,
     )
     if out:
@@ -602,8 +602,8 @@
     file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool
 ) -> None:
     given = _scenario(file)
-    spoilt = dict(item.partition("=")[::2] for item in spoil)
-    sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, spoilt, out, verbose))
+    mutants = dict(item.partition("=")[::2] for item in spoil)
+    sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, mutants, out, verbose))
 
 
 @rig.command("list", help="The scenarios of a folder, and the deliberate faults.")
@@ -611,7 +611,7 @@
 def rig_list(folder: str) -> None:
     import os
 
-    from corklift.rig.spoilt import FAULTS
+    from corklift.rig.mutants import MUTANTS
 
     for name in sorted(os.listdir(folder)):
         if name.endswith(".toml"):
@@ -619,7 +619,7 @@
             click.echo(
                 f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  {given.name}"
             )
-    for fault_name, made in FAULTS.items():
+    for fault_name, made in MUTANTS.items():
         click.echo(f"{fault_name:24} {(made.__doc__ or '').strip()}")
 
 
--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -101,7 +101,7 @@
     def __init__(
         self,
         shape: Shape,
-        spoil: dict[str, str] | None = None,
+        mutants: dict[str, str] | None = None,
         show: Callable[[str], None] = lambda text: None,
     ) -> None:
         """`spoil`: by balancer's name, a deliberate fault that is put into it at its start."""
@@ -113,7 +113,7 @@
             raise ValueError(
                 f"a rig is bounded: {MOST_BALANCERS} balancers, {MOST_SERVERS} servers, {MOST_RATE:.0f} logins a second"
             )
-        self.shape, self._spoil, self._show = shape, spoil or {}, show
+        self.shape, self._mutants, self._show = shape, mutants or {}, show
         self.rng = Random(shape.seed)
         self.problems: list[str] = []
         self._starts: dict[str, int] = {}  # by balancer, of its processes ...
@@ -297,12 +297,12 @@
             path = os.path.join(self._folder, f"{name}.toml")
             self._boots[name] = 0
             self._write(name)
-            spoilt = [
-                *([self._spoil[name]] if name in self._spoil else []),
+            mutants = [
+                *([self._mutants[name]] if name in self._mutants else []),
                 *(["played_disks"] if shape.store else []),
                 *(["jumping_clock"] if shape.clocks else []),
             ]
-            command = ["corklift.rig.spoilt", ",".join(spoilt)] if spoilt else ["corklift"]
+            command = ["corklift.rig.mutants", ",".join(mutants)] if mutants else ["corklift"]
             self.balancers[name] = Running(
                 name, [sys.executable, "-m", *command, "serve", path], self._folder
             )
--- a/corklift/rig/spoilt.py
+++ b/corklift/rig/mutants.py
@@ -1,4 +1,4 @@
-"""A balancer with a deliberate fault put into it at its start: `python -m corklift.rig.spoilt NAME serve FILE`.
+"""A balancer with a deliberate fault put into it at its start: `python -m corklift.rig.mutants NAME serve FILE`.
 
 Owns the faults by which the checker is proven, each a change of one thing in this process alone. Must never be imported by the
 product, or by what judges.
@@ -195,7 +195,7 @@
     service.wall_clock = lambda: lambda: true() + offset[0]
 
 
-FAULTS = {
+MUTANTS = {
     name: made
     for name, made in list(globals().items())
     if callable(made) and getattr(made, "__module__", "") == __name__ and not name.startswith("_")
@@ -204,7 +204,7 @@
 
 if __name__ == "__main__":
     for wanted in sys.argv[1].split(","):
-        FAULTS[wanted]()
+        MUTANTS[wanted]()
     sys.argv = ["corklift", *sys.argv[2:]]
     from corklift.__main__ import main
 
--- a/corklift/rig/scenario.py
+++ b/corklift/rig/scenario.py
@@ -385,10 +385,10 @@
     *,
     peers: bool = True,
     seed: int | None = None,
-    spoil: dict[str, str] | None = None,
+    mutants: dict[str, str] | None = None,
     show: Callable[[str], None] = lambda text: None,
 ) -> Rig:
-    rig = Rig(given.shape(peers, seed), spoil, show)
+    rig = Rig(given.shape(peers, seed), mutants, show)
     return rig.run(Playing(given, rig).conduct)
 
 
