--- a/benchmarks/xds_proxies.py
+++ b/benchmarks/xds_proxies.py
@@ -10,7 +10,7 @@
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import READ, Scheduler, wall_clock
 from corklift.rpc.core import RpcLimits
-from corklift.standins.proxy import Habits, Proxy
+from corklift.standins.proxy import Proxy, ProxyBehaviour
 
 READS_EVERY = 120 * MS  # of a slow proxy
 DROPS_EVERY = 5 * SECOND  # of a disconnecting one, about
@@ -28,7 +28,7 @@
         ] = []  # a server left a view: which, when, since when it was connected
         for at in range(first, first + number):
             # A tenth of them is slow or breaks off; half speak each variant.
-            habits = Habits(
+            behaviour = ProxyBehaviour(
                 incremental=at % 2 == 1,
                 reads_every=READS_EVERY if at % 20 == 7 else 0,
                 drops_every=DROPS_EVERY if at % 20 == 17 else 0,
@@ -40,7 +40,7 @@
                     ("127.0.0.1", port),
                     f"proxy-{at:04}",
                     Random(seed * 1000 + at),
-                    habits,
+                    behaviour,
                     RpcLimits(ping_after=0, initial_backoff=200 * MS, ring=8192),
                 )
             )
@@ -71,10 +71,12 @@
                 told = json.loads(line)
                 self.rate, self.hold = told.get("rate", self.rate), told.get("hold", self.hold)
                 for proxy in self.proxies:
-                    proxy.habits = proxy.habits._replace(even=told.get("even", proxy.habits.even))
+                    proxy.behaviour = proxy.behaviour._replace(
+                        even=told.get("even", proxy.behaviour.even)
+                    )
                 if told.get("calm"):
                     for proxy in self.proxies:
-                        proxy.habits = proxy.habits._replace(drops_every=10**18)
+                        proxy.behaviour = proxy.behaviour._replace(drops_every=10**18)
 
     def _load(self) -> None:
         due = self.scheduler.now()
--- a/corklift/lab/load.py
+++ b/corklift/lab/load.py
@@ -24,7 +24,7 @@
 from corklift.net.limits import MS, SECOND
 from corklift.net.scheduler import READ, Scheduler, wall_clock
 from corklift.net.stream import Stream
-from corklift.standins.client import answer, connected
+from corklift.standins.client import connect, send_request
 from corklift.standins.discovery import Discovery
 from corklift.standins.transcriber import Transcriber
 
@@ -99,10 +99,10 @@
 
     def _start(self, folder: str) -> None:
         port = self.discovery.listen()
-        self.scheduler.spawn(self.discovery.keep_answering)
+        self.scheduler.spawn(self.discovery.accept_loop)
         for server in self.servers:
             self.discovery.put(server.name, ("127.0.0.1", server.listen()))
-            self.scheduler.spawn(server.keep_accepting)
+            self.scheduler.spawn(server.accept_loop)
         for number in range(self.shape.balancers):
             with socket.create_server(("127.0.0.1", 0)) as free:
                 address = ("127.0.0.1", int(free.getsockname()[1]))
@@ -181,18 +181,18 @@
 
     def _line(self, address: tuple[str, int], line: bytes, span: int) -> bytes:
         until = self.scheduler.now() + span
-        stream = connected(self.scheduler, address, until)
+        stream = connect(self.scheduler, address, until)
         if stream is None:
             return b""
         try:
-            return answer(self.scheduler, stream, line, until)
+            return send_request(self.scheduler, stream, line, until)
         finally:
             stream.close()
 
     def _login(self, due: int, way: str, address: tuple[str, int], hold: int) -> None:
         self.late_starts.record_value(max(1, (self.scheduler.now() - due) // 1000))
         until = due + WAIT
-        stream = connected(self.scheduler, address, until)
+        stream = connect(self.scheduler, address, until)
         if stream is None:
             self.outcomes[f"{way}: no connection"] += 1
             return
@@ -202,7 +202,7 @@
                 self._rng.getrandbits(60),
                 WAIT // MS,
             )
-            told = answer(self.scheduler, stream, line, until)
+            told = send_request(self.scheduler, stream, line, until)
             took = max(1, (self.scheduler.now() - due) // 1000)
             word = told.split(b" ")[0].strip().decode() or "no answer"
             self.outcomes[f"{way}: {word}"] += 1
--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -23,7 +23,7 @@
 from corklift.net.stream import Stream
 from corklift.rig.disks import PLAN, cut_power
 from corklift.rig.links import SOUND, Fault, Link
-from corklift.standins.client import answer, connected
+from corklift.standins.client import connect, send_request
 
 WAIT = 3 * SECOND  # a client's own time limit
 MOST_BALANCERS, MOST_SERVERS, MOST_RATE, MOST_SECONDS = 40, 40, 500.0, 300.0
@@ -596,7 +596,7 @@
         number = len(self.events)
         self.note("word asked", "operator", balancer=balancer, server=server, out=out, word=number)
         host, status, text = self.hosts[balancer], 0, b""
-        stream = connected(self.scheduler, (host, ADMIN), asked + SECOND)
+        stream = connect(self.scheduler, (host, ADMIN), asked + SECOND)
         if stream is not None:
             try:
                 body = json.dumps({"member": server}).encode()
@@ -604,7 +604,7 @@
                     f"POST /admin/{'cordon' if out else 'uncordon'} HTTP/1.1\r\nHost: {host}\r\n"
                     f"Content-Length: {len(body)}\r\n\r\n"
                 ).encode() + body
-                text = answer(self.scheduler, stream, line, asked + int(wait * SECOND))
+                text = send_request(self.scheduler, stream, line, asked + int(wait * SECOND))
                 status = int(text.split(b" ")[1]) if text.startswith(b"HTTP/1.1 ") else 0
             finally:
                 stream.close()
@@ -676,11 +676,13 @@
     def _front(self, name: str) -> None:
         """Takes a balancer in once it answers PING, as the front does."""
         while self.balancers[name].alive:
-            stream = self._connected(name, self.scheduler.now() + SECOND)
+            stream = self._connect(name, self.scheduler.now() + SECOND)
             if stream is not None:
                 try:
                     if (
-                        answer(self.scheduler, stream, b"PING\r\n", self.scheduler.now() + SECOND)
+                        send_request(
+                            self.scheduler, stream, b"PING\r\n", self.scheduler.now() + SECOND
+                        )
                         == b"PONG\r\n"
                     ):
                         self.serving.add(name)
@@ -713,12 +715,12 @@
             again = word == "UP"
             pause = max(pause, 100 * MS)
 
-    def _connected(self, balancer: str, until: int) -> Stream | None:
-        return connected(self.scheduler, ("127.0.0.1", self.links["client", balancer].port), until)
+    def _connect(self, balancer: str, until: int) -> Stream | None:
+        return connect(self.scheduler, ("127.0.0.1", self.links["client", balancer].port), until)
 
     def _login(self, workload: str, again: bool, ends: int) -> tuple[str, int]:
         balancer = self.rng.choice(sorted(self.serving))
-        stream = self._connected(balancer, self.scheduler.now() + SECOND)
+        stream = self._connect(balancer, self.scheduler.now() + SECOND)
         if stream is None:
             return "", 0
         number, self._next_login = self._next_login, self._next_login + 1
@@ -736,7 +738,7 @@
                 b",again=1" if again else b"",
             )
             # Waits longer than its limit, to tell a late answer from none.
-            heard = answer(self.scheduler, stream, line, asked + 2 * WAIT)
+            heard = send_request(self.scheduler, stream, line, asked + 2 * WAIT)
             word = heard.split(b" ")[0].strip().decode("ascii", "replace")
             self.note(
                 "answer",
--- a/corklift/rig/standin.py
+++ b/corklift/rig/standin.py
@@ -66,7 +66,7 @@
         self._queued, self._queued_at = 0.0, 0
         self._second = self._probes = 0
 
-    def _placed(self, login: str, by: str, what: str) -> None:
+    def _on_placed(self, login: str, by: str, what: str) -> None:
         self._told.say("placed", server=self.name, client=login, what=what)
         now = self._scheduler.now()
         age = now - self.started_at
@@ -88,11 +88,11 @@
         self.fails = False
         self.started_at = self._scheduler.now()
 
-    def _opening(self) -> None:
+    def _on_login(self) -> None:
         while self.silent:
             self._scheduler.sleep(SECOND // 10)
 
-    def _probed(self) -> None:
+    def _on_probe(self) -> None:
         second = self._scheduler.now() // SECOND
         if second != self._second:
             if self._probes:
@@ -102,10 +102,10 @@
             self._second, self._probes = second, 0
         self._probes += 1
 
-    def _turned_away(self, login: str) -> None:
+    def _on_rejected(self, login: str) -> None:
         self._told.say("turned away", server=self.name, login=login)
 
-    def _ended(self, login: str) -> None:
+    def _on_closed(self, login: str) -> None:
         self._told.say("ended", server=self.name, client=login)
 
 
@@ -124,7 +124,7 @@
             if word.get("cold"):
                 standing.started_at = told.scheduler.now()
 
-    told.scheduler.spawn(standing.keep_accepting)
+    told.scheduler.spawn(standing.accept_loop)
     told.scheduler.spawn(hear)
     told.scheduler.run()
 
@@ -169,7 +169,7 @@
                     host, _, port = word["addresses"][name].rpartition(":")
                     agent.put(word["put"], (host, int(port)), since_ms=word.get("since_ms", 0))
                 if "mark" in word:
-                    agent.mark(word["mark"], word["status"])
+                    agent.set_status(word["mark"], word["status"])
                 if word.get("save"):
                     agent.save()
                 if word.get("restore"):
@@ -186,7 +186,7 @@
                 )
 
     for agent in agents.values():
-        told.scheduler.spawn(agent.keep_answering)
+        told.scheduler.spawn(agent.accept_loop)
     told.scheduler.spawn(hear)
     told.scheduler.run()
 
--- a/corklift/standins/client.py
+++ b/corklift/standins/client.py
@@ -9,15 +9,15 @@
 from corklift.net.scheduler import READ, WRITE, Scheduler
 from corklift.net.stream import LineTooLongError, Stream
 
-CLIENT = Limits(
+CLIENT_LIMITS = Limits(
     clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=1024
 )
 
 
-def connected(scheduler: Scheduler, address: tuple[str, int], until: int) -> Stream | None:
+def connect(scheduler: Scheduler, address: tuple[str, int], until: int) -> Stream | None:
     """None where there is no connection by then."""
     try:
-        stream = Stream.connect(address, CLIENT)
+        stream = Stream.connect(address, CLIENT_LIMITS)
     except OSError:
         return None
     while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
@@ -30,7 +30,7 @@
     return None
 
 
-def answer(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> bytes:
+def send_request(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> bytes:
     """The line that comes back, or nothing."""
     stream.write(line)
     while True:
--- a/corklift/standins/discovery.py
+++ b/corklift/standins/discovery.py
@@ -26,7 +26,7 @@
         self._changed_at: dict[str, int] = {}
         self._waiting: list[Task] = []
         self.silent = False  # takes requests and answers none
-        self.cuts = 0  # so many answers stop half-way
+        self.truncated_responses = 0  # so many answers stop half-way
         self._listener: socket.socket | None = None
 
     def put(
@@ -52,7 +52,7 @@
         self._changed_at[name] = self.index
         self._tell()
 
-    def mark(self, name: str, status: str) -> None:
+    def set_status(self, name: str, status: str) -> None:
         self.index += 1
         self.entries[name]["status"] = status
         self._changed_at[name] = self.index
@@ -68,7 +68,7 @@
         self._listener.setblocking(False)
         return int(self._listener.getsockname()[1])
 
-    def keep_answering(self) -> None:
+    def accept_loop(self) -> None:
         assert self._listener is not None
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
@@ -122,8 +122,8 @@
         ).encode()
         head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n".encode()
         content = head + body
-        if self.cuts:
-            self.cuts -= 1
+        if self.truncated_responses:
+            self.truncated_responses -= 1
             content = content[: len(head) + len(body) // 2]
         while content and not stream.broken:
             room = stream.send_buffer.free_bytes
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -21,11 +21,11 @@
 LIMITS = Limits(
     clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=2048
 )
-SAY, HOLD = "/standin.Transcriber/Say", "/standin.Transcriber/Hold"
+SAY_METHOD, HOLD_METHOD = "/standin.Transcriber/Say", "/standin.Transcriber/Hold"
 _OPEN = re.compile(rb"OPEN (\S+) (\S+) (\S+)\r\n")
 
 
-class Placed(NamedTuple):
+class Placement(NamedTuple):
     at: int  # ns
     server: str
     by: str  # who placed it
@@ -38,11 +38,16 @@
         scheduler: Scheduler,
         name: str,
         size: float,
-        note: Callable[[Placed], None],
+        on_placement: Callable[[Placement], None],
         ramp: int = 0,
     ) -> None:
-        self._scheduler, self.name, self.size, self._note = scheduler, name, size, note
-        self.open = 0
+        self._scheduler, self.name, self.size, self._on_placement = (
+            scheduler,
+            name,
+            size,
+            on_placement,
+        )
+        self.open_connections = 0
         self.fails = False  # turns down all that is new
         self.silent = False  # answers no probe
         self.ramp, self.started_at = ramp, scheduler.now()
@@ -50,7 +55,7 @@
             scheduler,
             RpcLimits(max_connections=5000, ping_after=0, max_streams=1000),
             Counters(),
-            {SAY: unary(self._say), HOLD: self._hold},
+            {SAY_METHOD: unary(self._handle_say), HOLD_METHOD: self._handle_hold},
         )
         self._listener: socket.socket | None = None
         self.port = 0
@@ -61,7 +66,7 @@
         self.port = int(self._listener.getsockname()[1])
         return self.port
 
-    def keep_accepting(self) -> None:
+    def accept_loop(self) -> None:
         assert self._listener is not None
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
@@ -70,9 +75,9 @@
                     sock, address = self._listener.accept()
                 except OSError:
                     break
-                self._scheduler.spawn(self._take, sock, "%s:%d" % address)
+                self._scheduler.spawn(self._serve_connection, sock, "%s:%d" % address)
 
-    def _take(self, sock: socket.socket, peer: str) -> None:
+    def _serve_connection(self, sock: socket.socket, peer: str) -> None:
         """Lines or HTTP/2: the first bytes tell."""
         sock.setblocking(False)
         while True:
@@ -87,9 +92,9 @@
         if first == b"PRI":
             self._rpc.serve_connection(sock, peer)
             return
-        self._lines(Stream(sock, LIMITS))
+        self._serve_lines(Stream(sock, LIMITS))
 
-    def _lines(self, stream: Stream) -> None:
+    def _serve_lines(self, stream: Stream) -> None:
         up, login = False, ""
         try:
             while True:
@@ -100,22 +105,23 @@
                         return
                     self._scheduler.wait({stream.fd: READ})
                 elif line == b"STATS\r\n" and not up:
-                    self._probed()
+                    self._on_probe()
                     while self.silent:
                         self._scheduler.sleep(SECOND // 10)
                     stream.write(
-                        b"PONG inflight=%d,x0=%.4f\r\n" % (self.open, self.open / self.size)
+                        b"PONG inflight=%d,x0=%.4f\r\n"
+                        % (self.open_connections, self.open_connections / self.size)
                     )
                 elif (found := _OPEN.fullmatch(line)) and not up:
                     login = found[1].decode()
-                    self._opening()
+                    self._on_login()
                     if self.fails:
-                        self._turned_away(login)
+                        self._on_rejected(login)
                         stream.write(b"ERR\r\n")
                         return
                     up = True
-                    self.open += 1
-                    self._placed(login, found[2].decode(), found[3].decode())
+                    self.open_connections += 1
+                    self._on_placed(login, found[2].decode(), found[3].decode())
                     stream.write(b"UP %s\r\n" % self.name.encode())
                 elif line == b"quit\r\n":
                     stream.write(b"BYE\r\n")
@@ -126,39 +132,39 @@
             return
         finally:
             if up:
-                self.open -= 1
-                self._ended(login)
+                self.open_connections -= 1
+                self._on_closed(login)
             stream.close()
 
     # What a further stand-in does at each step of a connection by lines
 
-    def _opening(self) -> None:
+    def _on_login(self) -> None:
         """A login has come; may wait."""
 
-    def _probed(self) -> None:
+    def _on_probe(self) -> None:
         pass
 
-    def _turned_away(self, login: str) -> None:
+    def _on_rejected(self, login: str) -> None:
         pass
 
-    def _placed(self, login: str, by: str, what: str) -> None:
-        self._note(Placed(self._scheduler.now(), self.name, by, what))
+    def _on_placed(self, login: str, by: str, what: str) -> None:
+        self._on_placement(Placement(self._scheduler.now(), self.name, by, what))
 
-    def _ended(self, login: str) -> None:
+    def _on_closed(self, login: str) -> None:
         pass
 
-    def _say(self, call: RpcCall, request: bytes) -> bytes:
-        self._note(Placed(self._scheduler.now(), self.name, call.peer, "say"))
+    def _handle_say(self, call: RpcCall, request: bytes) -> bytes:
+        self._on_placement(Placement(self._scheduler.now(), self.name, call.peer, "say"))
         return self.name.encode()
 
-    def _hold(self, call: RpcCall) -> None:
+    def _handle_hold(self, call: RpcCall) -> None:
         """A stream that lasts: its first message is answered with this server's name, all others with themselves."""
-        self._note(Placed(self._scheduler.now(), self.name, call.peer, "hold"))
-        self.open += 1
+        self._on_placement(Placement(self._scheduler.now(), self.name, call.peer, "hold"))
+        self.open_connections += 1
         try:
             first = True
             while (message := call.receive()) is not None:
                 call.send(self.name.encode() if first else message)
                 first = False
         finally:
-            self.open -= 1
+            self.open_connections -= 1
