--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -39,7 +39,7 @@
         for proxy in proxies:
             fleet.holds(proxy, *ALL)
         # a busy server gets less, and what proxies placed counts before a probe tells of it
-        fleet.do(lambda: setattr(fleet.servers["s1"], "open", 60))
+        fleet.do(lambda: setattr(fleet.servers["s1"], "open_connections", 60))
         wait_for(lambda: all(fleet.weights(p).get("s1", 0) < TOTAL_WEIGHT / 20 for p in proxies))
         for number in range(40):
             fleet.do(lambda: fleet.scheduler.spawn(proxies[number % 4].place, "plain", 60 * SECOND))
@@ -67,8 +67,8 @@
         refusing = fleet.proxy(service, ProxyBehaviour(incremental, refuses=refuses))
         for proxy in (silent, refusing):
             fleet.holds(proxy, *ALL)
-        fleet.do(lambda: setattr(fleet.servers["s1"], "open", 50))
-        wait_for(lambda: refusing.held.refused)
+        fleet.do(lambda: setattr(fleet.servers["s1"], "open_connections", 50))
+        wait_for(lambda: refusing.state.refused)
 
         def refused():
             answer = fetch_status(("127.0.0.1", service.port), node=refusing.node)
@@ -333,9 +333,9 @@
             )
             # a proxy that goes from one to the other is owed nothing
             sent = two.program.counters["response bytes"]
-            held = proxies[0].held
+            held = proxies[0].state
             moved = fleet.proxy(two)
-            moved.held.versions, moved.held.resources, moved.held.names = (
+            moved.state.versions, moved.state.resources, moved.state.names = (
                 held.versions,
                 held.resources,
                 held.names,
