--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -1,4 +1,4 @@
-"""gRPC on our scheduler: alone in memory, and against the registry's grpcio as server and as client."""
+"""gRPC on our scheduler: in memory, and over sockets with grpcio as client and as server."""
 
 import socket
 import threading
@@ -32,20 +32,25 @@
 from corklift.rpc.server import RpcServer, unary
 from corklift.rpc.session import Session, SessionError
 
-SAME = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
+RAW_BYTES = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
 
 
 @given(
     st.lists(st.binary(max_size=300), max_size=8),
     st.lists(st.integers(1, 64), min_size=1, max_size=50),
 )
-def test_messages_come_out_alike_in_any_split(messages, cuts):
-    raw, unpacker, found, at = b"".join(map(encode_message, messages)), MessageDecoder(300), [], 0
-    while at < len(raw):
-        step = cuts[at % len(cuts)]
-        found += unpacker.feed(raw[at : at + step])
-        at += step
-    assert found == messages and not unpacker.has_partial
+def test_messages_are_decoded_from_any_split_of_the_bytes(messages, steps):
+    raw, decoder, decoded, offset = (
+        b"".join(map(encode_message, messages)),
+        MessageDecoder(300),
+        [],
+        0,
+    )
+    while offset < len(raw):
+        step = steps[offset % len(steps)]
+        decoded += decoder.feed(raw[offset : offset + step])
+        offset += step
+    assert decoded == messages and not decoder.has_partial
 
 
 @pytest.mark.parametrize(
@@ -57,134 +62,144 @@
         (b"\0\xff\xff\xff\xff", Code.RESOURCE_EXHAUSTED),
     ],
 )
-def test_a_message_that_is_not_taken_is_told_by_its_prefix(raw, code):
-    with pytest.raises(RpcError) as problem:
+def test_an_unacceptable_message_is_rejected_by_its_prefix(raw, code):
+    with pytest.raises(RpcError) as error:
         MessageDecoder(300).feed(raw)
-    assert problem.value.code is code
+    assert error.value.code is code
 
 
 @given(st.integers(0, 10**19))
-def test_a_time_out_is_told_no_shorter_than_it_is(span):
-    told = parse_timeout(format_timeout(span).encode())
-    assert told >= span or span > 99_999_999 * 3600 * SECOND
-    assert told - span <= max(1, span // 1000)
+def test_a_formatted_timeout_is_never_shorter(timeout):
+    parsed = parse_timeout(format_timeout(timeout).encode())
+    assert parsed >= timeout or timeout > 99_999_999 * 3600 * SECOND
+    assert parsed - timeout <= max(1, timeout // 1000)
 
 
 @pytest.mark.parametrize("value", [b"", b"1", b"S", b"-1S", b"123456789S", b"1.5S", b"1s", b"1S "])
-def test_a_time_out_out_of_form_is_refused(value):
+def test_a_malformed_timeout_is_rejected(value):
     with pytest.raises(RpcError):
         parse_timeout(value)
 
 
 @given(st.text(max_size=80))
-def test_a_status_message_is_ascii_and_comes_back(text):
-    told = encode_status_message(text)
-    assert all(" " <= letter <= "~" for letter in told)
-    assert decode_status_message(told.encode()) == text
+def test_a_status_message_is_ascii_and_survives_a_round_trip(text):
+    encoded = encode_status_message(text)
+    assert all(" " <= character <= "~" for character in encoded)
+    assert decode_status_message(encoded.encode()) == text
 
 
-def test_back_off_grows_spread_and_bounded():
+def test_backoff_grows_randomised_up_to_the_maximum():
     limits = RpcLimits()
-    waits = []
+    delays = []
     for seed in range(200):
-        back_off = ReconnectBackoff(Random(seed), limits)
-        waits.append([back_off.next_delay() for _ in range(12)])
-    firsts = sorted(wait[0] for wait in waits)
+        backoff = ReconnectBackoff(Random(seed), limits)
+        delays.append([backoff.next_delay() for _ in range(12)])
+    first_delays = sorted(delay[0] for delay in delays)
     assert (
         limits.initial_backoff / 2
-        <= firsts[0]
+        <= first_delays[0]
         < 0.55 * limits.initial_backoff
         < 0.95 * limits.initial_backoff
-        < firsts[-1]
+        < first_delays[-1]
         <= limits.initial_backoff
     )
     assert all(
-        wait[-1] <= limits.max_backoff and wait[-1] >= limits.max_backoff / 2 for wait in waits
+        delay[-1] <= limits.max_backoff and delay[-1] >= limits.max_backoff / 2 for delay in delays
     )
 
 
 class Pair:
-    """A client's and a server's session joined in memory; bytes pass in cuts of any size."""
+    """A client's and a server's session, connected in memory; bytes pass in chunks of one size."""
 
-    def __init__(self, limits=RpcLimits(), cut=1 << 20):
-        self.calls, self.cut = [], cut
+    def __init__(self, limits=RpcLimits(), chunk_size=1 << 20):
+        self.calls, self.chunk_size = [], chunk_size
         self.client, self.server = Session(limits, True), Session(limits, False, self.calls.append)
         self.pass_bytes()
 
     def pass_bytes(self, now=0):
         while True:
-            there, back = self.client.data_to_send(self.cut), self.server.data_to_send(self.cut)
-            if not there and not back:
+            to_server, to_client = (
+                self.client.data_to_send(self.chunk_size),
+                self.server.data_to_send(self.chunk_size),
+            )
+            if not to_server and not to_client:
                 return
-            if there:
-                self.server.receive_data(now, there)
-            if back:
-                self.client.receive_data(now, back)
+            if to_server:
+                self.server.receive_data(now, to_server)
+            if to_client:
+                self.client.receive_data(now, to_client)
 
     def call(self, deadline=None):
-        mine = self.client.start_call(0, "here", "/a/b", deadline)
+        client_call = self.client.start_call(0, "here", "/a/b", deadline)
         self.pass_bytes()
-        return mine, self.calls[-1]
+        return client_call, self.calls[-1]
 
 
 @settings(max_examples=40, deadline=None)
 @given(st.integers(1, 5000), st.lists(st.integers(0, 200_000), min_size=1, max_size=6))
-def test_messages_longer_than_the_window_pass_in_any_cut(cut, sizes):
-    pair = Pair(cut=cut)
-    mine, theirs = pair.call()
+def test_messages_larger_than_the_window_pass_in_any_split(chunk_size, sizes):
+    pair = Pair(chunk_size=chunk_size)
+    client_call, server_call = pair.call()
     for number, size in enumerate(sizes):
-        pair.client.send(0, mine, bytes([number]) * size)
-    got = []
+        pair.client.send(0, client_call, bytes([number]) * size)
+    received = []
     for _ in range(len(sizes) + 1):
         pair.pass_bytes()
-        while (message := pair.server.take_message(theirs)) is not None:
-            got.append(message)
-    assert got == [bytes([number]) * size for number, size in enumerate(sizes)]
-    pair.client.finish(0, mine)
+        while (message := pair.server.take_message(server_call)) is not None:
+            received.append(message)
+    assert received == [bytes([number]) * size for number, size in enumerate(sizes)]
+    pair.client.finish(0, client_call)
     pair.pass_bytes()
-    assert theirs.remote_closed
-    pair.server.finish(0, theirs, RpcError(Code.ABORTED, "änough"))
+    assert server_call.remote_closed
+    pair.server.finish(0, server_call, RpcError(Code.ABORTED, "änough"))
     pair.pass_bytes()
-    assert mine.ended and (mine.error.code, mine.error.message) == (Code.ABORTED, "änough")
+    assert client_call.ended and (client_call.error.code, client_call.error.message) == (
+        Code.ABORTED,
+        "änough",
+    )
     assert pair.client.call_count == pair.server.call_count == 0
 
 
-def test_a_call_that_is_not_read_stops_its_sender_and_no_other():
+def test_an_unread_call_blocks_its_sender_and_no_other_call():
     pair = Pair()
-    unread, theirs = pair.call()
-    other, others = pair.call()
+    unread_call, server_call = pair.call()
+    other_call, other_server_call = pair.call()
     for _ in range(200):
-        pair.client.send(0, unread, b"x" * 10_000)
-    pair.client.send(0, other, b"here")
+        pair.client.send(0, unread_call, b"x" * 10_000)
+    pair.client.send(0, other_call, b"here")
     pair.pass_bytes()
     assert (
-        sum(len(message) for message, _ in theirs.inbox) <= 200_000
-        and len(unread.outbox) > 1_000_000
+        sum(len(message) for message, _ in server_call.inbox) <= 200_000
+        and len(unread_call.outbox) > 1_000_000
     )
-    assert pair.server.take_message(others) == b"here"
-    with pytest.raises(RpcError) as problem:
+    assert pair.server.take_message(other_server_call) == b"here"
+    with pytest.raises(RpcError) as error:
         for _ in range(1000):
-            pair.client.send(0, unread, b"x" * 10_000)
-    assert problem.value.code is Code.RESOURCE_EXHAUSTED
+            pair.client.send(0, unread_call, b"x" * 10_000)
+    assert error.value.code is Code.RESOURCE_EXHAUSTED
     read = 0
-    while pair.server.take_message(theirs) is not None:
+    while pair.server.take_message(server_call) is not None:
         read += 1
         pair.pass_bytes()
-    assert read > 200  # it goes on as it is read
-    assert pair.client.find_stalled_call(11 * SECOND) is None or unread.outbox
+    assert read > 200  # sending continues as the call is read
+    assert pair.client.find_stalled_call(11 * SECOND) is None or unread_call.outbox
 
 
-def test_going_away_lets_the_calls_that_stand_go_on():
+def test_calls_in_progress_continue_after_goaway():
     pair = Pair()
-    mine, theirs = pair.call()
+    client_call, server_call = pair.call()
     pair.server.go_away()
     pair.pass_bytes()
     with pytest.raises(RpcError):
         pair.client.start_call(0, "here", "/a/b", None)
-    pair.server.send(0, theirs, b"still")
-    pair.server.finish(0, theirs)
+    pair.server.send(0, server_call, b"still")
+    pair.server.finish(0, server_call)
     pair.pass_bytes()
-    assert pair.client.take_message(mine) == b"still" and mine.ended and mine.error is None
+    assert (
+        pair.client.take_message(client_call) == b"still"
+        and client_call.ended
+        and client_call.error is None
+    )
 
 
 GARBAGE = [
@@ -197,13 +212,13 @@
 
 
 @pytest.mark.parametrize("content", GARBAGE, ids=range(len(GARBAGE)))
-def test_garbage_breaks_the_connection_and_nothing_else(content):
+def test_garbage_closes_the_connection(content):
     with pytest.raises(SessionError):
         Session(RpcLimits(), False, lambda call: None).receive_data(0, content)
 
 
 @given(st.binary(max_size=400), st.booleans())
-def test_any_bytes_are_taken_or_broken_off(content, preface):
+def test_any_bytes_are_accepted_or_raise_a_session_error(content, preface):
     session = Session(RpcLimits(), False, lambda call: None)
     try:
         session.receive_data(
@@ -229,7 +244,7 @@
 ]
 
 
-def test_rapid_resets_pings_and_oversized_headers_end_the_connection():
+def test_floods_of_resets_or_pings_and_oversized_headers_close_the_connection():
     client, session = raw_client(), Session(RpcLimits(), False, lambda call: None)
     session.receive_data(0, client.data_to_send())
     with pytest.raises(SessionError, match="control frames"):
@@ -249,38 +264,40 @@
         session.receive_data(0, client.data_to_send())
 
 
-def test_what_is_no_call_is_refused_and_the_connection_goes_on():
-    taken = []
-    client, session = raw_client(), Session(RpcLimits(), False, taken.append)
+def test_an_invalid_request_is_rejected_and_the_connection_continues():
+    calls = []
+    client, session = raw_client(), Session(RpcLimits(), False, calls.append)
     client.send_headers(1, [*HEADERS[:4], ("content-type", "text/html")])
-    client.send_headers(3, HEADERS + [("grpc-timeout", "soon")])
+    client.send_headers(3, HEADERS + [("grpc-timeout", "invalid")])
     client.send_headers(5, HEADERS)
     session.receive_data(0, client.data_to_send())
-    assert [call.stream_id for call in taken] == [5]
+    assert [call.stream_id for call in calls] == [5]
     events = client.receive_data(session.data_to_send(1 << 20))
-    told = {event.stream_id: dict(event.headers) for event in events if hasattr(event, "headers")}
-    assert told[1][b":status"] == b"415" and told[3][b"grpc-status"] == b"3"
+    responses = {
+        event.stream_id: dict(event.headers) for event in events if hasattr(event, "headers")
+    }
+    assert responses[1][b":status"] == b"415" and responses[3][b"grpc-status"] == b"3"
 
 
-# On sockets
+# Over sockets
 
 
-def serving(loop, limits=RpcLimits()):
-    seen = []
+def start_server(loop, limits=RpcLimits()):
+    slow_call_events = []
 
-    def both_ways(call):
+    def echo_reversed(call):
         while (message := call.receive()) is not None:
             call.send(message[::-1])
 
     def slow(call):
         call.receive()
-        seen.append("began")
+        slow_call_events.append("started")
         try:
             call.wait(loop.scheduler.now() + 20 * SECOND)
             while True:
                 call.wait()
-        except RpcError as problem:
-            seen.append(problem.code.name)
+        except RpcError as error:
+            slow_call_events.append(error.code.name)
             raise
 
     def failing(call):
@@ -292,80 +309,87 @@
         loop.counters,
         {
             "/t/Unary": unary(lambda call, request: request * 2),
-            "/t/Both": both_ways,
+            "/t/Both": echo_reversed,
             "/t/Slow": slow,
             "/t/Fail": failing,
         },
     )
     port = server.listen(("127.0.0.1", 0))
     loop.do(lambda: loop.scheduler.spawn(server.accept_loop))
-    return server, port, seen
+    return server, port, slow_call_events
 
 
-def test_grpcio_talks_to_our_server():
+def test_a_grpcio_client_calls_our_server():
     with Loop() as loop:
-        server, port, seen = serving(loop)
+        server, port, slow_call_events = start_server(loop)
         with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
-            double = channel.unary_unary("/t/Unary", **SAME)
+            double = channel.unary_unary("/t/Unary", **RAW_BYTES)
             assert double(b"ab", timeout=5) == b"abab"
             assert double(b"x" * 1_500_000, timeout=20) == b"x" * 3_000_000
-            with pytest.raises(grpc.RpcError) as problem:
+            with pytest.raises(grpc.RpcError) as error:
                 double(b"x" * (5 << 20), timeout=20)
-            assert problem.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
-            many = [bytes([n % 256]) * (n * 37) for n in range(300)]
-            assert list(channel.stream_stream("/t/Both", **SAME)(iter(many), timeout=20)) == [
-                m[::-1] for m in many
-            ]
-            with pytest.raises(grpc.RpcError) as problem:
-                channel.unary_unary("/t/Fail", **SAME)(b"", timeout=5)
-            assert problem.value.code() is grpc.StatusCode.FAILED_PRECONDITION
-            assert problem.value.details() == "not 100 % ready: é"
-            with pytest.raises(grpc.RpcError) as problem:
-                channel.unary_unary("/t/None", **SAME)(b"", timeout=5)
-            assert problem.value.code() is grpc.StatusCode.UNIMPLEMENTED
-            with pytest.raises(grpc.RpcError) as problem:
-                channel.unary_unary("/t/Slow", **SAME)(b"", timeout=0.15)
-            assert problem.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
-            wait_for(lambda: len(seen) == 2)
-            call = channel.unary_unary("/t/Slow", **SAME).future(b"")
-            wait_for(lambda: len(seen) == 3)
+            assert error.value.code() is grpc.StatusCode.RESOURCE_EXHAUSTED
+            messages = [bytes([n % 256]) * (n * 37) for n in range(300)]
+            assert list(
+                channel.stream_stream("/t/Both", **RAW_BYTES)(iter(messages), timeout=20)
+            ) == [m[::-1] for m in messages]
+            with pytest.raises(grpc.RpcError) as error:
+                channel.unary_unary("/t/Fail", **RAW_BYTES)(b"", timeout=5)
+            assert error.value.code() is grpc.StatusCode.FAILED_PRECONDITION
+            assert error.value.details() == "not 100 % ready: é"
+            with pytest.raises(grpc.RpcError) as error:
+                channel.unary_unary("/t/None", **RAW_BYTES)(b"", timeout=5)
+            assert error.value.code() is grpc.StatusCode.UNIMPLEMENTED
+            with pytest.raises(grpc.RpcError) as error:
+                channel.unary_unary("/t/Slow", **RAW_BYTES)(b"", timeout=0.15)
+            assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
+            wait_for(lambda: len(slow_call_events) == 2)
+            call = channel.unary_unary("/t/Slow", **RAW_BYTES).future(b"")
+            wait_for(lambda: len(slow_call_events) == 3)
             call.cancel()
-            wait_for(lambda: len(seen) == 4)
-            assert seen[1] in ("DEADLINE_EXCEEDED", "CANCELLED") and seen[3] == "CANCELLED"
+            wait_for(lambda: len(slow_call_events) == 4)
+            assert (
+                slow_call_events[1] in ("DEADLINE_EXCEEDED", "CANCELLED")
+                and slow_call_events[3] == "CANCELLED"
+            )
             calls = [double.future(b"%d" % n, timeout=10) for n in range(200)]
             assert [call.result() for call in calls] == [b"%d" % n * 2 for n in range(200)]
-            live = channel.stream_stream("/t/Both", **SAME)(iter_of := _Talk(), timeout=20)
-            iter_of.say(b"one")
+            live = channel.stream_stream("/t/Both", **RAW_BYTES)(
+                client_messages := _MessageQueue(), timeout=20
+            )
+            client_messages.put(b"one")
             assert next(live) == b"eno"
             loop.do(lambda: loop.scheduler.spawn(server.shut_down, 3 * SECOND))
             time.sleep(0.2)
-            iter_of.say(b"two")
+            client_messages.put(b"two")
             assert next(live) == b"owt"  # a live call continues
-            iter_of.say(None)
+            client_messages.put(None)
             assert list(live) == []
             wait_for(lambda: not server.connections)
 
 
-class _Talk:
+class _MessageQueue:
+    """A blocking iterator over the messages of a client; None ends it."""
+
     def __init__(self):
-        self._said, self._more = [], threading.Semaphore(0)
+        self._messages, self._available = [], threading.Semaphore(0)
 
-    def say(self, message):
-        self._said.append(message)
-        self._more.release()
+    def put(self, message):
+        self._messages.append(message)
+        self._available.release()
 
     def __iter__(self):
         return self
 
     def __next__(self):
-        self._more.acquire()
-        message = self._said.pop(0)
+        self._available.acquire()
+        message = self._messages.pop(0)
         if message is None:
             raise StopIteration
         return message
 
 
-class _Methods(grpc.GenericRpcHandler):
+class _GrpcioMethods(grpc.GenericRpcHandler):
     def service(self, details):
         def slow(request, context):
             context.set_code(grpc.StatusCode.OK)
@@ -386,13 +410,13 @@
 
 
 def grpcio_server(port=0):
-    server = grpc.server(futures.ThreadPoolExecutor(8), handlers=[_Methods()])
+    server = grpc.server(futures.ThreadPoolExecutor(8), handlers=[_GrpcioMethods()])
     port = server.add_insecure_port(f"127.0.0.1:{port}")
     server.start()
     return server, port
 
 
-def test_our_client_talks_to_grpcio_and_follows_its_leaving():
+def test_our_client_calls_a_grpcio_server_and_reconnects_after_its_restart():
     server, port = grpcio_server()
     with Loop() as loop:
         channel = Channel(
@@ -404,43 +428,43 @@
         )
         loop.do(lambda: loop.scheduler.spawn(channel.connect_loop))
 
-        def soon(seconds=5):
+        def deadline_in(seconds=5):
             return loop.scheduler.now() + seconds * SECOND
 
-        assert loop.do(lambda: channel.unary("/t/Unary", b"ab", soon())) == b"abab"
+        assert loop.do(lambda: channel.unary("/t/Unary", b"ab", deadline_in())) == b"abab"
         assert (
-            loop.do(lambda: channel.unary("/t/Unary", b"x" * 1_000_000, soon(10)))
+            loop.do(lambda: channel.unary("/t/Unary", b"x" * 1_000_000, deadline_in(10)))
             == b"x" * 2_000_000
         )
         for path, code in (("/t/Fail", Code.NOT_FOUND), ("/t/None", Code.UNIMPLEMENTED)):
-            with pytest.raises(RpcError) as problem:
-                loop.do(lambda: channel.unary(path, b"", soon()))
-            assert problem.value.code is code
-        with pytest.raises(RpcError) as problem:
+            with pytest.raises(RpcError) as error:
+                loop.do(lambda: channel.unary(path, b"", deadline_in()))
+            assert error.value.code is code
+        with pytest.raises(RpcError) as error:
             loop.do(lambda: channel.unary("/t/Slow", b"", loop.scheduler.now() + 100 * MS))
-        assert problem.value.code is Code.DEADLINE_EXCEEDED
+        assert error.value.code is Code.DEADLINE_EXCEEDED
 
-        def both_ways():
-            call = channel.call("/t/Both", soon(), soon())
-            got = []
+        def echo_reversed():
+            call = channel.call("/t/Both", deadline_in(), deadline_in())
+            received = []
             for number in range(100):
                 call.send(b"%d" % number * 100)
-                got.append(call.receive())
+                received.append(call.receive())
             call.half_close()
             assert call.receive() is None
-            return got
+            return received
 
-        assert loop.do(both_ways) == [(b"%d" % number * 100)[::-1] for number in range(100)]
+        assert loop.do(echo_reversed) == [(b"%d" % number * 100)[::-1] for number in range(100)]
         server.stop(0.2).wait()
-        with pytest.raises(RpcError) as problem:
+        with pytest.raises(RpcError) as error:
             loop.do(lambda: channel.unary("/t/Unary", b"ab", loop.scheduler.now() + 300 * MS))
-        assert problem.value.code is Code.UNAVAILABLE
+        assert error.value.code is Code.UNAVAILABLE
         server, _ = grpcio_server(port)
-        assert loop.do(lambda: channel.unary("/t/Unary", b"ab", soon())) == b"abab"
+        assert loop.do(lambda: channel.unary("/t/Unary", b"ab", deadline_in())) == b"abab"
         server.stop(None).wait()
 
 
-def test_peers_that_are_silent_slow_or_speak_otherwise_are_dropped_and_others_served():
+def test_silent_slow_or_invalid_peers_are_disconnected_and_others_served():
     limits = RpcLimits(
         handshake_timeout=200 * MS,
         stall_timeout=400 * MS,
@@ -449,10 +473,10 @@
         close_timeout=50 * MS,
     )
     with Loop() as loop:
-        server, port, _ = serving(loop, limits)
+        server, port, _ = start_server(loop, limits)
 
-        def ended(sock, within=4.0):
-            sock.settimeout(within)
+        def expect_close(sock, timeout=4.0):
+            sock.settimeout(timeout)
             try:
                 while sock.recv(65536):
                     pass
@@ -460,16 +484,17 @@
                 pass
             sock.close()
 
-        for content in (b"", *GARBAGE):  # nothing at all, or no HTTP/2
+        for content in (b"", *GARBAGE):  # nothing at all, or not HTTP/2
             sock = socket.create_connection(("127.0.0.1", port))
             sock.sendall(content)
-            ended(sock)
-        # settings, then silence: the ping is not answered
+            expect_close(sock)
+        # Settings, then silence: the ping is not answered.
         sock = socket.create_connection(("127.0.0.1", port))
         client = raw_client()
         sock.sendall(client.data_to_send())
-        ended(sock)
-        # a call whose window never opens again, answered pings: the call is reset, the connection stays
+        expect_close(sock)
+        # Pings are answered, but the window of a call is never reopened: the call is reset and the
+        # connection stays.
         sock = socket.create_connection(("127.0.0.1", port))
         sock.settimeout(5)
         client = raw_client()
@@ -481,32 +506,32 @@
                 end_stream=number == 3,
             )
         sock.sendall(client.data_to_send())
-        reset, at = None, time.monotonic()
-        while reset is None and time.monotonic() < at + 5:
+        reset, started_at = None, time.monotonic()
+        while reset is None and time.monotonic() < started_at + 5:
             for event in client.receive_data(sock.recv(65536)):
                 if type(event).__name__ == "StreamReset":
                     reset = event
             sock.sendall(client.data_to_send())
-        assert reset is not None and time.monotonic() - at < 3
+        assert reset is not None and time.monotonic() - started_at < 3
         sock.close()
         with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
-            assert channel.unary_unary("/t/Unary", **SAME)(b"ab", timeout=5) == b"abab"
+            assert channel.unary_unary("/t/Unary", **RAW_BYTES)(b"ab", timeout=5) == b"abab"
         wait_for(lambda: not server.connections)
         assert loop.counters["connections broken off"] >= 6 and loop.counters["calls stalled"] == 1
 
 
-def test_a_full_server_turns_connections_away_and_an_exception_ends_its_call_alone():
+def test_a_full_server_closes_new_connections_and_an_exception_ends_only_its_call():
     with Loop() as loop:
-        server, port, _ = serving(loop, RpcLimits(max_connections=2))
+        server, port, _ = start_server(loop, RpcLimits(max_connections=2))
         server._handlers["/t/Bug"] = unary(lambda call, request: 1 // 0)
-        socks = [socket.create_connection(("127.0.0.1", port)) for _ in range(4)]
+        sockets = [socket.create_connection(("127.0.0.1", port)) for _ in range(4)]
         wait_for(lambda: loop.counters["connections turned away"] == 2)
-        for sock in socks:
+        for sock in sockets:
             sock.close()
         wait_for(lambda: not server.connections)
         with grpc.insecure_channel(f"127.0.0.1:{port}") as channel:
-            with pytest.raises(grpc.RpcError) as problem:
-                channel.unary_unary("/t/Bug", **SAME)(b"ab", timeout=5)
-            assert problem.value.code() is grpc.StatusCode.INTERNAL
-            assert channel.unary_unary("/t/Unary", **SAME)(b"ab", timeout=5) == b"abab"
+            with pytest.raises(grpc.RpcError) as error:
+                channel.unary_unary("/t/Bug", **RAW_BYTES)(b"ab", timeout=5)
+            assert error.value.code() is grpc.StatusCode.INTERNAL
+            assert channel.unary_unary("/t/Unary", **RAW_BYTES)(b"ab", timeout=5) == b"abab"
         assert "ZeroDivisionError" in loop.problems.pop()
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -1,4 +1,4 @@
-"""Who is owed what, in virtual time and without I/O: both variants, order, refusals, staleness."""
+"""The subscriptions in virtual time and without I/O: both xDS variants, order, NACKs, refreshes."""
 
 from random import Random
 
@@ -26,403 +26,440 @@
 )
 
 
-class Wire:
-    """The host: what was sent, by stream. Takes one response until it is read."""
+class Harness:
+    """The host of the subscriptions: holds the responses of each stream until they are read."""
 
     def __init__(self, **options):
         self.now, self.sent = SECOND, {}
-        self.views = SubscriptionManager(self, SubscriptionSettings(**options))
+        self.subscriptions = SubscriptionManager(self, SubscriptionSettings(**options))
 
     def send(self, stream, response):
-        assert self.views.has_snapshot, "nothing may be sent before the list is known"
+        assert self.subscriptions.has_snapshot, "nothing may be sent before the first snapshot"
         self.sent.setdefault(stream, []).append(response)
 
     def open(self, number, incremental=False):
-        self.views.open_stream(self.now, number, incremental)
-
-    def ask(self, number, kind, names=(), version="", nonce="", problem=None):
-        self.views.handle_request(self.now, number, kind, names, version, nonce, problem)
-
-    def change(self, number, kind, plus=(), minus=(), had=None, nonce="", problem=None):
-        self.views.handle_delta_request(
-            self.now, number, kind, plus, minus, had or {}, nonce, problem
+        self.subscriptions.open_stream(self.now, number, incremental)
+
+    def request(self, number, kind, names=(), version="", nonce="", error=None):
+        self.subscriptions.handle_request(self.now, number, kind, names, version, nonce, error)
+
+    def request_delta(
+        self,
+        number,
+        kind,
+        subscribe=(),
+        unsubscribe=(),
+        had=None,  # the versions that the proxy holds from an earlier stream
+        nonce="",
+        error=None,
+    ):
+        self.subscriptions.handle_delta_request(
+            self.now, number, kind, subscribe, unsubscribe, had or {}, nonce, error
         )
 
     def read(self, number):
-        """All that is sent now; each is taken, none accepted."""
-        got = []
+        """Reads all responses that are sent now, without answering them."""
+        received = []
         while self.sent.get(number):
-            got += self.sent.pop(number)
-            self.views.stream_writable(self.now, number)
-        return got
+            received += self.sent.pop(number)
+            self.subscriptions.stream_writable(self.now, number)
+        return received
 
-    def answer(self, number, response, names=(), problem=None):
-        if self.views.streams[number].incremental:
-            self.change(number, response.kind, nonce=response.nonce, problem=problem)
+    def answer(self, number, response, names=(), error=None):
+        if self.subscriptions.streams[number].incremental:
+            self.request_delta(number, response.kind, nonce=response.nonce, error=error)
         else:
-            self.ask(
+            self.request(
                 number,
                 response.kind,
                 names,
-                response.version if problem is None else "",
+                response.version if error is None else "",
                 response.nonce,
-                problem,
+                error,
             )
 
     def settle(self, number, names):
-        """Reads and accepts until there is nothing more."""
-        got = []
+        """Reads and accepts responses until no more are sent."""
+        received = []
         while batch := self.read(number):
             for response in batch:
-                got.append(response)
+                received.append(response)
                 self.answer(number, response, names.get(response.kind, ()))
-        return got
+        return received
 
 
 def table(*names, text="", refers=()):
     return {name: Resource.from_body(name, f"{name} {text}".encode(), refers) for name in names}
 
 
-def tables(*clusters, text="", shape=""):
+def snapshot(*clusters, text="", other_text=""):
     return {
-        C: table(*clusters, text=shape),
+        C: table(*clusters, text=other_text),
         E: table(*clusters, text=text),
-        L: table("door", text=shape),
-        R: table("door", text="+".join(clusters) + shape, refers=clusters),
+        L: table("main", text=other_text),
+        R: table("main", text="+".join(clusters) + other_text, refers=clusters),
     }
 
 
-NAMES = {E: ("a", "b"), R: ("door",)}
+NAMES = {E: ("a", "b"), R: ("main",)}
 
 
-def subscribed(wire, number, incremental=False, names=("a", "b")):
-    wire.open(number, incremental)
+def subscribe_all(harness, number, incremental=False, names=("a", "b")):
+    harness.open(number, incremental)
     for kind in (C, L):
-        wire.change(number, kind) if incremental else wire.ask(number, kind)
-    for kind, wanted in ((E, names), (R, ("door",))):
-        wire.change(number, kind, wanted) if incremental else wire.ask(number, kind, wanted)
-    return wire.settle(number, NAMES | {E: names})
+        harness.request_delta(number, kind) if incremental else harness.request(number, kind)
+    for kind, wanted in ((E, names), (R, ("main",))):
+        harness.request_delta(number, kind, wanted) if incremental else harness.request(
+            number, kind, wanted
+        )
+    return harness.settle(number, NAMES | {E: names})
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_nothing_is_sent_before_the_list_is_known_then_all_in_order(incremental):
-    wire = Wire()
-    assert subscribed(wire, 1, incremental) == []
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    got = wire.settle(1, NAMES)
-    assert [response.kind for response in got] == [C, E, L, R]
-    assert [sorted(r.name for r in response.resources) for response in got] == [
+def test_nothing_is_sent_before_the_first_snapshot_then_all_kinds_in_order(incremental):
+    harness = Harness()
+    assert subscribe_all(harness, 1, incremental) == []
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    received = harness.settle(1, NAMES)
+    assert [response.kind for response in received] == [C, E, L, R]
+    assert [sorted(r.name for r in response.resources) for response in received] == [
         ["a", "b"],
         ["a", "b"],
-        ["door"],
-        ["door"],
+        ["main"],
+        ["main"],
     ]
-    assert wire.views.outdated_kinds(1) == [] and wire.read(1) == []
+    assert harness.subscriptions.outdated_kinds(1) == [] and harness.read(1) == []
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_drain_goes_at_once_to_one_that_never_answers_and_weights_wait(incremental):
-    wire = Wire(ack_timeout=2 * SECOND)
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    subscribed(wire, 1, incremental)
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="weights 1")})
-    assert len(wire.read(1)) == 1  # and is never answered
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="weights 2")})
-    assert wire.read(1) == []
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="drained")}, urgent=True)
-    (drained,) = wire.read(1)
+def test_a_drain_is_sent_at_once_to_a_silent_proxy_and_weights_wait(incremental):
+    harness = Harness(ack_timeout=2 * SECOND)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    subscribe_all(harness, 1, incremental)
+    harness.subscriptions.update_snapshot(harness.now, {E: table("a", "b", text="weights 1")})
+    assert len(harness.read(1)) == 1  # never answered
+    harness.subscriptions.update_snapshot(harness.now, {E: table("a", "b", text="weights 2")})
+    assert harness.read(1) == []
+    harness.subscriptions.update_snapshot(
+        harness.now, {E: table("a", "b", text="drained")}, urgent=True
+    )
+    (drained,) = harness.read(1)
     assert {r.body for r in drained.resources} == {b"a drained", b"b drained"}
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="weights 3")})
-    assert wire.read(1) == []
-    wire.now += 2 * SECOND
-    wire.views.tick(wire.now)
-    assert len(wire.read(1)) == 1 and E in wire.views.outdated_kinds(1)
+    harness.subscriptions.update_snapshot(harness.now, {E: table("a", "b", text="weights 3")})
+    assert harness.read(1) == []
+    harness.now += 2 * SECOND
+    harness.subscriptions.tick(harness.now)
+    assert len(harness.read(1)) == 1 and E in harness.subscriptions.outdated_kinds(1)
 
 
-def test_a_stream_without_room_gets_the_newest_alone_once_it_reads():
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    subscribed(wire, 1)
+def test_a_blocked_stream_receives_only_the_newest_version_once_it_reads():
+    harness = Harness()
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    subscribe_all(harness, 1)
     for number in range(50):
-        wire.views.update_snapshot(
-            wire.now, {E: table("a", "b", text=f"drain {number}")}, urgent=True
+        harness.subscriptions.update_snapshot(
+            harness.now, {E: table("a", "b", text=f"drain {number}")}, urgent=True
         )
-    assert len(wire.sent[1]) == 1  # one is on its way, whatever comes
-    got = wire.read(1)
-    assert len(got) == 2 and got[-1].resources[0].body.endswith(b"drain 49")
-    wire.answer(1, got[0], NAMES[E])  # its nonce is old: it tells only what was accepted
-    assert wire.views.outdated_kinds(1) == [E]
-    wire.answer(1, got[1], NAMES[E])
-    assert wire.views.outdated_kinds(1) == []
+    assert len(harness.sent[1]) == 1  # one response is in flight, however many changes follow
+    received = harness.read(1)
+    assert len(received) == 2 and received[-1].resources[0].body.endswith(b"drain 49")
+    harness.answer(1, received[0], NAMES[E])  # an old nonce: says only what was accepted
+    assert harness.subscriptions.outdated_kinds(1) == [E]
+    harness.answer(1, received[1], NAMES[E])
+    assert harness.subscriptions.outdated_kinds(1) == []
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_refusal_is_kept_with_its_reason_not_repeated_and_stops_no_drain(incremental):
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    subscribed(wire, 1, incremental)
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="odd")})
-    (odd,) = wire.read(1)
-    wire.now += 7
-    wire.answer(1, odd, NAMES[E], problem="bad endpoint a")
+def test_a_nack_is_recorded_with_its_reason_not_retried_and_delays_no_drain(incremental):
+    harness = Harness()
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    subscribe_all(harness, 1, incremental)
+    harness.subscriptions.update_snapshot(harness.now, {E: table("a", "b", text="odd")})
+    (odd,) = harness.read(1)
+    harness.now += 7
+    harness.answer(1, odd, NAMES[E], error="bad endpoint a")
     for _ in range(5):
-        wire.now += 10 * SECOND
-        wire.views.tick(wire.now)
-    assert wire.read(1) == []
-    status = {s.name: s for s in wire.views.resource_statuses(1) if s.kind is E}["a"]
+        harness.now += 10 * SECOND
+        harness.subscriptions.tick(harness.now)
+    assert harness.read(1) == []
+    status = {s.name: s for s in harness.subscriptions.resource_statuses(1) if s.kind is E}["a"]
     assert status.last_nack.reason == "bad endpoint a" and status.last_nack.version == odd.version
     assert status.accepted != status.current == status.sent
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="drained")}, urgent=True)
-    (drained,) = wire.read(1)
-    wire.answer(1, drained, NAMES[E])
-    assert wire.views.outdated_kinds(1) == [] and all(
-        s.last_nack is None for s in wire.views.resource_statuses(1)
+    harness.subscriptions.update_snapshot(
+        harness.now, {E: table("a", "b", text="drained")}, urgent=True
+    )
+    (drained,) = harness.read(1)
+    harness.answer(1, drained, NAMES[E])
+    assert harness.subscriptions.outdated_kinds(1) == [] and all(
+        s.last_nack is None for s in harness.subscriptions.resource_statuses(1)
     )
 
 
-def test_back_with_the_view_current_nothing_is_owed_and_anything_else_is_sent_whole():
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    versions = {r.kind: r.version for r in subscribed(wire, 1)}
-    wire.views.close_stream(1)
-    wire.open(2)
+def test_a_reconnect_with_the_current_version_sends_nothing_and_any_other_sends_all():
+    harness = Harness()
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    versions = {r.kind: r.version for r in subscribe_all(harness, 1)}
+    harness.subscriptions.close_stream(1)
+    harness.open(2)
     for kind in (C, E, L, R):
-        wire.ask(
-            2, kind, NAMES.get(kind, ()), versions[kind], nonce="77"
-        )  # the nonce is of the stream that is gone
-    assert wire.read(2) == [] and wire.views.outdated_kinds(2) == []
-    wire.views.close_stream(2)
-    wire.views.update_snapshot(wire.now, {E: table("a", "b", text="drained")}, urgent=True)
+        # The nonce is one of the closed stream.
+        harness.request(2, kind, NAMES.get(kind, ()), versions[kind], nonce="77")
+    assert harness.read(2) == [] and harness.subscriptions.outdated_kinds(2) == []
+    harness.subscriptions.close_stream(2)
+    harness.subscriptions.update_snapshot(
+        harness.now, {E: table("a", "b", text="drained")}, urgent=True
+    )
     for number, version in ((3, versions[E]), (4, "never issued"), (5, "")):
-        wire.open(number)
-        wire.ask(number, C, (), versions[C])
-        wire.ask(number, E, NAMES[E], version, nonce="9")
-        got = wire.read(number)
-        assert [(r.kind, len(r.resources)) for r in got] == [(E, 2)]
-
-
-def test_incremental_back_with_old_unknown_and_gone_resources():
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, {C: table("a", "b", "c"), E: table("a", "b", "c")})
-    same = wire.views._snapshot[C]["a"].version
-    wire.open(1, incremental=True)
-    wire.change(1, C, had={"a": same, "b": "never issued", "gone": "5"})
-    (got,) = wire.read(1)
-    assert sorted(r.name for r in got.resources) == ["b", "c"] and got.removed == ("gone",)
-    wire.answer(1, got)
-    assert wire.views.outdated_kinds(1) == [] and wire.read(1) == []
-    # half-way through an update it breaks off and comes back: what it never accepted is sent again
-    wire.views.update_snapshot(wire.now, {C: table("a", "b", "c", text="2")})
-    wire.read(1)
-    wire.views.close_stream(1)
-    wire.open(2, incremental=True)
-    wire.change(2, C, had={"a": same, "b": wire.views._snapshot[C]["b"].version})
-    (got,) = wire.read(2)
-    assert sorted(r.name for r in got.resources) == ["a", "c"] and got.removed == ()
-
-
-def test_names_that_do_not_exist_are_told_once_and_sent_when_they_come():
-    wire = Wire(max_names=3)
-    wire.views.update_snapshot(wire.now, tables("a"))
-    wire.open(1, incremental=True)
-    wire.change(1, E, ["a", "x"])
-    (got,) = wire.read(1)
-    assert [r.name for r in got.resources] == ["a"] and got.removed == ("x",)
-    wire.views.tick(wire.now)
-    assert wire.read(1) == []
-    wire.answer(1, got)
-    wire.views.update_snapshot(wire.now, tables("a", "x"))
-    assert [r.name for response in wire.settle(1, {}) for r in response.resources] == ["x"]
-    wire.change(1, E, ["a"])  # asked for again: sent again
-    assert [r.name for response in wire.read(1) for r in response.resources] == ["a"]
-    wire.change(1, E, minus=["x"])
+        harness.open(number)
+        harness.request(number, C, (), versions[C])
+        harness.request(number, E, NAMES[E], version, nonce="9")
+        received = harness.read(number)
+        assert [(r.kind, len(r.resources)) for r in received] == [(E, 2)]
+
+
+def test_an_incremental_reconnect_with_old_unknown_and_removed_resources():
+    harness = Harness()
+    harness.subscriptions.update_snapshot(
+        harness.now, {C: table("a", "b", "c"), E: table("a", "b", "c")}
+    )
+    same = harness.subscriptions._snapshot[C]["a"].version
+    harness.open(1, incremental=True)
+    harness.request_delta(1, C, had={"a": same, "b": "never issued", "gone": "5"})
+    (received,) = harness.read(1)
+    assert sorted(r.name for r in received.resources) == ["b", "c"] and received.removed == (
+        "gone",
+    )
+    harness.answer(1, received)
+    assert harness.subscriptions.outdated_kinds(1) == [] and harness.read(1) == []
+    # The proxy disconnects in the middle of an update: what it never accepted is sent again.
+    harness.subscriptions.update_snapshot(harness.now, {C: table("a", "b", "c", text="2")})
+    harness.read(1)
+    harness.subscriptions.close_stream(1)
+    harness.open(2, incremental=True)
+    harness.request_delta(
+        2, C, had={"a": same, "b": harness.subscriptions._snapshot[C]["b"].version}
+    )
+    (received,) = harness.read(2)
+    assert sorted(r.name for r in received.resources) == ["a", "c"] and received.removed == ()
+
+
+def test_nonexistent_names_are_reported_once_and_sent_once_they_exist():
+    harness = Harness(max_names=3)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a"))
+    harness.open(1, incremental=True)
+    harness.request_delta(1, E, ["a", "x"])
+    (received,) = harness.read(1)
+    assert [r.name for r in received.resources] == ["a"] and received.removed == ("x",)
+    harness.subscriptions.tick(harness.now)
+    assert harness.read(1) == []
+    harness.answer(1, received)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "x"))
+    assert [r.name for response in harness.settle(1, {}) for r in response.resources] == ["x"]
+    harness.request_delta(1, E, ["a"])  # subscribed to again: sent again
+    assert [r.name for response in harness.read(1) for r in response.resources] == ["a"]
+    harness.request_delta(1, E, unsubscribe=["x"])
     with pytest.raises(TooManyNamesError):
-        wire.change(1, E, [f"n{n}" for n in range(9)])
-    wire.open(2)
+        harness.request_delta(1, E, [f"n{n}" for n in range(9)])
+    harness.open(2)
     with pytest.raises(TooManyNamesError):
-        wire.ask(2, E, [f"n{n}" for n in range(9)])
-    wire.open(3)
-    wire.ask(3, E, ["x", "none"])
-    assert [r.name for response in wire.read(3) for r in response.resources] == ["x"]
-    wire.open(4)
-    wire.ask(4, L, ["none"])  # all kinds that are whole say so by what they lack
-    (got,) = wire.read(4)
-    assert got.resources == ()
-
-
-def test_wildcards_named_subscriptions_and_their_end():
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    wire.open(1)
-    wire.ask(1, C, [WILDCARD])
-    (got,) = wire.settle(1, {C: [WILDCARD]})
-    assert len(got.resources) == 2
-    wire.ask(1, C, ["a"], got.version, got.nonce)
-    (named,) = wire.settle(1, {C: ["a"]})
+        harness.request(2, E, [f"n{n}" for n in range(9)])
+    harness.open(3)
+    harness.request(3, E, ["x", "none"])
+    assert [r.name for response in harness.read(3) for r in response.resources] == ["x"]
+    harness.open(4)
+    # Listeners are sent in full, so a missing one counts as nonexistent.
+    harness.request(4, L, ["none"])
+    (received,) = harness.read(4)
+    assert received.resources == ()
+
+
+def test_wildcard_and_named_subscriptions_and_unsubscribing():
+    harness = Harness()
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    harness.open(1)
+    harness.request(1, C, [WILDCARD])
+    (received,) = harness.settle(1, {C: [WILDCARD]})
+    assert len(received.resources) == 2
+    harness.request(1, C, ["a"], received.version, received.nonce)
+    (named,) = harness.settle(1, {C: ["a"]})
     assert [r.name for r in named.resources] == ["a"]
-    wire.ask(1, C, [], named.version, named.nonce)  # names were once given: none means none
-    wire.views.update_snapshot(wire.now, tables("a", "b", "c"))
-    assert wire.settle(1, {}) == []
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    wire.open(2, incremental=True)
-    wire.change(2, C)
-    assert len(wire.settle(2, {})[0].resources) == 2
-    wire.change(2, C, plus=["a"], minus=[WILDCARD])
-    wire.settle(2, {})
-    wire.views.update_snapshot(wire.now, {C: table("a", "b", text="new")})
-    assert [r.name for response in wire.settle(2, {}) for r in response.resources] == ["a"]
-
-
-def test_a_cluster_stays_until_no_route_names_it_and_a_route_waits_for_its_clusters():
-    wire = Wire(dependency_timeout=3 * SECOND)
-    wire.views.update_snapshot(wire.now, tables("a"))
-    subscribed(wire, 1, names=("a",))
-    wire.views.update_snapshot(wire.now, tables("b"))
-    (clusters,) = wire.read(1)
-    assert clusters.kind is C and sorted(r.name for r in clusters.resources) == [
-        "a",
-        "b",
-    ]  # made before the break
-    wire.answer(1, clusters)
-    wire.ask(1, E, ["a", "b"], "", wire.views.streams[1].subscriptions[E].last_nonce)
-    got = []
+    # Names were given before, so an empty list is no wildcard.
+    harness.request(1, C, [], named.version, named.nonce)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b", "c"))
+    assert harness.settle(1, {}) == []
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    harness.open(2, incremental=True)
+    harness.request_delta(2, C)
+    assert len(harness.settle(2, {})[0].resources) == 2
+    harness.request_delta(2, C, subscribe=["a"], unsubscribe=[WILDCARD])
+    harness.settle(2, {})
+    harness.subscriptions.update_snapshot(harness.now, {C: table("a", "b", text="new")})
+    assert [r.name for response in harness.settle(2, {}) for r in response.resources] == ["a"]
+
+
+def test_a_cluster_stays_until_no_route_refers_to_it_and_a_route_waits_for_its_clusters():
+    harness = Harness(dependency_timeout=3 * SECOND)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a"))
+    subscribe_all(harness, 1, names=("a",))
+    harness.subscriptions.update_snapshot(harness.now, snapshot("b"))
+    (clusters,) = harness.read(1)
+    # Make before break: both the old and the new cluster.
+    assert clusters.kind is C and sorted(r.name for r in clusters.resources) == ["a", "b"]
+    harness.answer(1, clusters)
+    harness.request(
+        1, E, ["a", "b"], "", harness.subscriptions.streams[1].subscriptions[E].last_nonce
+    )
+    received = []
     for expected in (E, R):
-        (response,) = wire.read(1)
+        (response,) = harness.read(1)
         assert response.kind is expected
-        wire.answer(1, response, {E: ["a", "b"], R: ["door"]}[expected])
-    (last,) = wire.read(1)
+        harness.answer(1, response, {E: ["a", "b"], R: ["main"]}[expected])
+    (last,) = harness.read(1)
     assert last.kind is C and [r.name for r in last.resources] == ["b"]
-    wire.answer(1, last)
-    # one that never accepts clusters gets its routes in the end, and the old cluster goes
-    wire.views.update_snapshot(wire.now, tables("c"))
-    assert [response.kind for response in wire.read(1)] == [C]
-    wire.now += 2900 * MS
-    wire.views.tick(wire.now)
-    assert R not in [response.kind for response in wire.read(1)]
-    wire.now += 200 * MS
-    wire.views.tick(wire.now)
-    got = wire.read(1)
-    assert {response.kind for response in got} == {C, R} and [r.name for r in got[0].resources] == [
-        "c"
-    ]
-
-
-def test_one_that_asks_for_clusters_by_name_gets_its_routes_first():
-    wire = Wire()
-    wire.views.update_snapshot(wire.now, tables("a"))
-    wire.open(1)
-    wire.ask(1, L, ["door"])
-    wire.ask(1, R, ["door"])
-    assert [response.kind for response in wire.settle(1, {L: ["door"], R: ["door"]})] == [L, R]
-    wire.ask(1, C, ["a"])
-    wire.ask(1, E, ["a"])
-    assert [response.kind for response in wire.settle(1, {C: ["a"], E: ["a"]})] == [C, E]
+    harness.answer(1, last)
+    # After the timeout, a proxy that never accepts clusters receives its routes, and the old
+    # cluster is removed.
+    harness.subscriptions.update_snapshot(harness.now, snapshot("c"))
+    assert [response.kind for response in harness.read(1)] == [C]
+    harness.now += 2900 * MS
+    harness.subscriptions.tick(harness.now)
+    assert R not in [response.kind for response in harness.read(1)]
+    harness.now += 200 * MS
+    harness.subscriptions.tick(harness.now)
+    received = harness.read(1)
+    assert {response.kind for response in received} == {C, R} and [
+        r.name for r in received[0].resources
+    ] == ["c"]
+
+
+def test_a_proxy_that_subscribes_to_clusters_by_name_receives_its_routes_first():
+    harness = Harness()
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a"))
+    harness.open(1)
+    harness.request(1, L, ["main"])
+    harness.request(1, R, ["main"])
+    assert [response.kind for response in harness.settle(1, {L: ["main"], R: ["main"]})] == [L, R]
+    harness.request(1, C, ["a"])
+    harness.request(1, E, ["a"])
+    assert [response.kind for response in harness.settle(1, {C: ["a"], E: ["a"]})] == [C, E]
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_what_holds_is_said_again_in_time_and_to_no_one_else(incremental):
-    wire = Wire(refresh_interval=SECOND, use_heartbeats=True)
-    wire.views.update_snapshot(wire.now, tables("a", "b"))
-    subscribed(wire, 1, incremental)
-    wire.now += SECOND
-    wire.views.tick(wire.now)
-    (beat,) = wire.read(1)
-    assert beat.kind is E and beat.heartbeat and len(beat.resources) == 2
-    wire.views.tick(wire.now + SECOND // 2)
-    assert wire.read(1) == []
-
-
-def test_an_emptied_list_is_sent_and_versions_come_from_content_alone():
-    one, other = Wire(), Wire()
-    one.views.update_snapshot(one.now, tables("a", "b"))
-    other.views.update_snapshot(other.now, tables("z"))
-    other.views.update_snapshot(
-        other.now, {kind: dict(reversed(held.items())) for kind, held in tables("a", "b").items()}
+def test_unchanged_endpoints_are_refreshed_after_the_interval_and_not_before(incremental):
+    harness = Harness(refresh_interval=SECOND, use_heartbeats=True)
+    harness.subscriptions.update_snapshot(harness.now, snapshot("a", "b"))
+    subscribe_all(harness, 1, incremental)
+    harness.now += SECOND
+    harness.subscriptions.tick(harness.now)
+    (heartbeat,) = harness.read(1)
+    assert heartbeat.kind is E and heartbeat.heartbeat and len(heartbeat.resources) == 2
+    harness.subscriptions.tick(harness.now + SECOND // 2)
+    assert harness.read(1) == []
+
+
+def test_versions_depend_on_content_alone_and_equal_content_is_not_sent_again():
+    one, other = Harness(), Harness()
+    one.subscriptions.update_snapshot(one.now, snapshot("a", "b"))
+    other.subscriptions.update_snapshot(other.now, snapshot("z"))
+    other.subscriptions.update_snapshot(
+        other.now,
+        {kind: dict(reversed(resources.items())) for kind, resources in snapshot("a", "b").items()},
     )
-    assert [one.views.current_version(kind) for kind in ResourceKind] == [
-        other.views.current_version(kind) for kind in ResourceKind
+    assert [one.subscriptions.current_version(kind) for kind in ResourceKind] == [
+        other.subscriptions.current_version(kind) for kind in ResourceKind
     ]
-    subscribed(one, 1)
-    one.views.update_snapshot(one.now, {E: table("a", "b", text="")}, urgent=True)
-    assert one.read(1) == []  # nothing has changed
-    one.views.update_snapshot(one.now, {E: table("a", "b", text="empty")}, urgent=True)
+    subscribe_all(one, 1)
+    one.subscriptions.update_snapshot(one.now, {E: table("a", "b", text="")}, urgent=True)
+    assert one.read(1) == []  # unchanged content
+    one.subscriptions.update_snapshot(one.now, {E: table("a", "b", text="empty")}, urgent=True)
     assert len(one.read(1)) == 1
 
 
 @settings(max_examples=80, deadline=None)
 @given(st.integers(0, 10**6), st.booleans())
-def test_whatever_a_proxy_does_it_comes_to_hold_the_view_current(seed, incremental):
-    """Random changes, lost connections, refusals, late answers; then calm: all that is subscribed is accepted."""
-    rng, wire, number = Random(seed), Wire(ack_timeout=SECOND, dependency_timeout=SECOND), 0
-    held = {kind: {} for kind in ResourceKind}  # the proxy's: name to version
-    pending = []
+def test_any_proxy_converges_to_the_current_snapshot(seed, incremental):
+    """Random changes, disconnects, NACKs and late answers; then a quiet phase, after which all
+    subscribed resources are accepted.
+    """
+    rng, harness, number = Random(seed), Harness(ack_timeout=SECOND, dependency_timeout=SECOND), 0
+    accepted = {kind: {} for kind in ResourceKind}  # the state of the proxy: resources by name
+    unanswered = []
 
     def apply(response):
         if incremental:
             for name in response.removed:
-                held[response.kind].pop(name, None)
+                accepted[response.kind].pop(name, None)
         elif response.kind.sent_in_full:
-            held[response.kind].clear()
-        held[response.kind].update({r.name: r for r in response.resources})
+            accepted[response.kind].clear()
+        accepted[response.kind].update({r.name: r for r in response.resources})
 
     def connect():
         nonlocal number
-        pending.clear()
+        unanswered.clear()
         if number:
-            wire.views.close_stream(number)
+            harness.subscriptions.close_stream(number)
         number += 1
-        wire.open(number, incremental)
-        for kind, names in ((C, ()), (E, "abc"), (L, ()), (R, ["door"])):
+        harness.open(number, incremental)
+        for kind, names in ((C, ()), (E, "abc"), (L, ()), (R, ["main"])):
             if incremental:
-                wire.change(
-                    number, kind, names, had={name: r.version for name, r in held[kind].items()}
+                harness.request_delta(
+                    number,
+                    kind,
+                    names,
+                    had={name: r.version for name, r in accepted[kind].items()},
                 )
             else:
-                scope = held[kind].values()
-                wire.ask(
+                resources = accepted[kind].values()
+                harness.request(
                     number,
                     kind,
                     names,
-                    combined_version(scope) if held[kind] else "",
+                    combined_version(resources) if accepted[kind] else "",
                     nonce=rng.choice(["", "3"]),
                 )
 
-    def act(calm):
-        for response in wire.read(number):
-            pending.append(response)
-        while pending and (calm or rng.random() < 0.5):
-            response = pending.pop(0)
-            refuse = not calm and rng.random() < 0.2
-            if not refuse:
+    def run_proxy(quiet):
+        for response in harness.read(number):
+            unanswered.append(response)
+        while unanswered and (quiet or rng.random() < 0.5):
+            response = unanswered.pop(0)
+            reject = not quiet and rng.random() < 0.2
+            if not reject:
                 apply(response)
-            wire.answer(
+            harness.answer(
                 number,
                 response,
-                {E: "abc", R: ["door"]}.get(response.kind, ()),
-                "no" if refuse else None,
+                {E: "abc", R: ["main"]}.get(response.kind, ()),
+                "no" if reject else None,
             )
 
     connect()
     for _ in range(40):
-        wire.now += rng.choice((10, 400, 1500)) * MS
-        what = rng.random()
-        if what < 0.4:
+        harness.now += rng.choice((10, 400, 1500)) * MS
+        action = rng.random()
+        if action < 0.4:
             names = rng.sample("abc", rng.randint(0, 3))
-            wire.views.update_snapshot(
-                wire.now, tables(*names, text=str(rng.randint(0, 3))), urgent=rng.random() < 0.5
+            harness.subscriptions.update_snapshot(
+                harness.now,
+                snapshot(*names, text=str(rng.randint(0, 3))),
+                urgent=rng.random() < 0.5,
             )
-        elif what < 0.5:
+        elif action < 0.5:
             connect()
-        wire.views.tick(wire.now)
-        act(calm=False)
-    wire.views.update_snapshot(wire.now, tables("a", "c", text="last", shape="last"), urgent=True)
+        harness.subscriptions.tick(harness.now)
+        run_proxy(quiet=False)
+    harness.subscriptions.update_snapshot(
+        harness.now, snapshot("a", "c", text="last", other_text="last"), urgent=True
+    )
     for _ in range(20):
-        wire.now += SECOND
-        wire.views.tick(wire.now)
-        act(calm=True)
-    assert wire.views.outdated_kinds(number) == [], wire.views.resource_statuses(number)
+        harness.now += SECOND
+        harness.subscriptions.tick(harness.now)
+        run_proxy(quiet=True)
+    assert harness.subscriptions.outdated_kinds(number) == [], (
+        harness.subscriptions.resource_statuses(number)
+    )
     for kind in (C, E):
-        assert {name for name in held[kind]} >= {"a", "c"} and all(
-            held[kind][name] == wire.views._snapshot[kind][name] for name in "ac"
+        assert {name for name in accepted[kind]} >= {"a", "c"} and all(
+            accepted[kind][name] == harness.subscriptions._snapshot[kind][name] for name in "ac"
         )
-    assert set(held[C]) == {"a", "c"}
+    assert set(accepted[C]) == {"a", "c"}
