--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -195,7 +195,7 @@
         )
         port = self._server.listen(config.listen_address)
         expected = config.expected or process.configuration.arguments["balancers"]
-        self.refused_why = ""
+        self.rejection_reason = ""
         # Not seeded by the configuration: two processes with the same file must draw different
         # instance ids.
         self.core = Membership(
@@ -364,7 +364,7 @@
     def name_rejected(self, reason: str) -> None:
         """Ends this process, because another one uses its name."""
         self._log_event("refused", why=reason)
-        self.refused_why = reason
+        self.rejection_reason = reason
         self._process.leave()
 
     def log(self, text: str) -> None:
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -601,7 +601,7 @@
     def replicate_received(
         self, now: int, request: Replicate, reply: Callable[[ReplicateReply], None]
     ) -> None:
-        """A peer sends facts; the reply follows once they are on this disk or the write has failed."""
+        """A peer sends facts; the reply follows once they are stored or the write has failed."""
         self._record_marker(now, request.sender, request.marker)
         newer = []
         changed = []
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -1,6 +1,7 @@
-"""The part of `serve` by which a balancer keeps what must last, and comes back from a loss: the core, driven by a disk, peers and clients.
+"""The component of `serve` that drives the recovery core with a store, peers and clients.
 
-Owns the calls between the core and the rest of the process. Must never decide, or hold up a login for a disk or a peer.
+Connects the core to the rest of the process. Makes no decisions, and never delays a login because
+of a disk or a peer.
 """
 
 from __future__ import annotations
@@ -45,14 +46,18 @@
 if TYPE_CHECKING:
     from corklift.service import BalancerProcess
 
-ASK, TELL = "/corklift.Peers/Ask", "/corklift.Peers/Tell"
-MESSAGE = 1 << 20  # bytes, of a list of some 15,000 servers
-MOST_ASKED = 8  # peers' questions answered at a time; a further asker tries another
-LOOKS = 20  # a period
+STATE_REQUEST, REPLICATE = "/corklift.Peers/Ask", "/corklift.Peers/Tell"
+# Bytes of a message; a list of about 15,000 servers fits.
+MAX_MESSAGE = 1 << 20
+# State requests of peers that are served at the same time; further ones fail, and the peer tries
+# another balancer.
+MAX_STATE_REQUESTS = 8
+# How often per probe period the state of the process is read.
+POLLS_PER_PERIOD = 20
 
 
 class StoreConfig(Protocol):
-    """What the file tells of the store."""
+    """The store table of the configuration file."""
 
     path: str
     boot: str
@@ -61,7 +66,7 @@
 
 
 def boot_of(path: str) -> str:
-    """What tells this boot of the machine from others; empty where the system does not say."""
+    """Returns what identifies this boot of the machine; empty if the system does not provide it."""
     try:
         with open(path, encoding="ascii") as file:
             return file.read(200).strip()
@@ -70,29 +75,47 @@
 
 
 class RecoveryDriver:
+    """Drives the recovery core and carries out its actions."""
+
     def __init__(
         self,
         process: BalancerProcess,
-        given: StoreConfig,
+        config: StoreConfig,
         name: str,
         period: int,
-        tell: Callable[..., None],
+        log_event: Callable[..., None],
         with_peers: Callable[[dict[str, Any]], Peers] | None,
         folders: StoreFolders | None = None,
     ) -> None:
-        """`with_peers`: makes the part with peers, given further calls to answer; None: this balancer is alone."""
-        self._process, self._tell, self._given = process, tell, given
+        """Creates the core and hooks it into the process.
+
+        Args:
+            process: the process of which this is a component.
+            config: the store table of the configuration file.
+            name: name of this balancer; empty without peers.
+            period: probe period of the membership, in ns.
+            log_event: writes a log line, given as an event and its fields.
+            with_peers: creates the component for peers, given further RPC methods to serve; None:
+                no peers are configured.
+            folders: where the store's files are; by default, by the configuration.
+        """
+        self._process, self._log_event, self._config = process, log_event, config
         self._scheduler, self._counters = process.scheduler, Counters()
-        self._asked_now, self._rng = 0, Random()
+        self._open_requests, self._rng = 0, Random()
         self._peers = (
-            with_peers({ASK: unary(self._take_ask), TELL: unary(self._take_tell)})
+            with_peers(
+                {
+                    STATE_REQUEST: unary(self._serve_state_request),
+                    REPLICATE: unary(self._serve_replicate),
+                }
+            )
             if with_peers
             else None
         )
         arguments = process.configuration.arguments
-        self._importance = max(workload.importance for workload in arguments["workloads"])
-        self._bounces = arguments["max_retry_after"] > 0
-        life = (
+        self._max_importance = max(workload.importance for workload in arguments["workloads"])
+        self._can_reject = arguments["max_retry_after"] > 0
+        instance_id = (
             self._peers.core.own_record.instance_id if self._peers else Random().getrandbits(63) | 1
         )
         self._period = period
@@ -102,64 +125,67 @@
             Random(),
             RecoveryConfig(
                 period,
-                given.patience_ms * MS / period,
-                copies=given.copies,
+                config.patience_ms * MS / period,
+                copies=config.copies,
                 max_retry_after=arguments["max_retry_after"] or SECOND,
                 cold=arguments["cold"],
             ),
             now,
             name=name,
-            instance_id=life,
-            boot=boot_of(given.boot),
+            instance_id=instance_id,
+            boot=boot_of(config.boot),
             expected=arguments["balancers"],
             alone=self._peers is None,
         )
         self._store_worker = StoreWorker(
-            self._scheduler, folders or StoreFolders(given.path), self._opened
+            self._scheduler, folders or StoreFolders(config.path), self._opened
         )
-        self._let_in: set[int] = set()
-        self._listing: Listing | None = None  # all that is listed, as it was told last
-        self._again = False  # what is listed is no news
+        self._admitted_logins: set[int] = set()
+        self._listing: Listing | None = None  # the full list, as last received
+        self._reapplying = False  # whether the facade is being given a list that it had before
         self._resumed = False
         self._left = False
-        self._heard_of: tuple[int, int] = (0, 0)
-        self._size_at = now
+        self._stored_incarnation: tuple[int, int] = (0, 0)
+        self._next_sizes_at = now
         facade = process.facade
         facade.admission_check, facade.login_finished, facade.recovered_list = (
-            self._door,
-            self._went,
-            self._believed,
+            self._check_admission,
+            self._login_finished,
+            self._recovered_list,
         )
-        before = facade.load_reported
+        previous_hook = facade.load_reported
 
-        def reported(server: int, connections: float) -> None:
-            before(server, connections)
+        def load_reported(server: int, connections: float) -> None:
+            previous_hook(server, connections)
             self.core.server_answered(
                 self._scheduler.now(), facade.server_name(server), connections
             )
 
-        facade.load_reported = reported
+        facade.load_reported = load_reported
         facade.server_unresponsive = lambda server: self.core.server_unresponsive(
             self._scheduler.now(), facade.server_name(server)
         )
-        process.apply_operator_override = self._word
+        process.apply_operator_override = self._apply_override
         process.may_serve = lambda: self.core.phase >= RecoveryPhase.OPEN
         process.handover.overrides_stored_elsewhere = True
-        process.extra_stats.append(self._figures)
+        process.extra_stats.append(self._stats)
 
     # Component
 
     def background_tasks(self) -> Sequence[Callable[[], None]]:
+        """Returns the tasks to run."""
         self._store_worker.start()
-        jobs = [self._store_worker.run_callbacks, self._keep_going]
-        return [*jobs, *self._peers.background_tasks()] if self._peers else jobs
+        tasks = [self._store_worker.run_callbacks, self._keep_driving]
+        return [*tasks, *self._peers.background_tasks()] if self._peers else tasks
 
     def on_stop_requested(self) -> None:
+        """Stores that this process was told to stop."""
         self.core.stopping(self._scheduler.now())
         if self._peers:
             self._peers.on_stop_requested()
 
     def on_clients_drained(self) -> None:
+        """The last client has gone: waits for the store and stops."""
         if self._peers:
             self._peers.on_clients_drained()
         self._store_worker.wait_until_idle(min(SECOND, self._period))
@@ -167,10 +193,11 @@
         self._store_worker.stop()
 
     @property
-    def refused_why(self) -> str:
-        return self._peers.refused_why if self._peers else ""
+    def rejection_reason(self) -> str:
+        """Why peers rejected this process; empty if they did not."""
+        return self._peers.rejection_reason if self._peers else ""
 
-    def _keep_going(self) -> None:
+    def _keep_driving(self) -> None:
         facade = self._process.facade
         while not self._left:
             now = self._scheduler.now()
@@ -179,23 +206,23 @@
                 if self._peers:
                     self._peers.resume(*self.core.next_incarnation, self.core.max_balancers)
             if self._peers and self._resumed:
-                members = self._peers.core
+                membership = self._peers.core
                 self.core.members_changed(
-                    now, [word.name for word in members.live_members], members.admitted
+                    now, [record.name for record in membership.live_members], membership.admitted
                 )
                 if (
-                    members.own_record.incarnation,
-                    members.own_record.restart_count,
-                ) != self._heard_of:
-                    self._heard_of = (
-                        members.own_record.incarnation,
-                        members.own_record.restart_count,
+                    membership.own_record.incarnation,
+                    membership.own_record.restart_count,
+                ) != self._stored_incarnation:
+                    self._stored_incarnation = (
+                        membership.own_record.incarnation,
+                        membership.own_record.restart_count,
                     )
-                    self.core.own_incarnation_changed(now, *self._heard_of)
+                    self.core.own_incarnation_changed(now, *self._stored_incarnation)
                 if self.core.phase is RecoveryPhase.FULL:
-                    self.core.count_changed(now, members.count.value)
-            if self.core.phase >= RecoveryPhase.OPEN and now >= self._size_at:
-                self._size_at = now + self._period
+                    self.core.count_changed(now, membership.count.value)
+            if self.core.phase >= RecoveryPhase.OPEN and now >= self._next_sizes_at:
+                self._next_sizes_at = now + self._period
                 self.core.sizes_changed(now, facade.server_sizes())
             self.core.servers_probed(
                 now,
@@ -203,34 +230,38 @@
                 facade.all_servers_probed(),
             )
             due = self.core.tick(self._scheduler.now())
-            self._scheduler.wait({}, min(due, now + self._period // LOOKS))
+            self._scheduler.wait({}, min(due, now + self._period // POLLS_PER_PERIOD))
 
-    # What the core asks for
+    # Host of the recovery core
 
-    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
+    def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
+        """Queries a peer in a task of its own."""
         self._scheduler.spawn(
             self._call,
             name,
-            ASK,
+            STATE_REQUEST,
             message,
             StateReply,
             until,
-            lambda found: (
-                self.core.reply_received(self._scheduler.now(), number, found)
-                if found is not None
-                else self.core.request_failed(self._scheduler.now(), number)
+            lambda reply: (
+                self.core.reply_received(self._scheduler.now(), request_id, reply)
+                if reply is not None
+                else self.core.request_failed(self._scheduler.now(), request_id)
             ),
         )
 
-    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None:
+    def replicate(self, request_id: int, name: str, message: Replicate, until: int) -> None:
+        """Sends facts to a peer in a task of its own."""
         self._scheduler.spawn(
             self._call,
             name,
-            TELL,
+            REPLICATE,
             message,
             ReplicateReply,
             until,
-            lambda found: self.core.replicate_reply_received(self._scheduler.now(), number, found),
+            lambda reply: self.core.replicate_reply_received(
+                self._scheduler.now(), request_id, reply
+            ),
         )
 
     def _call(
@@ -238,26 +269,32 @@
         name: str,
         path: str,
         message: Any,
-        form: type,
+        reply_type: type,
         until: int,
-        done: Callable[[Any], None],
+        callback: Callable[[Any], None],
     ) -> None:
-        found = None
+        reply = None
         try:
-            found = self._answer(name, path, message, form, until)
+            reply = self._call_with_retry(name, path, message, reply_type, until)
         except (RpcError, FactDecodeError) as problem:
             self._counters[
-                f"calls of recovery failed ({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
+                "calls of recovery failed "
+                f"({problem.code.name if isinstance(problem, RpcError) else 'unreadable'})"
             ] += 1
-        done(found)
+        callback(reply)
 
-    def _answer(self, name: str, path: str, message: Any, form: type, until: int) -> Any:
-        """Tried again while there is time. Guards against kept links of before a partition, which swallow the first call each."""
+    def _call_with_retry(
+        self, name: str, path: str, message: Any, reply_type: type, until: int
+    ) -> Any:
+        """Calls a peer, and again after a failure while time is left.
+
+        Guards against connections from before a partition, on each of which the first call is lost.
+        """
         assert self._peers is not None
         while True:
             try:
                 return decode(
-                    form,
+                    reply_type,
                     self._peers.call(
                         name,
                         path,
@@ -270,29 +307,34 @@
                     raise
                 self._scheduler.sleep(self._period // 8)
 
-    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
+    def persist(self, write_id: int, facts: tuple[Fact, ...]) -> None:
+        """Writes facts to the store."""
         self._store_worker.submit(
             dict(map(encode_fact, facts)),
-            lambda sequence, why: self.core.persisted(self._scheduler.now(), number, sequence, why),
+            lambda sequence, reason: self.core.persisted(
+                self._scheduler.now(), write_id, sequence, reason
+            ),
         )
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
+        """Deletes facts from the store."""
         self._store_worker.submit(
-            {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, why: None
+            {encode_fact(fact)[0]: None for fact in facts}, lambda sequence, reason: None
         )
 
-    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
-        for name in sorted(out):
+    def apply_recovered(self, out_of_service: set[str], restored: set[str]) -> None:
+        """Passes operator overrides to the facade."""
+        for name in sorted(out_of_service):
             self._process.facade.apply_operator_override(name, True)
-        for name in sorted(put_back):
+        for name in sorted(restored):
             self._process.facade.apply_operator_override(name, False)
 
     def reapply_list(self) -> None:
-        """The list anew, as it is to be believed now; before discovery has told one, the one that was kept."""
+        """Gives the facade the list again; before discovery has sent one, the stored one."""
         listing = self._listing
-        if listing is None and (kept := self.core.facts.get(LIST)) is not None:
+        if listing is None and (stored := self.core.facts.get(LIST)) is not None:
             listing = Listing(
-                kept.version[0],
+                stored.version[0],
                 True,
                 tuple(
                     ServerEntry(
@@ -305,47 +347,51 @@
                         line.weight,
                         0,
                     )
-                    for line in stored_servers(kept)
+                    for line in stored_servers(stored)
                 ),
                 0,
             )
         if listing is not None:
-            self._again = True
+            self._reapplying = True
             try:
                 self._process.facade.apply_listing(Scope.FULL, listing)
             finally:
-                self._again = False
+                self._reapplying = False
         sizes = self.core.facts.get(SIZES)
         if sizes is not None and self.core.phase is not RecoveryPhase.FULL:
             self._process.facade.apply_size_hints(sizes.value)
 
     def probe_servers(self, span: int) -> None:
+        """Probes each server that may serve, at a random time within the span."""
         for server in self._process.facade.ready_servers():
-            self._scheduler.spawn(self._look, server, int(self._rng.random() * span))
+            self._scheduler.spawn(self._probe_after, server, int(self._rng.random() * span))
 
-    def _look(self, server: int, wait: int) -> None:
-        self._scheduler.sleep(wait)
+    def _probe_after(self, server: int, delay: int) -> None:
+        self._scheduler.sleep(delay)
         self._process.facade.probe(server)
 
     def server_start_times(self) -> dict[str, int]:
+        """Returns the start time of each server as the decision module knows it."""
         return self._process.facade.server_start_times()
 
-    def phase_changed(self, step: RecoveryPhase, why: str) -> None:
-        if step >= RecoveryPhase.OPEN:
-            self._process.relay.ready = True  # PING is answered: it serves
-        self._tell("recovery", step=step.name.lower(), why=why)
+    def phase_changed(self, phase: RecoveryPhase, reason: str) -> None:
+        """Logs the phase; from the phase OPEN on, PING is answered."""
+        if phase >= RecoveryPhase.OPEN:
+            self._process.relay.ready = True
+        self._log_event("recovery", step=phase.name.lower(), why=reason)
 
     def log(self, what: str, **fields: object) -> None:
-        self._tell("store", kind=what, **fields)
+        """Writes a log line of the recovery core."""
+        self._log_event("store", kind=what, **fields)
 
-    # The disk
+    # The store
 
     def _opened(
-        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, why: str
+        self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, reason: str
     ) -> None:
         now = self._scheduler.now()
         if report is None:
-            self.core.store_unreadable(now, why)
+            self.core.store_unreadable(now, reason)
             return
         facts = []
         for key, value in items:
@@ -354,7 +400,7 @@
             except FactDecodeError as problem:
                 lost = "; ".join(filter(None, (lost, f"{key!r:.80}: {problem}")))
         for cut in report.torn_tails:
-            self._tell(
+            self._log_event(
                 "store",
                 kind="a torn end is left out",
                 file=cut.name,
@@ -372,15 +418,17 @@
 
     # The list
 
-    def _believed(self, scope: Scope, content: Listing) -> Listing:
-        """What is told of servers, as it is believed: one held for leaving stays so, and none is older than it showed."""
+    def _recovered_list(self, scope: Scope, content: Listing) -> Listing:
+        """Corrects a list by the recovered facts: servers that are leaving stay so, and start times
+        are adjusted.
+        """
         now = self._scheduler.now()
-        news = scope is not Scope.CACHED and not self._again
-        if news:
-            self._remember(now, content)
+        is_new = scope is not Scope.CACHED and not self._reapplying
+        if is_new:
+            self._store_list(now, content)
         entries = []
         for entry in content.entries:
-            leaves = (
+            leaving = (
                 self.core.update_drain(
                     now,
                     entry.name,
@@ -388,10 +436,10 @@
                     content.version,
                     entry.status is not Status.READY,
                 )
-                if news
+                if is_new
                 else self.core.facts.is_leaving(entry.name, entry.started_at, content.version)
             )
-            if leaves and entry.status is Status.READY:
+            if leaving and entry.status is Status.READY:
                 self._counters["servers listed as ready that leave"] += 1
                 entry = entry._replace(status=Status.DRAINING)
             entries.append(
@@ -401,7 +449,7 @@
             )
         return content._replace(entries=tuple(entries))
 
-    def _remember(self, now: int, content: Listing) -> None:
+    def _store_list(self, now: int, content: Listing) -> None:
         known = (
             {}
             if content.is_full or self._listing is None
@@ -432,103 +480,124 @@
 
     def _importance_of(self, login_request: LoginRequest) -> float:
         facade = self._process.facade
-        return facade.importance(login_request) / self._importance if self._importance else 1.0
+        return (
+            facade.importance(login_request) / self._max_importance if self._max_importance else 1.0
+        )
 
-    def _door(self, login_request: LoginRequest, number: int) -> Rejection | None:
+    def _check_admission(self, login_request: LoginRequest, number: int) -> Rejection | None:
         if self.core.phase is RecoveryPhase.FULL:
             return None
-        wait = self.core.admit_login(self._scheduler.now(), self._importance_of(login_request))
-        if wait is None:
+        retry_in = self.core.admit_login(self._scheduler.now(), self._importance_of(login_request))
+        if retry_in is None:
             if self.core.phase is RecoveryPhase.OPEN:
-                self._let_in.add(number)
+                self._admitted_logins.add(number)
             return None
         self._counters["logins refused while the door opens"] += 1
-        return Rejection(True, wait) if self._bounces else Rejection(False, 0)
+        return Rejection(True, retry_in) if self._can_reject else Rejection(False, 0)
 
-    def _went(self, number: int, up: bool | None) -> None:
-        if number in self._let_in:
-            self._let_in.remove(number)
-            self.core.login_finished(self._scheduler.now(), up)
+    def _login_finished(self, number: int, fulfilled: bool | None) -> None:
+        if number in self._admitted_logins:
+            self._admitted_logins.remove(number)
+            self.core.login_finished(self._scheduler.now(), fulfilled)
 
     # Operators
 
-    def _word(self, name: str, out: bool) -> bool:
-        """Blocks the operator's task alone."""
+    def _apply_override(self, name: str, out_of_service: bool) -> bool:
+        """Applies an operator override and replicates it; blocks only the operator's task.
+
+        Returns:
+            Whether the server is known.
+
+        Raises:
+            IncompleteOperationError: nothing was changed yet, or too few disks store the override.
+        """
         until = self._scheduler.now() + int(self.core.config.replication_timeout * self._period)
         while self.core.phase < RecoveryPhase.LOOK:
-            # Guards against a word that is numbered below what the disk and peers are about to tell.
+            # Guards against an override with a lower version than those that the store and the
+            # peers still have to provide.
             if self._scheduler.now() >= until:
                 raise IncompleteOperationError(
                     AdminResponse(
                         503,
-                        "It has not read its disk and heard its peers yet; nothing was changed.\n",
+                        "The store is not loaded or peers have not replied yet; "
+                        "nothing was changed.\n",
                     )
                 )
-            self._scheduler.sleep(self._period // LOOKS)
+            self._scheduler.sleep(self._period // POLLS_PER_PERIOD)
         facade = self._process.facade
         if not facade.knows_server(name) and self.core.facts.get("out", name) is None:
             return False
-        task, found = self._scheduler.current, []
+        task, outcomes = self._scheduler.current, []
 
-        def done(outcome: ReplicationOutcome, kept: int, wanted: int) -> None:
-            found.append((outcome, kept, wanted))
+        def on_outcome(outcome: ReplicationOutcome, copies: int, wanted: int) -> None:
+            outcomes.append((outcome, copies, wanted))
             self._scheduler.wake(task)
 
-        self.core.set_out_of_service(self._scheduler.now(), name, out, done)
-        while not found:
+        self.core.set_out_of_service(self._scheduler.now(), name, out_of_service, on_outcome)
+        while not outcomes:
             self._scheduler.wait({}, self._scheduler.now() + self._period)
-        outcome, kept, wanted = found[0]
-        self._tell(
-            "word", server=name, out=out, outcome=outcome.name.lower(), kept=kept, wanted=wanted
+        outcome, copies, wanted = outcomes[0]
+        self._log_event(
+            "word",
+            server=name,
+            out=out_of_service,
+            outcome=outcome.name.lower(),
+            kept=copies,
+            wanted=wanted,
         )
         if outcome is ReplicationOutcome.PARTLY:
             raise IncompleteOperationError(
                 AdminResponse(
                     202,
-                    f"Server {name:.80} is {'out' if out else 'free to serve'} here, but {kept} of {wanted} disks keep "
-                    "this: it may be forgotten in a loss of power. Say it again.\n",
+                    f"Server {name:.80} is {'out of service' if out_of_service else 'in service'} "
+                    f"here, but only {copies} of {wanted} disks store this: it may be lost in a "
+                    "power failure. Repeat the request.\n",
                 )
             )
         return True
 
-    def _figures(self) -> str:
+    def _stats(self) -> str:
         core = self.core
         return (
-            f"app.recovery_step:{int(core.phase)}|g\napp.store_behind:{int(core.store_behind)}|g\napp.store_trouble:{int(bool(core.store_error))}|g\n"
-            f"app.store_commits:{core.own_marker.sequence}|c\napp.store_waiting_ms:"
-            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}|g\n"
+            f"app.recovery_step:{int(core.phase)}|g\n"
+            f"app.store_behind:{int(core.store_behind)}|g\n"
+            f"app.store_trouble:{int(bool(core.store_error))}|g\n"
+            f"app.store_commits:{core.own_marker.sequence}|c\n"
+            "app.store_waiting_ms:"
+            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}"
+            "|g\n"
         )
 
-    # Calls that come in
+    # Calls of peers
 
-    def _take_ask(self, call: LiveCall, request: bytes) -> bytes:
-        if self._asked_now >= MOST_ASKED:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "too many ask at once")
-        self._asked_now += 1
+    def _serve_state_request(self, call: LiveCall, request: bytes) -> bytes:
+        if self._open_requests >= MAX_STATE_REQUESTS:
+            raise RpcError(Code.RESOURCE_EXHAUSTED, "too many state requests at once")
+        self._open_requests += 1
         try:
-            ask = decode(StateRequest, request)
-            assert isinstance(ask, StateRequest)
-            return encode(self.core.state_requested(self._scheduler.now(), ask))
+            message = decode(StateRequest, request)
+            assert isinstance(message, StateRequest)
+            return encode(self.core.state_requested(self._scheduler.now(), message))
         except FactDecodeError as problem:
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
         finally:
-            self._asked_now -= 1
+            self._open_requests -= 1
 
-    def _take_tell(self, call: LiveCall, request: bytes) -> bytes:
+    def _serve_replicate(self, call: LiveCall, request: bytes) -> bytes:
         try:
-            tell = decode(Replicate, request)
+            message = decode(Replicate, request)
         except FactDecodeError as problem:
             raise RpcError(Code.INVALID_ARGUMENT, str(problem)) from None
-        assert isinstance(tell, Replicate)
+        assert isinstance(message, Replicate)
         task: Task = self._scheduler.current
-        found: list[ReplicateReply] = []
+        replies: list[ReplicateReply] = []
 
-        def reply(told: ReplicateReply) -> None:
-            found.append(told)
+        def on_persisted(reply: ReplicateReply) -> None:
+            replies.append(reply)
             self._scheduler.wake(task)
 
-        self.core.replicate_received(self._scheduler.now(), tell, reply)
+        self.core.replicate_received(self._scheduler.now(), message, on_persisted)
         until = self._scheduler.now() + int(self.core.config.replication_timeout * self._period)
-        while not found and not call.ended and self._scheduler.now() < until:
+        while not replies and not call.ended and self._scheduler.now() < until:
             self._scheduler.wait({}, until)
-        return encode(found[0] if found else ReplicateReply(False))
+        return encode(replies[0] if replies else ReplicateReply(False))
--- a/corklift/recovery/facts.py
+++ b/corklift/recovery/facts.py
@@ -1,7 +1,9 @@
-"""What a balancer holds for true of before and of elsewhere, and what each kind of it is worth.
+"""Facts about the fleet that a balancer stores and shares, and how far each kind is trusted after a
+restart.
 
-Owns the table of kinds and the rule by which of two facts one holds: the higher number, per fact, whatever file or peer it came by. Free of
-I/O and clocks. Must never let a fact that was only read make a login go to a server that was told as leaving or out.
+Of two versions of a fact the higher one takes precedence, whichever store or peer it came from.
+Does no I/O and reads no clock. Invariant: a fact that was only read from a disk never sends a login
+to a server that is leaving or out of service.
 """
 
 from __future__ import annotations
@@ -15,12 +17,12 @@
 
 
 class Trust(Enum):
-    """What a fact from the disk is worth at a start."""
+    """How far a fact from the local store is trusted after a restart."""
 
-    BINDING = "binding until someone newer says otherwise"
-    PLACE = "a place to ask"
+    BINDING = "binding until a newer version is known"
+    PLACE = "an address to probe"
     HINT = "a hint to be confirmed"
-    NEVER = "never believed, so never kept"
+    NEVER = "never trusted, so never stored"
 
 
 OUT, DRAIN, SELF, LIST, COUNT, SIZES, MARKER, ENDED = (
@@ -36,70 +38,85 @@
 KINDS: dict[str, tuple[Trust, str]] = {
     OUT: (
         Trust.BINDING,
-        "operators' word on a server: true, it is out; its number is one above all that was known of it",
+        "operator override of a server: true if it is out of service; "
+        "each version is one above the last known one",
     ),
     DRAIN: (
         Trust.BINDING,
-        "discovery's word that a server leaves; its number is when that server started, then the list's number",
+        "whether discovery lists a server as leaving; "
+        "the version is the server's start, then the list's index",
     ),
-    SELF: (Trust.BINDING, "own incarnation and turn; a start goes on above them"),
+    SELF: (Trust.BINDING, "own incarnation and restart count; a start continues above them"),
     LIST: (Trust.PLACE, "the servers by name and address, as last listed"),
     COUNT: (
         Trust.HINT,
-        "how many balancers there were: may only raise the count that guards go by",
+        "number of balancers: may only raise the count by which "
+        "the budgets of cold servers are divided",
     ),
     SIZES: (
         Trust.HINT,
-        "how many connections filled each server: bounds what a cold one is sent until it shows what it can",
+        "size of each server in connections: limits the load of a cold server "
+        "until its reports show its size",
     ),
     MARKER: (
         Trust.HINT,
-        "a peer's store and its last commit, as that peer told: shows a disk that went back",
+        "position of a peer's store, as that peer reported it: "
+        "reveals a store that was rolled back",
     ),
     ENDED: (
         Trust.HINT,
-        "the machine's boot, and whether this balancer was told to stop: shows a loss of power",
+        "boot of the machine, and whether this balancer was told to stop: reveals a loss of power",
     ),
-    "connections": (Trust.NEVER, "counts of connections"),
+    "connections": (Trust.NEVER, "numbers of connections"),
     "health": (Trust.NEVER, "which servers failed"),
-    "cold": (Trust.NEVER, "which servers are warm: those that live may tell, no disk does"),
+    "cold": (Trust.NEVER, "which servers are warm: known from live peers only, never from a disk"),
 }
-SHARED = (OUT, DRAIN, LIST, COUNT, SIZES)  # told to peers; the others are this balancer's own
+# Kinds that are sent to peers; the others concern this balancer alone.
+SHARED = (OUT, DRAIN, LIST, COUNT, SIZES)
 BINDING_SHARED = (OUT, DRAIN)
 
 
 class Provenance(IntEnum):
-    """How this process came to know a fact: what it may be taken for by whoever asks."""
+    """How this process learned a fact; decides how far a peer may trust it."""
 
-    READ = 0  # from its disk
-    HEARD = 1  # from a peer that had only read it, or heard it so
-    LIVE = 2  # told to this process, or to a peer that lives and was told
+    READ = 0  # from the local store
+    HEARD = 1  # from a peer that had itself read or heard it only
+    # Received by this process when it was made, or by a peer that lived through the outage.
+    LIVE = 2
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
+    """A versioned value of one kind, about one server, peer or the whole fleet."""
+
     kind: str
     name: str
-    version: tuple[int, ...]  # the higher one holds
+    version: tuple[int, ...]  # the higher one takes precedence
     value: Any
-    source: str = ""  # who said it
-    recorded_at: int = 0  # ns, by the clock of whoever said it; shown to people and never compared
+    source: str = ""  # who made it
+    recorded_at: int = 0  # ns, by the clock of the source; for display only, never compared
 
     @property
     def key(self) -> tuple[str, str]:
+        """What the fact is about."""
         return self.kind, self.name
 
     @property
     def rank(self) -> tuple[tuple[int, ...], str]:
+        """Of two facts with one key the higher rank takes precedence; equal versions are ordered by
+        source.
+        """
         return self.version, self.source
 
 
 class KnownFact(NamedTuple):
+    """A fact and how it was learned."""
+
     fact: Fact
     provenance: Provenance
 
 
 class StoredServer(msgspec.Struct, frozen=True, array_like=True):
-    """A line of the list, as it is kept."""
+    """A server of the list, as it is stored."""
 
     name: str
     host: str
@@ -118,17 +135,19 @@
 
 
 class FactDecodeError(Exception):
-    """No fact of ours."""
+    """The bytes are not a valid fact or message of facts."""
 
 
 def encode_fact(fact: Fact) -> tuple[bytes, bytes]:
-    """As key and value of a store."""
+    """Returns the key and the value of a fact in the store."""
     return f"{fact.kind}/{fact.name}".encode(), _ENCODE(fact)
 
 
 def decode_fact(value: bytes) -> Fact:
-    """Raises:
-    Unreadable
+    """Decodes the value of a fact in the store.
+
+    Raises:
+        FactDecodeError: the bytes are not a fact, or it is invalid.
     """
     try:
         fact = _DECODE(value)
@@ -139,68 +158,82 @@
 
 
 def validate(fact: Fact) -> None:
-    """Raises:
-    Unreadable: of a kind that is known, and not of its form.
+    """Checks a fact; facts of unknown kinds are accepted.
+
+    Raises:
+        FactDecodeError: a field is out of bounds, or the value does not fit the kind.
     """
     if (
         not 0 <= len(fact.name) <= MAX_NAME_LENGTH
         or len(fact.source) > MAX_NAME_LENGTH
         or not 1 <= len(fact.version) <= 4
     ):
-        raise FactDecodeError(f"a fact about {fact.name[:40]!r}")
+        raise FactDecodeError(f"fact of {fact.name[:40]!r} is out of bounds")
     try:
         if fact.kind in (OUT, DRAIN) and not isinstance(fact.value, bool):
-            raise FactDecodeError(f"{fact.kind} of {fact.name[:40]} says {fact.value!r:.40}")
+            raise FactDecodeError(
+                f"{fact.kind} of {fact.name[:40]} is not a boolean: {fact.value!r:.40}"
+            )
         if fact.kind == LIST:
             msgspec.convert(fact.value, _SERVERS)
         if fact.kind == SIZES:
             msgspec.convert(fact.value, dict[str, float])
         if fact.kind == COUNT and (not isinstance(fact.value, int) or not 0 < fact.value <= 4096):
-            raise FactDecodeError(f"a count of {fact.value!r:.40}")
+            raise FactDecodeError(f"count is out of range: {fact.value!r:.40}")
     except msgspec.ValidationError as problem:
         raise FactDecodeError(str(problem)) from None
 
 
 def stored_servers(fact: Fact) -> list[StoredServer]:
+    """Returns the servers of a fact of the kind `LIST`."""
     return msgspec.convert(fact.value, _SERVERS)
 
 
 class Facts:
-    """By kind and name the fact of the highest number, and how it came."""
+    """The highest version of each fact, with its provenance."""
 
     def __init__(self) -> None:
         self._known: dict[tuple[str, str], KnownFact] = {}
         self._digest = 0
 
     def get(self, kind: str, name: str = "") -> Fact | None:
-        held = self._known.get((kind, name))
-        return held.fact if held is not None else None
+        """Returns a fact; None: not known."""
+        known = self._known.get((kind, name))
+        return known.fact if known is not None else None
 
     def provenance(self, kind: str, name: str = "") -> Provenance | None:
-        held = self._known.get((kind, name))
-        return held.provenance if held is not None else None
+        """Returns how a fact was learned; None: not known."""
+        known = self._known.get((kind, name))
+        return known.provenance if known is not None else None
 
     def merge(self, fact: Fact, provenance: Provenance) -> bool:
-        """Returns whether it is newer than what was held. The same one heard in a better way is held so."""
-        held = self._known.get(fact.key)
-        if held is not None and fact.rank <= held.fact.rank:
-            if fact.rank == held.fact.rank and provenance > held.provenance:
-                self._known[fact.key] = KnownFact(held.fact, provenance)
+        """Adds a fact if it is newer than the known version; an equal one may only raise the
+        provenance.
+
+        Returns:
+            Whether the fact was newer.
+        """
+        known = self._known.get(fact.key)
+        if known is not None and fact.rank <= known.fact.rank:
+            if fact.rank == known.fact.rank and provenance > known.provenance:
+                self._known[fact.key] = KnownFact(known.fact, provenance)
             return False
         if fact.kind in SHARED:
             self._digest ^= self._hash_fact(fact) ^ (
-                self._hash_fact(held.fact) if held is not None else 0
+                self._hash_fact(known.fact) if known is not None else 0
             )
         self._known[fact.key] = KnownFact(fact, provenance)
         return True
 
     def remove(self, fact: Fact) -> None:
+        """Removes a fact."""
         if self._known.pop(fact.key, None) is not None:
             self._digest ^= self._hash_fact(fact)
 
     @staticmethod
     def _hash_fact(fact: Fact) -> int:
-        # The list differs by what each discovery's agent has passed on so far: its number is no news.
+        # Only binding facts count: the list differs between balancers by what discovery has sent to
+        # each so far.
         return (
             xxh3_64_intdigest(repr((fact.kind, fact.name, fact.rank)).encode())
             if fact.kind in (OUT, DRAIN)
@@ -209,31 +242,38 @@
 
     @property
     def digest(self) -> int:
-        """Of the binding facts that are shared: two that hold the same have one."""
+        """Digest of the binding facts; it is equal for equal facts."""
         return self._digest
 
     def of_kind(self, kind: str) -> list[KnownFact]:
-        return [held for key, held in sorted(self._known.items()) if key[0] == kind]
+        """Returns the facts of one kind, sorted by name."""
+        return [known for key, known in sorted(self._known.items()) if key[0] == kind]
 
     def shared(self) -> list[KnownFact]:
-        return [held for key, held in sorted(self._known.items()) if key[0] in SHARED]
+        """Returns the facts that are sent to peers."""
+        return [known for key, known in sorted(self._known.items()) if key[0] in SHARED]
 
     def out_of_service(self) -> set[str]:
-        """Servers out by operators' word."""
-        return {held.fact.name for held in self.of_kind(OUT) if held.fact.value}
+        """Returns the servers that operators took out of service."""
+        return {known.fact.name for known in self.of_kind(OUT) if known.fact.value}
 
     def next_version(self, kind: str, name: str) -> tuple[int, ...]:
-        held = self.get(kind, name)
-        return ((held.version[0] if held is not None else 0) + 1,)
+        """Returns the version for a new value of a fact."""
+        known = self.get(kind, name)
+        return ((known.version[0] if known is not None else 0) + 1,)
 
     def is_leaving(self, name: str, started_at: int, index: int) -> bool:
-        """Whether a server that a list names as ready is held for leaving: that was told by a list no older than this one, and of
-        this start of the server or a later one."""
-        held = self.get(DRAIN, name)
-        return held is not None and bool(held.value) and held.version >= (started_at, index)
+        """Returns whether a server that a list shows as ready is known to be leaving.
+
+        That is so if the drain is from a list that is not older than this one, and from the same
+        start of the server or a later one.
+        """
+        known = self.get(DRAIN, name)
+        return known is not None and bool(known.value) and known.version >= (started_at, index)
 
 
 def newest(facts: Iterable[Fact]) -> dict[tuple[str, str], Fact]:
+    """Returns the highest version of each fact, by its key."""
     found: dict[tuple[str, str], Fact] = {}
     for fact in facts:
         if fact.key not in found or fact.rank > found[fact.key].rank:
--- a/corklift/recovery/messages.py
+++ b/corklift/recovery/messages.py
@@ -1,6 +1,7 @@
-"""What balancers ask and tell each other of what lasts, as values and as bytes.
+"""Messages of recovery and replication between balancers, and their encoding.
 
-Owns the form: MessagePack arrays, to which later versions append fields. Must never decide what a fact is worth.
+A message is a positional MessagePack array, to which later versions may append fields. This module
+does not interpret the facts.
 """
 
 from __future__ import annotations
@@ -9,47 +10,51 @@
 
 from corklift.recovery.facts import Fact, FactDecodeError, Provenance, validate
 
-MAX_FACTS = 16_384  # of a message
+# Facts in one message; one with more is rejected.
+MAX_FACTS = 16_384
 
 
 class Marker(msgspec.Struct, frozen=True, array_like=True):
-    """How far a store has come."""
+    """The position of a store: its id and the number of its last commit."""
 
     store: bytes = b""
     sequence: int = 0
 
 
 class StateRequest(msgspec.Struct, frozen=True, array_like=True):
-    """What do you hold?"""
+    """A query for the facts of a peer."""
 
-    sender: str  # who asks ...
-    instance_id: int  # ... in which process
-    marker: Marker
-    digest: int  # of the asker's binding facts; the same as the asked one's: none need be told
-    full: bool  # the list too, and what is cold
+    sender: str
+    instance_id: int  # of the sender's process
+    marker: Marker  # of the sender's store
+    digest: int  # of the sender's binding facts; if the peer's is equal, it need not send them
+    full: bool  # whether to send all facts and start times, not only the binding facts
 
 
 class StateReply(msgspec.Struct, frozen=True, array_like=True):
+    """A peer's reply to a `StateRequest`."""
+
     sender: str
     instance_id: int
-    lived_through: (
-        bool  # it served before the asker started, and has not been without its memory since
-    )
+    # Whether the sender is in full service and knows all facts, so it lived through the outage.
+    lived_through: bool
     facts: tuple[Fact, ...]
-    provenances: tuple[int, ...]  # How, of each
-    marker: Marker  # its own
-    requester_marker: Marker  # what it was told by the asker's name last
-    start_times: dict[
-        str, int
-    ] = {}  # by server, when it started, as this one's decisions know it; only of one that lived
-    has_memory: bool = False  # its disk was read and had something; else it counts for none that knows what was said before
-    power_lost: bool = (
-        False  # by its own disk, the power was lost, and it has heard from nobody that lived
-    )
+    provenances: tuple[int, ...]  # a Provenance for each fact
+    marker: Marker  # of the sender's store
+    requester_marker: Marker  # the last position of the requester's store that the sender knows
+    # Start time of each server as the sender's decision module knows it; empty if it did not live
+    # through the outage.
+    start_times: dict[str, int] = {}
+    # Whether the sender's store was loaded and had facts; otherwise the reply does not count as one
+    # of a peer that may know them.
+    has_memory: bool = False
+    # Whether the power was lost by the sender's own store, and no peer that lived through it has
+    # replied to the sender.
+    power_lost: bool = False
 
 
 class Replicate(msgspec.Struct, frozen=True, array_like=True):
-    """Hold this, and say when your disk does."""
+    """Facts to store; the peer replies once they are on its disk."""
 
     sender: str
     instance_id: int
@@ -58,36 +63,40 @@
 
 
 class ReplicateReply(msgspec.Struct, frozen=True, array_like=True):
-    persisted: bool  # on its disk
-    newer: tuple[Fact, ...] = ()  # what it holds of a higher number
-    marker: Marker = Marker()  # its own, with that kept
+    """A peer's reply to a `Replicate`."""
+
+    persisted: bool  # whether the facts are on the sender's disk
+    newer: tuple[Fact, ...] = ()  # the sender's facts with a higher version
+    marker: Marker = Marker()  # of the sender's store, after the write
 
 
 encode = msgspec.msgpack.Encoder().encode
 _DECODERS = {
-    form: msgspec.msgpack.Decoder(form)
-    for form in (StateRequest, StateReply, Replicate, ReplicateReply)
+    message_type: msgspec.msgpack.Decoder(message_type)
+    for message_type in (StateRequest, StateReply, Replicate, ReplicateReply)
 }
 
 
-def decode(form: type, content: bytes) -> object:
-    """Raises:
-    Unreadable: not of this form.
+def decode(message_type: type, content: bytes) -> object:
+    """Decodes a message of the given type.
+
+    Raises:
+        FactDecodeError: the bytes are not such a message, or a fact in it is invalid.
     """
     try:
-        found = _DECODERS[form].decode(content)
+        message = _DECODERS[message_type].decode(content)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as problem:
         raise FactDecodeError(str(problem)) from None
-    facts = getattr(found, "facts", None) or getattr(found, "newer", ())
+    facts = getattr(message, "facts", None) or getattr(message, "newer", ())
     if len(facts) > MAX_FACTS:
-        raise FactDecodeError(f"{len(facts)} facts")
+        raise FactDecodeError(f"too many facts: {len(facts)}")
     for fact in facts:
         validate(fact)
-    if isinstance(found, StateReply) and len(found.provenances) != len(found.facts):
-        raise FactDecodeError("facts without their origin")
-    return found
+    if isinstance(message, StateReply) and len(message.provenances) != len(message.facts):
+        raise FactDecodeError("number of provenances differs from the number of facts")
+    return message
 
 
 def provenance_of(number: int) -> Provenance:
-    """As it is told; a further kind of a newer peer is worth the least."""
+    """Returns a provenance from its number; one that only a newer peer knows counts as `READ`."""
     return Provenance(number) if number in list(Provenance) else Provenance.READ
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -167,7 +167,7 @@
                 assert peers is not None
                 made.append(Peers(process, peers, tell))
             else:
-                from corklift.recovery.driver import MESSAGE, RecoveryDriver
+                from corklift.recovery.driver import MAX_MESSAGE, RecoveryDriver
 
                 made.append(
                     RecoveryDriver(
@@ -183,7 +183,7 @@
                             peers,
                             tell,
                             wait_for_recovery=True,
-                            max_message=MESSAGE,
+                            max_message=MAX_MESSAGE,
                             extra_methods=further,
                         ),
                     )
@@ -198,8 +198,8 @@
         )
 
     code = carry_on(make)
-    if made and made[0].refused_why:
-        print(f"corklift: {made[0].refused_why}", file=sys.stderr)
+    if made and made[0].rejection_reason:
+        print(f"corklift: {made[0].rejection_reason}", file=sys.stderr)
         return REFUSED
     return code
 
