--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -365,7 +365,7 @@
         """Ends this process, because another one uses its name."""
         self._log_event("refused", why=reason)
         self.rejection_reason = reason
-        self._process.leave()
+        self._process.request_stop()
 
     def log(self, text: str) -> None:
         """Writes a log line of the membership core."""
