--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -28,9 +28,9 @@
 from corklift.net.limits import MS, SECOND, Counters
 from corklift.net.scheduler import WRITE, Scheduler, Task
 from corklift.net.stream import Stream
+from corklift.rpc.connection import RpcCall, RpcConnection
 from corklift.rpc.core import Code, RpcError, RpcLimits
-from corklift.rpc.link import Link, LiveCall
-from corklift.rpc.server import Server, unary
+from corklift.rpc.server import RpcServer, unary
 
 if TYPE_CHECKING:
     from corklift.service import BalancerProcess
@@ -67,18 +67,18 @@
 def link_limits(links: int, period: int, message: int = 64 << 10) -> RpcLimits:
     """Returns the RPC limits of calls between peers: small messages on few, reused connections."""
     return RpcLimits(
-        connections=2 * links,
-        streams=8,
-        message=message,
-        headers=4 << 10,
-        inbox=2,
-        outbox=2 * message,
+        max_connections=2 * links,
+        max_streams=8,
+        max_message_bytes=message,
+        max_header_bytes=4 << 10,
+        max_inbox_messages=2,
+        max_outbox_bytes=2 * message,
         ring=8 << 10,
-        handshake_time=2 * period,
+        handshake_timeout=2 * period,
         ping_after=0,
-        stall_time=4 * period,
-        connect_time=2 * period,
-        end_time=50 * MS,
+        stall_timeout=4 * period,
+        connect_timeout=2 * period,
+        close_timeout=50 * MS,
     )
 
 
@@ -100,7 +100,7 @@
             counters,
             max_links,
         )
-        self._links: OrderedDict[str, Link] = OrderedDict()
+        self._links: OrderedDict[str, RpcConnection] = OrderedDict()
 
     def unary(self, address: str, path: str, request: bytes, until: int) -> bytes:
         """Makes a unary call; blocks until the reply has arrived or the call has failed.
@@ -109,7 +109,7 @@
             RpcError: the call failed; RESOURCE_EXHAUSTED if this process has no descriptor left.
         """
         link = self._links.get(address)
-        if link is None or link.over or link.session.leaving:
+        if link is None or link.closed or link.session.going_away:
             link = self._connected(address, until)
             replaced = self._links.pop(address, None)
             if replaced is not None:
@@ -120,21 +120,21 @@
         self._links.move_to_end(address)
         call = link.call(path, until)
         try:
-            call.post(request)
-            call.done_sending()
+            call.send_nowait(request)
+            call.half_close()
             reply = call.receive(until)
         except RpcError as problem:
             if problem.code is Code.DEADLINE_EXCEEDED and self._links.get(address) is link:
                 # Guards against a connection on which everything is lost: the next call opens a new
                 # one.
                 del self._links[address]
-                link.drop()
+                link.abort()
             raise
         if reply is None:
             raise RpcError(Code.INTERNAL, "the call ended without a reply")
         return reply
 
-    def _connected(self, address: str, until: int) -> Link:
+    def _connected(self, address: str, until: int) -> RpcConnection:
         try:
             stream = Stream.connect(split(address), self._limits)
         except OSError as problem:
@@ -152,7 +152,7 @@
             stream.close()
             raise RpcError(Code.UNAVAILABLE, "connect failed")
         self._counters["links to peers"] += 1
-        link = Link(self._scheduler, self._limits, self._counters, stream, address, True)
+        link = RpcConnection(self._scheduler, self._limits, self._counters, stream, address, True)
         self._scheduler.spawn(link.run)
         return link
 
@@ -186,7 +186,7 @@
         period = config.period_ms * MS
         limits = link_limits(config.links, period, max_message)
         self._links = PeerLinks(self._scheduler, limits, self._counters, config.links)
-        self._server = Server(
+        self._server = RpcServer(
             self._scheduler,
             limits,
             self._counters,
@@ -264,7 +264,7 @@
 
     def _keep_accepting(self) -> None:
         self._await_resume()
-        self._server.keep_accepting()
+        self._server.accept_loop()
 
     def _await_resume(self) -> None:
         while self._waits and not self._left:
@@ -373,7 +373,7 @@
 
     # Calls of peers
 
-    def _take_call(self, call: LiveCall, request: bytes) -> bytes:
+    def _take_call(self, call: RpcCall, request: bytes) -> bytes:
         try:
             message = decode(request)
         except MessageDecodeError as problem:
@@ -400,7 +400,7 @@
 
     # Calls of operators
 
-    def _status(self, call: LiveCall, request: bytes) -> bytes:
+    def _status(self, call: RpcCall, request: bytes) -> bytes:
         core = self.core
         rows = [
             {
@@ -424,7 +424,7 @@
             }
         )
 
-    def _forget(self, call: LiveCall, request: bytes) -> bytes:
+    def _forget(self, call: RpcCall, request: bytes) -> bytes:
         name = request.decode("utf-8", "replace")
         if not self.core.forget(self._scheduler.now(), name):
             raise RpcError(
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -37,8 +37,8 @@
     decode,
     encode,
 )
+from corklift.rpc.connection import RpcCall
 from corklift.rpc.core import Code, RpcError
-from corklift.rpc.link import LiveCall
 from corklift.rpc.server import unary
 from corklift.store.log import OpenReport
 from corklift.store.worker import StoreFolders, StoreWorker
@@ -570,7 +570,7 @@
 
     # Calls of peers
 
-    def _serve_state_request(self, call: LiveCall, request: bytes) -> bytes:
+    def _serve_state_request(self, call: RpcCall, request: bytes) -> bytes:
         if self._open_requests >= MAX_STATE_REQUESTS:
             raise RpcError(Code.RESOURCE_EXHAUSTED, "too many state requests at once")
         self._open_requests += 1
@@ -583,7 +583,7 @@
         finally:
             self._open_requests -= 1
 
-    def _serve_replicate(self, call: LiveCall, request: bytes) -> bytes:
+    def _serve_replicate(self, call: RpcCall, request: bytes) -> bytes:
         try:
             message = decode(Replicate, request)
         except FactDecodeError as problem:
