--- a/corklift/benchlink/__init__.py
+++ b/corklift/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on the simulator's wire: framing, codec, settings; one Balancer an instance."""
+"""Adapter that connects the decisions to the simulator, with one `Balancer` per instance."""
--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Runs Balancers on the simulator's wire: batches on standard input, one reply each on standard output."""
+"""Runs balancers for the simulator: reads batches of events and writes one reply per batch."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from corklift.policy import Balancer
 from corklift.settings import SettingsError, translate
 
+# Outcome codes of the simulator, which are numbers of Linux errors (0: none).
 OUTCOMES = {
     0: Outcome.FULFILLED,
     5: Outcome.ERROR,
@@ -23,63 +24,66 @@
     125: Outcome.CANCELLED,
     114: Outcome.NOT_SENT,
 }
-LONGEST_TIMER = 71 * 60 * 1_000_000_000
-EVERYONE = 0xFFFF
-NOTE_UNIT = {1: 1_000, 2: 1_000_000}  # microseconds of work, milliseconds -> ns
+# Longer timers are shortened to 71 minutes.
+MAX_TIMER_NS = 71 * 60 * 1_000_000_000
+# The peer number that stands for all peers.
+ALL_PEERS = 0xFFFF
+# By `MeasurementKind`: microseconds of work per second, and milliseconds.
+MEASUREMENT_UNITS_NS = {1: 1_000, 2: 1_000_000}
 
 
-class Instance:
-    """The Host of one Balancer: writes what it does straight into the reply."""
+class InstanceHost:
+    """The `Host` of one `Balancer`: adds each of its actions to the reply."""
 
     def __init__(self, number: int, reply: codec.Reply) -> None:
         self._number = number
         self._reply = reply
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
-        self._reply.forward(self._number, login, server, cut_at)
+        self._reply.hand_off(self._number, login, server, cut_at)
 
     def cancel(self, login: int, attempt: int) -> None:
-        self._reply.revoke(self._number, login, attempt)
+        self._reply.cancel(self._number, login, attempt)
 
     def bounce(self, login: int, retry_in: int) -> None:
-        self._reply.decline(self._number, login, retry_in)
+        self._reply.bounce(self._number, login, retry_in)
 
     def terminate(self, login: int) -> None:
-        self._reply.report_failure(self._number, login)
+        self._reply.terminate(self._number, login)
 
     def move(self, login: int) -> None:
-        self._reply.transfer(self._number, login)
+        self._reply.move(self._number, login)
 
     def probe(self, server: int) -> None:
-        self._reply.sound_out(self._number, server)
+        self._reply.probe(self._number, server)
 
     def close_idle(self, server: int) -> None:
-        self._reply.hang_up(self._number, server)
+        self._reply.close_idle(self._number, server)
 
     def set_timer(self, after: int, mark: int) -> None:
-        self._reply.arm(self._number, min(after, LONGEST_TIMER), mark)
+        self._reply.set_timer(self._number, min(after, MAX_TIMER_NS), mark)
 
     def watch_list(self, wanted: bool) -> None:
-        self._reply.subscribe(self._number, wanted)
+        self._reply.watch_list(self._number, wanted)
 
     def fetch_list(self) -> None:
         self._reply.resolve(self._number)
 
     def send_to_peer(self, peer: int | None, content: bytes) -> None:
-        self._reply.say(self._number, EVERYONE if peer is None else peer, content)
+        self._reply.send_to_peer(self._number, ALL_PEERS if peer is None else peer, content)
 
     def log(self, text: str) -> None:
-        self._reply.debug(self._number, text)
+        self._reply.log(self._number, text)
 
 
 def _login(fields: tuple) -> Login:
-    txn, workload, tenant, subject, limit_at, cost, group, flags = fields[:8]
+    login, workload, tenant, subject, time_limit_at, cost, group, flags = fields[:8]
     return Login(
-        txn,
+        login,
         workload,
         tenant,
         subject,
-        limit_at,
+        time_limit_at,
         cost if flags & 1 else None,
         group,
         bool(flags & 8),
@@ -87,51 +91,59 @@
     )
 
 
-class Link:
-    """All instances of this process; they share nothing but the numbered lists."""
+class Adapter:
+    """The balancers of this process. They share only the server lists, which are numbered."""
 
     def __init__(self) -> None:
         self.reply = codec.Reply()
         self._lists: dict[int, tuple[ListedServer, ...]] = {}
         self._balancers: dict[int, Balancer] = {}
-        self._fields: dict[int, tuple[str | None, ...]] = {}
+        self._report_fields: dict[int, tuple[str | None, ...]] = {}
 
-    def batch(self, batch: codec.Batch) -> bytes:
+    def process_batch(self, batch: codec.Batch) -> bytes:
+        """Passes the events of a batch to the balancers; returns the encoded reply.
+
+        Raises:
+            FrameError: the batch does not follow the format.
+        """
         self.reply.clear()
-        who = None
-        for code, fields, content in list(codec.records(batch)):
+        instance = None
+        for code, fields, content in list(codec.read_records(batch)):
             if code == codec.SELECT:
-                who = fields[0]
+                instance = fields[0]
             elif code == codec.LEDGER:
-                self._lists[fields[0]] = codec.entries(content)
-            elif who is None:
-                raise codec.BadFrame(f"batch {batch.number}: {codec.NAMES[code]} before any SELECT")
+                self._lists[fields[0]] = codec.parse_entries(content)
+            elif instance is None:
+                raise codec.FrameError(
+                    f"batch {batch.number}: {codec.NAMES[code]} before any SELECT"
+                )
             else:
                 try:
-                    self._event(who, code, fields, content, batch.now)
+                    self._dispatch(instance, code, fields, content, batch.now)
                 except SettingsError as problem:
-                    self.reply.fault(who, str(problem))
-                except (
-                    Exception
-                ) as problem:  # the day must show it, so it is told and never swallowed
+                    self.reply.fault(instance, str(problem))
+                except Exception as problem:
+                    # Also reported in the reply, so that the simulation shows the error.
                     traceback.print_exc(file=sys.stderr)
-                    self.reply.fault(who, f"{type(problem).__name__}: {problem}")
+                    self.reply.fault(instance, f"{type(problem).__name__}: {problem}")
         return self.reply.frame(batch.number)
 
-    def _event(self, who: int, code: int, fields: tuple, content: bytes, now: int) -> None:
+    def _dispatch(self, instance: int, code: int, fields: tuple, content: bytes, now: int) -> None:
         if code == codec.START:
             try:
                 settings = json.loads(content)
             except ValueError as problem:
-                raise SettingsError(f"settings: no JSON text: {problem}") from None
-            arguments, self._fields[who] = translate(settings)
-            host = Instance(who, self.reply)
-            self._balancers[who] = Balancer(host, random.Random(fields[0]), now=now, **arguments)
+                raise SettingsError(f"settings: invalid JSON: {problem}") from None
+            arguments, self._report_fields[instance] = translate(settings)
+            host = InstanceHost(instance, self.reply)
+            self._balancers[instance] = Balancer(
+                host, random.Random(fields[0]), now=now, **arguments
+            )
             return
         if code == codec.KILLED:
-            self._balancers.pop(who, None)
+            self._balancers.pop(instance, None)
             return
-        balancer = self._balancers.get(who)
+        balancer = self._balancers.get(instance)
         if balancer is None:
             return
         if code == codec.NEW_REQUEST:
@@ -139,34 +151,39 @@
         elif code == codec.TICK_DUE:
             balancer.timer_due(now, fields[0])
         elif code == codec.RESOLVED:
-            txn, closed, server, state, attempt, delay, _ = fields
+            login, closed, server, status, attempt, delay, _ = fields
             balancer.hand_off_ended(
                 now,
-                txn,
+                login,
                 bool(closed),
                 server,
-                OUTCOMES.get(state, Outcome.ERROR),
+                OUTCOMES.get(status, Outcome.ERROR),
                 attempt,
                 delay,
-                codec.report(content, self._fields[who]),
+                codec.parse_report(content, self._report_fields[instance]),
             )
         elif code == codec.CHECK_RESULT:
-            server, delay, state, _ = fields
+            server, delay, status, _ = fields
             balancer.probe_answered(
                 now,
                 server,
                 delay,
-                OUTCOMES.get(state, Outcome.ERROR),
-                codec.report(content, self._fields[who]),
+                OUTCOMES.get(status, Outcome.ERROR),
+                codec.parse_report(content, self._report_fields[instance]),
             )
         elif code == codec.UNDER_WAY:
-            txn, attempt, server, delay = fields
-            balancer.hand_off_started(now, txn, attempt, server, delay)
+            login, attempt, server, delay = fields
+            balancer.hand_off_started(now, login, attempt, server, delay)
         elif code == codec.NOTICE:
-            txn, value, attempt, sort, server = fields
-            if sort in NOTE_UNIT:
+            login, value, attempt, sort, server = fields
+            if sort in MEASUREMENT_UNITS_NS:
                 balancer.measurement_received(
-                    now, txn, attempt, server, MeasurementKind(sort), value * NOTE_UNIT[sort]
+                    now,
+                    login,
+                    attempt,
+                    server,
+                    MeasurementKind(sort),
+                    value * MEASUREMENT_UNITS_NS[sort],
                 )
         elif code == codec.DROPPED:
             balancer.login_dropped(now, fields[0])
@@ -181,15 +198,16 @@
 
 
 def main() -> int:
+    """Serves the simulator until the end of the input; returns the exit status."""
     gc.freeze()
     gc.set_threshold(50_000, 20, 20)
-    link = Link()
-    source, sink = sys.stdin.buffer, sys.stdout.buffer
+    adapter = Adapter()
+    input_stream, output_stream = sys.stdin.buffer, sys.stdout.buffer
     try:
-        while (batch := codec.read_batch(source)) is not None:
-            sink.write(link.batch(batch))
-            sink.flush()
-    except (codec.BadFrame, ValueError, KeyError) as problem:
+        while (batch := codec.read_batch(input_stream)) is not None:
+            output_stream.write(adapter.process_batch(batch))
+            output_stream.flush()
+    except (codec.FrameError, ValueError, KeyError) as problem:
         print(f"corklift: malformed input: {problem}", file=sys.stderr)
         return 1
     return 0
--- a/corklift/benchlink/codec.py
+++ b/corklift/benchlink/codec.py
@@ -1,4 +1,9 @@
-"""Binary frames and records of the wire. Knows layouts and bounds, no decisions."""
+"""Binary format of the messages that the adapter exchanges with the simulator.
+
+The simulator sends batches of event records on standard input; the adapter answers each batch with
+one reply, which holds action records. All numbers are big-endian. The names of the events are those
+of the simulator's protocol.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +14,21 @@
 
 from corklift.interface import ListedServer, Report, Status
 
+# Number of the batch, number of its records, bytes of its body, time in ns.
 BATCH_HEAD = Struct(">IIIQ")
+# Number of the batch, bytes of the body.
 REPLY_HEAD = Struct(">II")
 U16 = Struct(">H")
 U32 = Struct(">I")
 U64 = Struct(">Q")
+# The fields of `ListedServer`, in order.
 ENTRY = Struct(">IHHHBfQ")
 
-# event codes
+# Codes of the events.
 MAIL, DISCOVERY, LEDGER, DROPPED, START, KILLED, CARRIED = 1, 2, 3, 4, 5, 6, 7
 CHECK_RESULT, SELECT, UNDER_WAY, NEW_REQUEST, TICK_DUE, RESOLVED, NOTICE = 8, 9, 10, 11, 12, 13, 14
 
+# Layout of the fixed fields of each event, which follow its code.
 FIXED = {
     MAIL: Struct(">HH"),
     DISCOVERY: Struct(">BQH"),
@@ -53,7 +62,9 @@
     NOTICE: "NOTICE",
 }
 STATUSES = {int(status): status for status in Status}
-VARIABLE = {
+# Events with a variable part after the fixed fields: the index of the fixed field that holds its
+# length, and the bytes of one item of it.
+VARIABLE_PART = {
     MAIL: (1, 1),
     LEDGER: (1, ENTRY.size),
     START: (1, 1),
@@ -62,11 +73,13 @@
 }
 
 
-class BadFrame(Exception):
-    """A frame that does not follow the layout; says where."""
+class FrameError(Exception):
+    """The input does not follow the format; the message says where."""
 
 
 class Batch(NamedTuple):
+    """A batch of event records, which are still encoded in `body`."""
+
     number: int
     count: int
     now: int
@@ -74,153 +87,186 @@
 
 
 def _read_fully(stream: BinaryIO, size: int) -> bytes:
-    parts = []
-    left = size
-    while left:
-        part = stream.read(left)
-        if not part:
+    """Reads that many bytes, or fewer at the end of the input."""
+    chunks = []
+    remaining = size
+    while remaining:
+        chunk = stream.read(remaining)
+        if not chunk:
             break
-        parts.append(part)
-        left -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        remaining -= len(chunk)
+    return b"".join(chunks)
 
 
 def read_batch(stream: BinaryIO) -> Batch | None:
-    head = _read_fully(stream, BATCH_HEAD.size)
-    if not head:
+    """Reads the next batch; returns None at the end of the input.
+
+    Raises:
+        FrameError: the input ends within a batch.
+    """
+    header = _read_fully(stream, BATCH_HEAD.size)
+    if not header:
         return None
-    if len(head) < BATCH_HEAD.size:
-        raise BadFrame(f"input ends at byte {len(head)} of a batch header")
-    number, count, size, now = BATCH_HEAD.unpack(head)
+    if len(header) < BATCH_HEAD.size:
+        raise FrameError(f"input ends at byte {len(header)} of a batch header")
+    number, count, size, now = BATCH_HEAD.unpack(header)
     body = _read_fully(stream, size)
     if len(body) < size:
-        raise BadFrame(f"batch {number}: input ends at byte {len(body)} of {size}")
+        raise FrameError(f"batch {number}: input ends at byte {len(body)} of {size}")
     return Batch(number, count, now, body)
 
 
-def records(batch: Batch) -> Iterator[tuple[int, tuple, bytes]]:
-    """Yields (code, fixed fields, the variable content) of each record in turn."""
-    body, at = batch.body, 0
-    end = len(body)
+def read_records(batch: Batch) -> Iterator[tuple[int, tuple, bytes]]:
+    """Yields the code, the fixed fields and the variable part of each record in turn.
+
+    Raises:
+        FrameError: a record is unknown or incomplete, or bytes remain after the last one.
+    """
+    body, offset = batch.body, 0
+    body_size = len(body)
     for index in range(batch.count):
-        if at >= end:
-            raise BadFrame(f"batch {batch.number}: record {index} missing at byte {at}")
-        code = body[at]
+        if offset >= body_size:
+            raise FrameError(f"batch {batch.number}: record {index} missing at byte {offset}")
+        code = body[offset]
         layout = FIXED.get(code)
         if layout is None:
-            raise BadFrame(
-                f"batch {batch.number}: record {index} at byte {at} has unknown code {code}"
+            raise FrameError(
+                f"batch {batch.number}: record {index} at byte {offset} has unknown code {code}"
             )
         try:
-            fields = layout.unpack_from(body, at + 1)
+            fields = layout.unpack_from(body, offset + 1)
         except StructError:
-            raise BadFrame(_cut_off(batch, index, code, at)) from None
-        start = at
-        at += 1 + layout.size
+            raise FrameError(_cut_off(batch, index, code, offset)) from None
+        start = offset
+        offset += 1 + layout.size
         content = b""
-        if code in VARIABLE:
-            place, width = VARIABLE[code]
-            size = fields[place] * width
-            content = body[at : at + size]
+        if code in VARIABLE_PART:
+            count_index, item_size = VARIABLE_PART[code]
+            size = fields[count_index] * item_size
+            content = body[offset : offset + size]
             if len(content) < size:
-                raise BadFrame(_cut_off(batch, index, code, start))
-            at += size
+                raise FrameError(_cut_off(batch, index, code, start))
+            offset += size
         yield code, fields, content
-    if at != end:
-        raise BadFrame(f"batch {batch.number}: {end - at} bytes left over at byte {at}")
+    if offset != body_size:
+        raise FrameError(
+            f"batch {batch.number}: {body_size - offset} bytes left over at byte {offset}"
+        )
 
 
-def _cut_off(batch: Batch, index: int, code: int, at: int) -> str:
-    return f"batch {batch.number}: record {index} ({NAMES[code]}) at byte {at} is cut off"
+def _cut_off(batch: Batch, index: int, code: int, offset: int) -> str:
+    return f"batch {batch.number}: record {index} ({NAMES[code]}) at byte {offset} is cut off"
 
 
-def entries(content: bytes) -> tuple[ListedServer, ...]:
+def parse_entries(content: bytes) -> tuple[ListedServer, ...]:
+    """Parses the servers of a list.
+
+    Raises:
+        FrameError: an entry has an unknown status.
+    """
     listed = []
-    for index, (server, zone, kind, cell, state, weight, started) in enumerate(
+    for index, (server, zone, kind, cell, status, weight, started_at) in enumerate(
         ENTRY.iter_unpack(content)
     ):
-        if state not in STATUSES:
-            raise BadFrame(
-                f"LEDGER: entry {index}, byte {index * ENTRY.size} of the entries: status {state}"
+        if status not in STATUSES:
+            raise FrameError(
+                f"LEDGER: entry {index}, byte {index * ENTRY.size} of the entries: status {status}"
             )
-        listed.append(ListedServer(server, zone, kind, cell, STATUSES[state], weight, started))
+        listed.append(ListedServer(server, zone, kind, cell, STATUSES[status], weight, started_at))
     return tuple(listed)
 
 
-def report(content: bytes, names: tuple[str | None, ...]) -> Report | None:
-    """The load report; `names` holds our field name for each place, None for values we don't use."""
+def parse_report(content: bytes, field_names: tuple[str | None, ...]) -> Report | None:
+    """Parses a load report; returns None if there is none.
+
+    `field_names` holds the `Report` field of each value, or None for a value that is not used.
+    """
     if not content:
         return None
     values = Struct(f">{len(content) // 4}f").unpack(content)
-    return Report(**{name: value for name, value in zip(names, values) if name is not None})
+    return Report(**{name: value for name, value in zip(field_names, values) if name is not None})
 
 
 class Reply:
-    """Collects the answers of one batch as bytes, in the order in which they were given."""
+    """Encodes the reply to one batch: the actions of the balancers, in the order of the calls.
 
+    Each method adds one action. The action codes are those of the simulator's protocol.
+    """
+
+    # Each layout starts with the code of the action, in one byte.
     _HAND_OFF = Struct(">BQIQ")
     _ID = Struct(">BQ")
     _ID_TIME = Struct(">BQQ")
-    _ID_TRY = Struct(">BQB")
+    _ID_ATTEMPT = Struct(">BQB")
     _SERVER = Struct(">BI")
     _TIMER = Struct(">BQQ")
     _TEXT = Struct(">BH")
-    _SAY = Struct(">BHH")
+    _PEER_MESSAGE = Struct(">BHH")
 
     def __init__(self) -> None:
-        self._out = bytearray()
-        self._speaker: int | None = None
+        self._buffer = bytearray()
+        self._selected_instance: int | None = None
 
     def clear(self) -> None:
-        self._out.clear()
-        self._speaker = None
+        self._buffer.clear()
+        self._selected_instance = None
 
     def frame(self, number: int) -> bytes:
-        return REPLY_HEAD.pack(number, len(self._out)) + bytes(self._out)
+        """Returns the encoded reply to the batch with this number."""
+        return REPLY_HEAD.pack(number, len(self._buffer)) + bytes(self._buffer)
+
+    def _select_instance(self, instance: int) -> bytearray:
+        """Returns the buffer, ready for an action of this balancer.
 
-    def _as(self, instance: int) -> bytearray:
-        if self._speaker != instance:
-            self._speaker = instance
-            self._out += b"\x05" + U16.pack(instance)
-        return self._out
+        An action belongs to the balancer that was selected last in the same reply.
+        """
+        if self._selected_instance != instance:
+            self._selected_instance = instance
+            self._buffer += b"\x05" + U16.pack(instance)
+        return self._buffer
 
-    def debug(self, instance: int, text: str) -> None:
-        data = text.encode("utf-8", "replace")[:65535]
-        self._as(instance).extend(self._TEXT.pack(1, len(data)) + data)
+    def log(self, instance: int, text: str) -> None:
+        encoded = text.encode("utf-8", "replace")[:65535]
+        self._select_instance(instance).extend(self._TEXT.pack(1, len(encoded)) + encoded)
 
-    def forward(self, instance: int, txn: int, server: int, cut_at: int) -> None:
-        self._as(instance).extend(self._HAND_OFF.pack(2, txn, server, cut_at))
+    def hand_off(self, instance: int, login: int, server: int, deadline: int) -> None:
+        self._select_instance(instance).extend(self._HAND_OFF.pack(2, login, server, deadline))
 
-    def report_failure(self, instance: int, txn: int) -> None:
-        self._as(instance).extend(self._ID.pack(3, txn))
+    def terminate(self, instance: int, login: int) -> None:
+        self._select_instance(instance).extend(self._ID.pack(3, login))
 
     def fault(self, instance: int, text: str) -> None:
-        data = text.encode("utf-8", "replace")[:65535]
-        self._as(instance).extend(self._TEXT.pack(4, len(data)) + data)
+        """Reports an error of this balancer to the simulator."""
+        encoded = text.encode("utf-8", "replace")[:65535]
+        self._select_instance(instance).extend(self._TEXT.pack(4, len(encoded)) + encoded)
 
-    def revoke(self, instance: int, txn: int, attempt: int) -> None:
-        self._as(instance).extend(self._ID_TRY.pack(6, txn, attempt))
+    def cancel(self, instance: int, login: int, attempt: int) -> None:
+        self._select_instance(instance).extend(self._ID_ATTEMPT.pack(6, login, attempt))
 
-    def subscribe(self, instance: int, wanted: bool) -> None:
-        self._as(instance).extend((7, int(wanted)))
+    def watch_list(self, instance: int, wanted: bool) -> None:
+        self._select_instance(instance).extend((7, int(wanted)))
 
-    def decline(self, instance: int, txn: int, retry_in: int) -> None:
-        self._as(instance).extend(self._ID_TIME.pack(8, txn, retry_in))
+    def bounce(self, instance: int, login: int, retry_in: int) -> None:
+        self._select_instance(instance).extend(self._ID_TIME.pack(8, login, retry_in))
 
     def resolve(self, instance: int) -> None:
-        self._as(instance).append(9)
+        """Requests the server list once."""
+        self._select_instance(instance).append(9)
 
-    def hang_up(self, instance: int, server: int) -> None:
-        self._as(instance).extend(self._SERVER.pack(10, server))
+    def close_idle(self, instance: int, server: int) -> None:
+        self._select_instance(instance).extend(self._SERVER.pack(10, server))
 
-    def transfer(self, instance: int, txn: int) -> None:
-        self._as(instance).extend(self._ID.pack(11, txn))
+    def move(self, instance: int, login: int) -> None:
+        self._select_instance(instance).extend(self._ID.pack(11, login))
 
-    def say(self, instance: int, peer: int, content: bytes) -> None:
-        self._as(instance).extend(self._SAY.pack(12, peer, len(content)) + content)
+    def send_to_peer(self, instance: int, peer: int, content: bytes) -> None:
+        self._select_instance(instance).extend(
+            self._PEER_MESSAGE.pack(12, peer, len(content)) + content
+        )
 
-    def arm(self, instance: int, after: int, mark: int) -> None:
-        self._as(instance).extend(self._TIMER.pack(13, after, mark))
+    def set_timer(self, instance: int, after: int, mark: int) -> None:
+        self._select_instance(instance).extend(self._TIMER.pack(13, after, mark))
 
-    def sound_out(self, instance: int, server: int) -> None:
-        self._as(instance).extend(self._SERVER.pack(14, server))
+    def probe(self, instance: int, server: int) -> None:
+        self._select_instance(instance).extend(self._SERVER.pack(14, server))
