--- a/corklift/__init__.py
+++ b/corklift/__init__.py
@@ -1,3 +1,3 @@
-"""corklift: decisions of a balancer for long-lived connections, and the links that carry them."""
+"""Load balancer for long-lived connections."""
 
 __version__ = "0.2.0"
--- a/corklift/__main__.py
+++ b/corklift/__main__.py
@@ -1,6 +1,7 @@
-"""Starts one real balancer from its configuration: `run`, with the standard library and greenlet alone.
+"""Entry point of `python -m corklift`: without a command, it runs the balancer.
 
-Must never import the command line unless a command is given.
+The balancer needs only the standard library and greenlet. The command line needs more, so it is
+imported only if a command is given.
 """
 
 from __future__ import annotations
@@ -11,11 +12,11 @@
 
 
 def main() -> int:
-    """The balancer, unless a command is given: only then is the command line imported."""
+    """Runs the command given on the command line, or else the balancer; returns the exit status."""
     if len(sys.argv) > 1:
-        from corklift.cli import main as command
+        from corklift.cli import main as run_command
 
-        command(prog_name="corklift")
+        run_command(prog_name="corklift")
     return run_balancer()
 
 
--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -60,8 +60,8 @@
     arguments: dict[str, Any]
     report_names: dict[str, str]
     pushed_measurement: tuple[MeasurementKind, int] | None
-    localities: list[str]
-    kinds: list[str]
+    zone_names: list[str]
+    machine_types: list[str]
     # How long a probe connection is kept open while idle, in ns.
     probe_keepalive: int
     # Address of the admin endpoints, if enabled.
--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -179,7 +179,7 @@
             )
         name = config.peers.name if config.peers else ""
 
-        def component(process: BalancerProcess) -> Component:
+        def create_component(process: BalancerProcess) -> Component:
             assert isinstance(process.log_writer, JsonLogWriter)
             log_event, peers, store = process.log_writer.write_event, config.peers, config.store
             if store is None:
@@ -213,7 +213,7 @@
             config.balancer_config(),
             reload_config=lambda: read_config(path).balancer_config(),
             log_writer=partial(JsonLogWriter, name=name),
-            components=[component] if config.peers or config.store else [],
+            components=[create_component] if config.peers or config.store else [],
         )
 
     code = run_process(create_process)
@@ -232,7 +232,7 @@
     config = read_config(path)
     configuration = Configuration.parse(config.balancer_config())
     peers = f", peers of {config.peers.name}" if config.peers else ", alone"
-    store = f", kept in {config.store.path}" if config.store else ""
+    store = f", store in {config.store.path}" if config.store else ""
     return (
         f"{path}: {len(configuration.arguments['workloads'])} workloads, "
         f"{configuration.limits.clients} clients{peers}{store}"
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -21,13 +21,13 @@
 from corklift.interface import Scope
 from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
+from corklift.net.handover_driver import HandoverDriver
 from corklift.net.handover_files import handover_directory
 from corklift.net.limits import MS, SECOND, ConfigError, Counters, LogWriter, SecondSummary
-from corklift.net.handover_driver import HandoverDriver
+from corklift.net.monitoring import DiscoveryWatch, ServerProbes
 from corklift.net.relay import Relay
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
 from corklift.net.stream import Stream
-from corklift.net.monitoring import ServerProbes, DiscoveryWatch
 from corklift.settings import find_missing_key
 
 
@@ -103,8 +103,8 @@
             configuration.arguments,
             configuration.report_names,
             configuration.pushed_measurement,
-            configuration.localities,
-            configuration.kinds,
+            configuration.zone_names,
+            configuration.machine_types,
             limits.settle_time,
             self.log_writer.write,
             self.counters,
@@ -231,7 +231,11 @@
         self._configuration, self.limits = new, new.limits
         self.log_writer.limits = new.limits
         self.facade.settings_changed(
-            new.arguments, new.report_names, new.pushed_measurement, new.localities, new.kinds
+            new.arguments,
+            new.report_names,
+            new.pushed_measurement,
+            new.zone_names,
+            new.machine_types,
         )
         self.relay.reconfigure(new.limits)
         self.admin.reconfigure(new.limits)
@@ -323,6 +327,7 @@
         self.relay.ready = True
 
     def request_stop(self) -> None:
+        """Starts a graceful stop, in which connections are moved; `run` returns when it is over."""
         if not self._stopping:
             self._stopping = True
             self.log_writer.write("told to stop")
@@ -332,6 +337,7 @@
             self.scheduler.spawn(self._drain_and_stop)
 
     def _drain_and_stop(self) -> None:
+        """Shuts down the relay and the components, then lets `run` return."""
         try:
             self.relay.stop()
             for component in self._components:
@@ -344,6 +350,7 @@
         self.log_writer.write(f"exception: {trace}")
 
     def _summary_loop(self) -> None:
+        """Logs the counts of each second that brought a failure or a moved connection."""
         summary = SecondSummary(self.counters)
         while True:
             self.scheduler.sleep(SECOND)
@@ -352,6 +359,7 @@
                 self.log_writer.write(line)
 
     def _log_loop(self) -> None:
+        """Writes log lines whenever standard error accepts one, so that no other task blocks."""
         while True:
             if not self.log_writer.has_pending_lines:
                 self.scheduler.wait({})
