--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -60,7 +60,7 @@
     arguments: dict[str, Any]
     report_names: dict[str, str]
     pushed_measurement: tuple[MeasurementKind, int] | None
-    zone_names: list[str]
+    localities: list[str]
     machine_types: list[str]
     # How long a probe connection is kept open while idle, in ns.
     probe_keepalive: int
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -103,7 +103,7 @@
             configuration.arguments,
             configuration.report_names,
             configuration.pushed_measurement,
-            configuration.zone_names,
+            configuration.localities,
             configuration.machine_types,
             limits.settle_time,
             self.log_writer.write,
@@ -234,7 +234,7 @@
             new.arguments,
             new.report_names,
             new.pushed_measurement,
-            new.zone_names,
+            new.localities,
             new.machine_types,
         )
         self.relay.reconfigure(new.limits)
