--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -186,7 +186,7 @@
                 assert peers is not None
                 created.append(Peers(process, peers, log_event))
             else:
-                from corklift.recovery.driver import MESSAGE, RecoveryDriver
+                from corklift.recovery.driver import MAX_MESSAGE, RecoveryDriver
 
                 created.append(
                     RecoveryDriver(
@@ -202,7 +202,7 @@
                             peers,
                             log_event,
                             wait_for_recovery=True,
-                            max_message=MESSAGE,
+                            max_message=MAX_MESSAGE,
                             extra_methods=extra_methods,
                         ),
                     )
@@ -217,8 +217,8 @@
         )
 
     code = run_process(create_process)
-    if created and created[0].refused_why:
-        print(f"corklift: {created[0].refused_why}", file=sys.stderr)
+    if created and created[0].rejection_reason:
+        print(f"corklift: {created[0].rejection_reason}", file=sys.stderr)
         return EXIT_NAME_IN_USE
     return code
 
