--- a/corklift/serve.py
+++ b/corklift/serve.py
@@ -179,14 +179,14 @@
             )
         name = config.peers.name if config.peers else ""
 
-        def component(process: BalancerProcess) -> Component:
+        def create_component(process: BalancerProcess) -> Component:
             assert isinstance(process.log_writer, JsonLogWriter)
             log_event, peers, store = process.log_writer.write_event, config.peers, config.store
             if store is None:
                 assert peers is not None
                 created.append(Peers(process, peers, log_event))
             else:
-                from corklift.recovery.driver import MESSAGE, RecoveryDriver
+                from corklift.recovery.driver import MAX_MESSAGE, RecoveryDriver
 
                 created.append(
                     RecoveryDriver(
@@ -202,7 +202,7 @@
                             peers,
                             log_event,
                             wait_for_recovery=True,
-                            max_message=MESSAGE,
+                            max_message=MAX_MESSAGE,
                             extra_methods=extra_methods,
                         ),
                     )
@@ -213,12 +213,12 @@
             config.balancer_config(),
             reload_config=lambda: read_config(path).balancer_config(),
             log_writer=partial(JsonLogWriter, name=name),
-            components=[component] if config.peers or config.store else [],
+            components=[create_component] if config.peers or config.store else [],
         )
 
     code = run_process(create_process)
-    if created and created[0].refused_why:
-        print(f"corklift: {created[0].refused_why}", file=sys.stderr)
+    if created and created[0].rejection_reason:
+        print(f"corklift: {created[0].rejection_reason}", file=sys.stderr)
         return EXIT_NAME_IN_USE
     return code
 
@@ -232,7 +232,7 @@
     config = read_config(path)
     configuration = Configuration.parse(config.balancer_config())
     peers = f", peers of {config.peers.name}" if config.peers else ", alone"
-    store = f", kept in {config.store.path}" if config.store else ""
+    store = f", store in {config.store.path}" if config.store else ""
     return (
         f"{path}: {len(configuration.arguments['workloads'])} workloads, "
         f"{configuration.limits.clients} clients{peers}{store}"
