--- a/benchmarks/xds_proxies.py
+++ b/benchmarks/xds_proxies.py
@@ -30,8 +30,8 @@
             # A tenth of them is slow or breaks off; half speak each variant.
             behaviour = ProxyBehaviour(
                 incremental=at % 2 == 1,
-                reads_every=READS_EVERY if at % 20 == 7 else 0,
-                drops_every=DROPS_EVERY if at % 20 == 17 else 0,
+                read_interval=READS_EVERY if at % 20 == 7 else 0,
+                disconnect_interval=DROPS_EVERY if at % 20 == 17 else 0,
             )
             self.proxies.append(
                 Proxy(
@@ -76,7 +76,7 @@
                     )
                 if told.get("calm"):
                     for proxy in self.proxies:
-                        proxy.behaviour = proxy.behaviour._replace(drops_every=10**18)
+                        proxy.behaviour = proxy.behaviour._replace(disconnect_interval=10**18)
 
     def _load(self) -> None:
         due = self.scheduler.now()
--- a/corklift/rig/__init__.py
+++ b/corklift/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes of the program, links with faults between them, and a checker over what all of them tell."""
+"""Runs real processes of the program with faults on their links, and checks the result."""
--- a/corklift/rig/standin.py
+++ b/corklift/rig/standin.py
@@ -149,14 +149,14 @@
         self.entries = {name: dict(entry) for name, entry in saved.items()}
         self._has = min(self._has, self.index)
 
-    def _answer(self, stream: Stream, found: re.Match[bytes]) -> bool:
+    def _respond(self, stream: Stream, found: re.Match[bytes]) -> bool:
         index = int(found[1]) if found[1] is not None else -1
         self._events.write_event("called", balancer=self._balancer)
         if index > self._has:
             # It asks for what is newer: what it asks from has come there.
             self._has = index
             self._events.write_event("has", balancer=self._balancer, index=index)
-        return super()._answer(stream, found)
+        return super()._respond(stream, found)
 
 
 def discovery(given: dict[str, Any]) -> None:
--- a/corklift/standins/__init__.py
+++ b/corklift/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Outside systems, played: one file each, written from their published protocols. Never imported by the product."""
+"""Stand-ins for outside systems, one per module, written from the published protocols.
+
+The product never imports this package.
+"""
--- a/corklift/standins/client.py
+++ b/corklift/standins/client.py
@@ -1,6 +1,6 @@
-"""A client of the line protocol, as the load tool and the rig play it: a connection, a line, the line that comes back.
+"""A client of the line protocol: connects, sends one line and reads the line that answers it.
 
-Owns nothing. Must never wait past the time it is given.
+Used by the load tool and by the rig. No function here waits longer than the deadline it is given.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 )
 
 
-def connect(scheduler: Scheduler, address: tuple[str, int], until: int) -> Stream | None:
-    """None where there is no connection by then."""
+def connect(scheduler: Scheduler, address: tuple[str, int], deadline: int) -> Stream | None:
+    """Returns a connected stream, or None if the connection fails or the deadline passes."""
     try:
         stream = Stream.connect(address, CLIENT_LIMITS)
     except OSError:
         return None
-    while not stream.broken and not scheduler.wait({stream.fd: WRITE}, until):
-        if scheduler.now() >= until:
+    while not stream.broken and not scheduler.wait({stream.fd: WRITE}, deadline):
+        if scheduler.now() >= deadline:
             break
     else:
         if not stream.connect_failed():
@@ -30,17 +30,20 @@
     return None
 
 
-def send_request(scheduler: Scheduler, stream: Stream, line: bytes, until: int) -> bytes:
-    """The line that comes back, or nothing."""
+def send_request(scheduler: Scheduler, stream: Stream, line: bytes, deadline: int) -> bytes:
+    """Sends a line and returns the line that answers it.
+
+    Returns an empty string if the peer closes, sends an over-long line or misses the deadline.
+    """
     stream.write(line)
     while True:
         stream.receive()
         try:
-            found = stream.read_line()
+            response = stream.read_line()
         except LineTooLongError:
             return b""
-        if found is not None:
-            return found
-        if stream.peer_closed or stream.broken or scheduler.now() >= until:
+        if response is not None:
+            return response
+        if stream.peer_closed or stream.broken or scheduler.now() >= deadline:
             return b""
-        scheduler.wait({stream.fd: READ}, until)
+        scheduler.wait({stream.fd: READ}, deadline)
--- a/corklift/standins/discovery.py
+++ b/corklift/standins/discovery.py
@@ -1,6 +1,7 @@
-"""A stand-in for discovery: the list of servers over HTTP, whole or as changes since an index, with long polls.
+"""A stand-in for discovery: serves the list of servers over HTTP.
 
-Owns the list and its history. Troubles are played on request: it falls silent, or cuts answers short.
+A request without an index gets a snapshot. A request with an index is a long poll, and gets the
+changes since that index. On request the stand-in stops answering or truncates its responses.
 """
 
 from __future__ import annotations
@@ -19,14 +20,18 @@
 
 
 class Discovery:
+    """A discovery service that holds the list of servers and the index of each entry's change."""
+
     def __init__(self, scheduler: Scheduler) -> None:
         self._scheduler = scheduler
         self.index = 0
         self.entries: dict[str, dict[str, Any]] = {}
         self._changed_at: dict[str, int] = {}
-        self._waiting: list[Task] = []
-        self.silent = False  # takes requests and answers none
-        self.truncated_responses = 0  # so many answers stop half-way
+        self._long_polls: list[Task] = []
+        # True: requests are accepted and not answered.
+        self.silent = False
+        # Number of responses that are still to be truncated in the middle of the body.
+        self.truncated_responses = 0
         self._listener: socket.socket | None = None
 
     def put(
@@ -38,7 +43,7 @@
         weight: float = 1.0,
         since_ms: int = 0,
     ) -> None:
-        """A server is listed, or listed anew; `status` is active, leaving or left."""
+        """Adds or replaces a server's entry; `status` is active, leaving or left."""
         self.index += 1
         self.entries[name] = {
             "name": name,
@@ -50,25 +55,27 @@
             "since_ms": since_ms,
         }
         self._changed_at[name] = self.index
-        self._tell()
+        self._wake_long_polls()
 
     def set_status(self, name: str, status: str) -> None:
         self.index += 1
         self.entries[name]["status"] = status
         self._changed_at[name] = self.index
-        self._tell()
+        self._wake_long_polls()
 
-    def _tell(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for task in waiting:
+    def _wake_long_polls(self) -> None:
+        tasks, self._long_polls = self._long_polls, []
+        for task in tasks:
             self._scheduler.wake(task)
 
     def listen(self, address: tuple[str, int] = ("127.0.0.1", 0)) -> int:
+        """Opens the listening socket and returns its port."""
         self._listener = socket.create_server(address, backlog=256)
         self._listener.setblocking(False)
         return int(self._listener.getsockname()[1])
 
     def accept_loop(self) -> None:
+        """Accepts connections for ever, each served by a task of its own."""
         assert self._listener is not None
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
@@ -79,56 +86,63 @@
             self._scheduler.spawn(self._serve, Stream(sock, LIMITS))
 
     def _serve(self, stream: Stream) -> None:
-        head = b""
+        received = b""
         try:
             while True:
                 stream.receive()
-                head += stream.receive_buffer.read(len(stream.receive_buffer))
+                received += stream.receive_buffer.read(len(stream.receive_buffer))
                 if stream.peer_closed or stream.broken:
                     return
-                if b"\r\n\r\n" not in head:
+                if b"\r\n\r\n" not in received:
                     self._scheduler.wait({stream.fd: READ})
                     continue
-                found, (_, _, head) = _GET.match(head), head.partition(b"\r\n\r\n")
-                if found is None:
+                request, (_, _, received) = _GET.match(received), received.partition(b"\r\n\r\n")
+                if request is None:
                     return
-                if not self._answer(stream, found):
+                if not self._respond(stream, request):
                     return
         finally:
             stream.close()
 
-    def _answer(self, stream: Stream, found: re.Match[bytes]) -> bool:
-        index = int(found[1]) if found[1] is not None else None
+    def _respond(self, stream: Stream, request: re.Match[bytes]) -> bool:
+        """Answers one request; returns False if the connection broke."""
+        index = int(request[1]) if request[1] is not None else None
         if index is not None:
-            until = self._scheduler.now() + int(found[2]) * MS
-            while self.index <= index and self._scheduler.now() < until and not stream.peer_closed:
-                self._waiting.append(self._scheduler.current)
-                self._scheduler.wait({stream.fd: READ}, until)
+            deadline = self._scheduler.now() + int(request[2]) * MS
+            while (
+                self.index <= index and self._scheduler.now() < deadline and not stream.peer_closed
+            ):
+                self._long_polls.append(self._scheduler.current)
+                self._scheduler.wait({stream.fd: READ}, deadline)
                 stream.receive()
         while self.silent:
             self._scheduler.sleep(50 * MS)
-        whole = index is None or index > self.index
+        # An index from the future comes from before a restart of discovery with an older list.
+        is_snapshot = index is None or index > self.index
         entries = [
             entry
             for name, entry in self.entries.items()
-            if whole or self._changed_at[name] > (index or 0)
+            if is_snapshot or self._changed_at[name] > (index or 0)
         ]
         body = json.dumps(
             {
                 "index": self.index,
-                "snapshot": whole,
-                "endpoints": [e for e in entries if not whole or e["status"] != "left"],
+                "snapshot": is_snapshot,
+                "endpoints": [e for e in entries if not is_snapshot or e["status"] != "left"],
             }
         ).encode()
-        head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n".encode()
-        content = head + body
+        head = (
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n"
+        ).encode()
+        response = head + body
         if self.truncated_responses:
             self.truncated_responses -= 1
-            content = content[: len(head) + len(body) // 2]
-        while content and not stream.broken:
-            room = stream.send_buffer.free_bytes
-            stream.write(content[:room])
-            content = content[room:]
+            response = response[: len(head) + len(body) // 2]
+        while response and not stream.broken:
+            free_bytes = stream.send_buffer.free_bytes
+            stream.write(response[:free_bytes])
+            response = response[free_bytes:]
             while len(stream.send_buffer) and not stream.broken:
                 self._scheduler.wait({stream.fd: WRITE})
                 stream.flush()
--- a/corklift/standins/proxy.py
+++ b/corklift/standins/proxy.py
@@ -1,7 +1,8 @@
-"""A stand-in proxy: follows a control service over ADS, places connections by what it was told, reports loads.
+"""A stand-in proxy: follows a control service over ADS, places logins and reports loads.
 
-Written from the published protocol, both variants. `Held` is its state without I/O: responses in, requests out. Habits
-play the failures: slow reading, answers that never come, refusals, broken connections, staleness.
+It is written from the published xDS protocol and speaks both variants, state of the world and
+incremental. `ProxyState` is its protocol state without I/O; `ProxyBehaviour` makes it misbehave:
+slow reads, missing acknowledgements, refused responses and broken connections.
 """
 
 from __future__ import annotations
@@ -48,27 +49,34 @@
 
 
 class Assignment(NamedTuple):
-    """An assignment as a proxy draws from it."""
+    """The servers of a cluster with their weights, prepared for drawing.
+
+    `refused` is how many logins of 10,000 are to be turned away. `stale_after` is in nanoseconds; 0
+    means that the assignment never becomes stale.
+    """
 
     names: tuple[str, ...]
     addresses: tuple[tuple[str, int], ...]
-    sums: tuple[int, ...]  # of the weights so far
-    refused: int  # of 10,000
-    stale_after: int  # ns; 0: never
+    cumulative_weights: tuple[int, ...]
+    refused: int
+    stale_after: int
 
     def draw(self, rng: Random, even: bool = False) -> tuple[str, tuple[str, int]] | None:
+        """Returns a server's name and address, or None if the login is to be turned away."""
         if not self.names or rng.randrange(10_000) < self.refused:
             return None
-        at = (
+        index = (
             rng.randrange(len(self.names))
             if even
-            else bisect(self.sums, rng.randrange(self.sums[-1]))
+            else bisect(self.cumulative_weights, rng.randrange(self.cumulative_weights[-1]))
         )
-        return self.names[at], self.addresses[at]
+        return self.names[index], self.addresses[index]
 
 
-@lru_cache(maxsize=256)  # proxies of one process read the same view
+# Cached, since the proxies of one process receive the same resources.
+@lru_cache(maxsize=256)
 def parse_assignment(content: bytes) -> Assignment:
+    """Reads a ClusterLoadAssignment; servers that are not healthy are left out."""
     message = endpoint_pb2.ClusterLoadAssignment()
     message.ParseFromString(content)
     names, addresses, weights = [], [], []
@@ -77,9 +85,9 @@
             continue
         for endpoint in locality.lb_endpoints:
             if endpoint.health_status in (health_check_pb2.UNKNOWN, health_check_pb2.HEALTHY):
-                where = endpoint.endpoint.address.socket_address
+                socket_address = endpoint.endpoint.address.socket_address
                 names.append(locality.locality.sub_zone)
-                addresses.append((where.address, where.port_value))
+                addresses.append((socket_address.address, socket_address.port_value))
                 weights.append(locality.load_balancing_weight.value)
     refused = sum(drop.drop_percentage.numerator for drop in message.policy.drop_overloads)
     return Assignment(
@@ -92,24 +100,37 @@
 
 
 class ProxyBehaviour(NamedTuple):
+    """How a proxy behaves, including its faults.
+
+    `acks` tells whether responses are acknowledged at all. `read_interval` is the pause between two
+    reads in nanoseconds; 0 reads at once. `refuses` gets a response's type URL, the names of its
+    resources and the number of responses of that type so far, and returns the error of a refusal or
+    None. `disconnect_interval` is the mean time in nanoseconds between connections that the proxy
+    aborts itself; 0 aborts none. `even` ignores the weights. `reports` enables load reports.
+    """
+
     incremental: bool = False
     acks: bool = True
-    reads_every: int = 0  # ns between two looks at what has come; 0: at once
+    read_interval: int = 0
     refuses: Callable[[str, list[str], int], str | None] = lambda url, names, count: None
-    drops_every: int = 0  # ns, about, between two connections that it breaks off itself
-    even: bool = False  # draws without the weights
+    disconnect_interval: int = 0
+    even: bool = False
     reports: bool = True
 
 
 class ProxyState:
-    """What a proxy has accepted, and what it says next. No I/O and no clock."""
+    """The resources that a proxy has accepted, and the requests that follow from each response.
+
+    Does no I/O and reads no clock.
+    """
 
     def __init__(self, node: str, behaviour: ProxyBehaviour) -> None:
         self._node, self._behaviour = node, behaviour
         self.resources: dict[str, dict[str, tuple[str, bytes]]] = {
             url: {} for url in (CDS, EDS, LDS, RDS)
         }
-        self.versions: dict[str, str] = {}  # as accepted, state of the world
+        # Accepted version by type URL; state-of-the-world variant only.
+        self.versions: dict[str, str] = {}
         self.names: dict[str, list[str]] = {EDS: [], RDS: []}
         self.responses: Counter[str] = Counter()
         self.refused: list[str] = []
@@ -117,26 +138,29 @@
         self._node_sent = False
 
     def open_stream(self) -> list[bytes]:
-        """A new stream: nothing of the last one's nonces holds, all that was accepted does."""
+        """Returns the first requests of a new stream.
+
+        Nonces of the last stream are void; accepted resources and versions remain in force.
+        """
         self._nonces, self._node_sent = {}, False
-        first = [self._request(CDS), self._request(LDS)]
-        return first + [self._request(url) for url in (EDS, RDS) if self.names[url]]
+        requests = [self._request(CDS), self._request(LDS)]
+        return requests + [self._request(url) for url in (EDS, RDS) if self.names[url]]
 
     def _request(
         self,
         url: str,
         nonce: str = "",
-        problem: str | None = None,
+        error: str | None = None,
         subscribe: list[str] | None = None,
         unsubscribe: list[str] | None = None,
     ) -> bytes:
         if self._behaviour.incremental:
-            first = url not in self._nonces
+            is_first = url not in self._nonces
             message = discovery_pb2.DeltaDiscoveryRequest(type_url=url, response_nonce=nonce)
-            if first:
+            if is_first:
                 self._nonces[url] = ""
                 message.initial_resource_versions.update(
-                    {name: v for name, (v, _) in self.resources[url].items()}
+                    {name: version for name, (version, _) in self.resources[url].items()}
                 )
                 subscribe = self.names.get(url, [])
             message.resource_names_subscribe.extend(subscribe or [])
@@ -148,51 +172,51 @@
                 version_info=self.versions.get(url, ""),
                 resource_names=self.names.get(url, []),
             )
-        if problem is not None:
-            message.error_detail.code, message.error_detail.message = 3, problem
+        if error is not None:
+            message.error_detail.code, message.error_detail.message = 3, error
         if not self._node_sent:
             self._node_sent = True
             message.node.id = self._node
         return bytes(message.SerializeToString())
 
     def handle_response(self, content: bytes) -> list[bytes]:
-        """A response; returns what to say to it."""
+        """Applies a response and returns the requests that answer it."""
         if self._behaviour.incremental:
             delta = discovery_pb2.DeltaDiscoveryResponse()
             delta.ParseFromString(content)
-            return self._changes(delta)
-        whole = discovery_pb2.DiscoveryResponse()
-        whole.ParseFromString(content)
-        url, found = whole.type_url, {}
-        for packed in whole.resources:
+            return self._handle_delta(delta)
+        response = discovery_pb2.DiscoveryResponse()
+        response.ParseFromString(content)
+        url, received = response.type_url, {}
+        for packed in response.resources:
             name, version, body = self._unwrap(
-                url, packed.type_url, packed.value, whole.version_info
+                url, packed.type_url, packed.value, response.version_info
             )
-            found[name] = (
+            received[name] = (
                 version,
                 body if body is not None else self.resources[url].get(name, ("", b""))[1],
             )
         self.responses[url] += 1
-        problem = self._behaviour.refuses(url, sorted(found), self.responses[url])
-        if problem is None:
+        error = self._behaviour.refuses(url, sorted(received), self.responses[url])
+        if error is None:
             if url in (CDS, LDS):
-                self.resources[url] = found
+                self.resources[url] = received
             else:
-                self.resources[url].update(found)
-            self.versions[url] = whole.version_info
+                self.resources[url].update(received)
+            self.versions[url] = response.version_info
         else:
-            self.refused.append(problem)
-        self._nonces[url] = whole.nonce
-        answers = [self._request(url, whole.nonce, problem)] if self._behaviour.acks else []
-        return answers + self._follow(url)
+            self.refused.append(error)
+        self._nonces[url] = response.nonce
+        requests = [self._request(url, response.nonce, error)] if self._behaviour.acks else []
+        return requests + self._request_references(url)
 
-    def _changes(self, delta: discovery_pb2.DeltaDiscoveryResponse) -> list[bytes]:
+    def _handle_delta(self, delta: discovery_pb2.DeltaDiscoveryResponse) -> list[bytes]:
         url = delta.type_url
         self.responses[url] += 1
-        problem = self._behaviour.refuses(
-            url, sorted(r.name for r in delta.resources), self.responses[url]
+        error = self._behaviour.refuses(
+            url, sorted(resource.name for resource in delta.resources), self.responses[url]
         )
-        if problem is None:
+        if error is None:
             for resource in delta.resources:
                 old = self.resources[url].get(resource.name, ("", b""))[1]
                 body = resource.resource.value if resource.HasField("resource") else old
@@ -200,13 +224,14 @@
             for name in delta.removed_resources:
                 self.resources[url].pop(name, None)
         else:
-            self.refused.append(problem)
-        answers = [self._request(url, delta.nonce, problem)] if self._behaviour.acks else []
-        return answers + self._follow(url)
+            self.refused.append(error)
+        requests = [self._request(url, delta.nonce, error)] if self._behaviour.acks else []
+        return requests + self._request_references(url)
 
     def _unwrap(
         self, url: str, type_url: str, value: bytes, version: str
     ) -> tuple[str, str, bytes | None]:
+        """Returns a resource's name, version and body; no body means that it is unchanged."""
         if type_url == RESOURCE_WRAPPER:
             wrapped = discovery_pb2.Resource()
             wrapped.ParseFromString(value)
@@ -215,10 +240,10 @@
                 wrapped.version,
                 wrapped.resource.value if wrapped.HasField("resource") else None,
             )
-        return _name(url, value), version, value
+        return _resource_name(url, value), version, value
 
-    def _follow(self, url: str) -> list[bytes]:
-        """Clusters ask for their endpoints, listeners for their routes."""
+    def _request_references(self, url: str) -> list[bytes]:
+        """Returns the request for the endpoints of new clusters, or the routes of new listeners."""
         if url == CDS:
             target, wanted = EDS, sorted(self.resources[CDS])
         elif url == LDS:
@@ -235,21 +260,22 @@
             self._request(
                 target,
                 self._nonces.get(target, "") if not self._behaviour.incremental else "",
-                subscribe=[n for n in wanted if n not in old],
-                unsubscribe=[n for n in old if n not in wanted],
+                subscribe=[name for name in wanted if name not in old],
+                unsubscribe=[name for name in old if name not in wanted],
             )
         ]
 
     def assignment(self, cluster: str) -> Assignment | None:
-        held = self.resources[EDS].get(cluster)
+        """Returns the accepted assignment of a cluster, or None if there is none."""
+        resource = self.resources[EDS].get(cluster)
         return (
             None
-            if held is None or cluster not in self.resources[CDS]
-            else parse_assignment(held[1])
+            if resource is None or cluster not in self.resources[CDS]
+            else parse_assignment(resource[1])
         )
 
 
-def _name(url: str, content: bytes) -> str:
+def _resource_name(url: str, content: bytes) -> str:
     message = {
         CDS: cluster_pb2.Cluster,
         EDS: endpoint_pb2.ClusterLoadAssignment,
@@ -261,6 +287,8 @@
 
 
 class Proxy:
+    """A proxy with its streams to the control service and the logins that it places."""
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -282,46 +310,48 @@
         self.channel = Channel(scheduler, limits, counters, address, rng)
         self.connected = False
         self.connected_at = 0
-        self.view_changed: Callable[[Proxy, set[str], set[str]], None] | None = (
-            None  # servers before and after
-        )
+        # Called with the names of the servers that could be drawn before and after a response.
+        self.view_changed: Callable[[Proxy, set[str], set[str]], None] | None = None
         self.open_logins = 0
         self._fresh_at: dict[str, int] = {}
-        self._issued: Counter[tuple[str, str]] = (
-            Counter()
-        )  # by cluster and server, since the last report
+        # Logins since the last load report, by cluster and server.
+        self._issued: Counter[tuple[str, str]] = Counter()
         self._failed: Counter[tuple[str, str]] = Counter()
         self._turned_away: Counter[str] = Counter()
         self.stopped = False
 
     def start(self) -> None:
         self._scheduler.spawn(self.channel.connect_loop)
-        self._scheduler.spawn(self._keep, self._follow)
+        self._scheduler.spawn(self._repeat, self._run_ads_stream)
         if self.behaviour.reports:
-            self._scheduler.spawn(self._keep, self._report)
-        if self.behaviour.drops_every:
-            self._scheduler.spawn(self._keep_dropping)
+            self._scheduler.spawn(self._repeat, self._run_load_report_stream)
+        if self.behaviour.disconnect_interval:
+            self._scheduler.spawn(self._abort_connections)
 
     def stop(self) -> None:
         self.stopped = True
         self.channel.close()
 
-    def _keep(self, run: Callable[[], None]) -> None:
+    def _repeat(self, run_stream: Callable[[], None]) -> None:
+        """Runs a stream again whenever it ends, until the proxy is stopped."""
         while not self.stopped:
             try:
-                run()
+                run_stream()
             except RpcError:
                 self._counters["proxy streams ended"] += 1
             self.connected = False
             self._scheduler.sleep(20 * MS)
 
-    def _keep_dropping(self) -> None:
+    def _abort_connections(self) -> None:
         while not self.stopped:
-            self._scheduler.sleep(int(self.behaviour.drops_every * self._rng.uniform(0.5, 1.5)))
-            if self.behaviour.drops_every < 3600 * SECOND:  # it may have been told to stop doing so
+            self._scheduler.sleep(
+                int(self.behaviour.disconnect_interval * self._rng.uniform(0.5, 1.5))
+            )
+            # The interval may have been made endless meanwhile.
+            if self.behaviour.disconnect_interval < 3600 * SECOND:
                 self.channel.abort_connection()
 
-    def _follow(self) -> None:
+    def _run_ads_stream(self) -> None:
         path = ADS + (
             "DeltaAggregatedResources"
             if self.behaviour.incremental
@@ -336,41 +366,52 @@
                 return
             if not self.connected:
                 self.connected, self.connected_at = True, self._scheduler.now()
-            before = self._names() if self.view_changed else set()
+            before = self._drawable_servers() if self.view_changed else set()
             for answer in self.state.handle_response(message):
                 call.send_nowait(answer)
-            if self.view_changed and (after := self._names()) != before:
+            if self.view_changed and (after := self._drawable_servers()) != before:
                 self.view_changed(self, before, after)
             for cluster in self.state.resources[EDS]:
                 self._fresh_at[cluster] = self._scheduler.now()
-            if self.behaviour.reads_every:
-                self._scheduler.sleep(self.behaviour.reads_every)
-
-    def _names(self) -> set[str]:
-        """All servers that it may draw."""
-        found = [self.state.assignment(cluster) for cluster in self.state.resources[EDS]]
-        return {name for held in found if held is not None for name in held.names}
+            if self.behaviour.read_interval:
+                self._scheduler.sleep(self.behaviour.read_interval)
+
+    def _drawable_servers(self) -> set[str]:
+        """Returns the names of all servers that any cluster may draw."""
+        assignments = [self.state.assignment(cluster) for cluster in self.state.resources[EDS]]
+        return {
+            name
+            for assignment in assignments
+            if assignment is not None
+            for name in assignment.names
+        }
 
-    # Placing
+    # Placing logins
 
     def draw(self, cluster: str) -> tuple[str, tuple[str, int]] | None:
-        """Where a login of this cluster would go now; None: turned away, or nothing to draw from."""
-        found = self.state.assignment(cluster)
-        if found is None:
+        """Draws the server for a login.
+
+        Returns None if the login is turned away or there is no current assignment.
+        """
+        assignment = self.state.assignment(cluster)
+        if assignment is None:
             return None
         if (
-            found.stale_after
-            and self._scheduler.now() - self._fresh_at.get(cluster, 0) > found.stale_after
+            assignment.stale_after
+            and self._scheduler.now() - self._fresh_at.get(cluster, 0) > assignment.stale_after
         ):
             self._counters["draws from a stale view"] += 1
             return None
-        drawn = found.draw(self._rng, self.behaviour.even)
+        drawn = assignment.draw(self._rng, self.behaviour.even)
         if drawn is None:
             self._turned_away[cluster] += 1
         return drawn
 
     def place(self, cluster: str, hold: int) -> str | None:
-        """Opens a connection by the view, holds it for so long; blocks. Returns the server, or None."""
+        """Logs in to a drawn server and holds the connection for `hold` nanoseconds; blocks.
+
+        Returns the server's name, or None if the login was turned away or failed.
+        """
         drawn = self.draw(cluster)
         if drawn is None:
             self._counters["logins turned away"] += 1
@@ -381,70 +422,70 @@
         self.open_logins += 1
         stream = Stream.connect(address, LOGIN_STREAM_LIMITS)
         try:
-            if not self._opened(
+            if not self._log_in(
                 stream, f"OPEN {self._rng.getrandbits(48):x} {self.node}/{state} c={cluster}\r\n"
             ):
                 self._counters["logins failed"] += 1
                 self._failed[cluster, name] += 1
                 return None
             self._counters["logins placed"] += 1
-            until = self._scheduler.now() + hold
+            deadline = self._scheduler.now() + hold
             while (
                 not stream.peer_closed
                 and not stream.broken
-                and self._scheduler.now() < until
+                and self._scheduler.now() < deadline
                 and not self.stopped
             ):
-                self._scheduler.wait({stream.fd: READ}, until)
+                self._scheduler.wait({stream.fd: READ}, deadline)
                 stream.receive()
             return name
         finally:
             self.open_logins -= 1
             stream.close()
 
-    def _opened(self, stream: Stream, line: str) -> bool:
-        until = self._scheduler.now() + 2 * SECOND
-        while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, until):
-            if self._scheduler.now() >= until:
+    def _log_in(self, stream: Stream, line: str) -> bool:
+        deadline = self._scheduler.now() + 2 * SECOND
+        while not stream.broken and not self._scheduler.wait({stream.fd: WRITE}, deadline):
+            if self._scheduler.now() >= deadline:
                 return False
         if stream.connect_failed():
             return False
         stream.write(line.encode())
-        while self._scheduler.now() < until:
+        while self._scheduler.now() < deadline:
             stream.receive()
             try:
-                answer = stream.read_line()
+                response = stream.read_line()
             except LineTooLongError:
                 return False
-            if answer is not None:
-                return answer.startswith(b"UP ")
+            if response is not None:
+                return response.startswith(b"UP ")
             if stream.peer_closed or stream.broken:
                 return False
-            self._scheduler.wait({stream.fd: READ}, until)
+            self._scheduler.wait({stream.fd: READ}, deadline)
         return False
 
     # Load reports
 
-    def _report(self) -> None:
+    def _run_load_report_stream(self) -> None:
         call = self.channel.call(LRS, self._scheduler.now() + 60 * SECOND)
-        first = lrs_pb2.LoadStatsRequest()
-        first.node.id = self.node
-        call.send_nowait(first.SerializeToString())
+        request = lrs_pb2.LoadStatsRequest()
+        request.node.id = self.node
+        call.send_nowait(request.SerializeToString())
         content = call.receive()
         if content is None:
             return
-        answer = lrs_pb2.LoadStatsResponse()
-        answer.ParseFromString(content)
-        every = max(20 * MS, answer.load_reporting_interval.ToNanoseconds())
-        self._scheduler.sleep(int(every * self._rng.random()))
+        response = lrs_pb2.LoadStatsResponse()
+        response.ParseFromString(content)
+        interval = max(20 * MS, response.load_reporting_interval.ToNanoseconds())
+        self._scheduler.sleep(int(interval * self._rng.random()))
         while not self.stopped:
             if call.ended:
-                call.receive()  # raises how it ended
+                call.receive()  # raises the error that ended the call
                 return
-            self._say_loads(call)
-            self._scheduler.sleep(every)
+            self._send_load_report(call)
+            self._scheduler.sleep(interval)
 
-    def _say_loads(self, call: RpcCall) -> None:
+    def _send_load_report(self, call: RpcCall) -> None:
         issued, failed, turned_away = self._issued, self._failed, self._turned_away
         if not issued and not failed and not turned_away:
             return
@@ -459,8 +500,8 @@
                 total_error_requests=failed[cluster, name],
             )
             locality.locality.sub_zone = name
-        for cluster, number in turned_away.items():
+        for cluster, count in turned_away.items():
             stats = by_cluster.get(cluster) or message.cluster_stats.add(cluster_name=cluster)
-            stats.dropped_requests.add(category="refused", dropped_count=number)
+            stats.dropped_requests.add(category="refused", dropped_count=count)
         call.send_nowait(message.SerializeToString())
         self._issued, self._failed, self._turned_away = Counter(), Counter(), Counter()
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -1,7 +1,7 @@
-"""Stand-in transcribers: long-lived connections by the line protocol, and gRPC calls, at one address.
+"""A stand-in transcriber: connections by the line protocol and gRPC calls at one address.
 
-Owns what it was sent and when: that is what tests and benchmarks measure. `power` is what it can hold against the
-others; its report tells the load asked over what it can do.
+It reports each login and call that reaches it, with the time; tests and benchmarks measure by that.
+Its load report is its number of open connections over its `size`.
 """
 
 from __future__ import annotations
@@ -26,13 +26,25 @@
 
 
 class Placement(NamedTuple):
-    at: int  # ns
+    """A login or call that reached a transcriber.
+
+    `at` is in nanoseconds. `by` is the client's label in its login line, or the peer's address for
+    a call. `what` is the rest of the login line, or the name of the call.
+    """
+
+    at: int
     server: str
-    by: str  # who placed it
+    by: str
     what: str
 
 
 class Transcriber:
+    """A server that answers logins, probes and gRPC calls.
+
+    `size` is the number of connections that fill it; `ramp` is its warm-up time in nanoseconds.
+    Subclasses override the `_on_...` methods to follow a connection of the line protocol.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
@@ -48,8 +60,10 @@
             on_placement,
         )
         self.open_connections = 0
-        self.fails = False  # turns down all that is new
-        self.silent = False  # answers no probe
+        # True: new logins are answered with an error.
+        self.fails = False
+        # True: probes get no answer.
+        self.silent = False
         self.ramp, self.started_at = ramp, scheduler.now()
         self._rpc = RpcServer(
             scheduler,
@@ -61,12 +75,14 @@
         self.port = 0
 
     def listen(self) -> int:
+        """Opens the listening socket and returns its port."""
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self._listener.setblocking(False)
         self.port = int(self._listener.getsockname()[1])
         return self.port
 
     def accept_loop(self) -> None:
+        """Accepts connections for ever, each served by a task of its own."""
         assert self._listener is not None
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
@@ -78,24 +94,24 @@
                 self._scheduler.spawn(self._serve_connection, sock, "%s:%d" % address)
 
     def _serve_connection(self, sock: socket.socket, peer: str) -> None:
-        """Lines or HTTP/2: the first bytes tell."""
+        """Serves HTTP/2 if the connection starts with its preface, else the line protocol."""
         sock.setblocking(False)
         while True:
             try:
-                first = sock.recv(3, socket.MSG_PEEK)
+                first_bytes = sock.recv(3, socket.MSG_PEEK)
                 break
             except BlockingIOError:
                 self._scheduler.wait({sock.fileno(): READ})
             except OSError:
                 sock.close()
                 return
-        if first == b"PRI":
+        if first_bytes == b"PRI":
             self._rpc.serve_connection(sock, peer)
             return
         self._serve_lines(Stream(sock, LIMITS))
 
     def _serve_lines(self, stream: Stream) -> None:
-        up, login = False, ""
+        logged_in, login = False, ""
         try:
             while True:
                 stream.receive()
@@ -104,7 +120,7 @@
                     if stream.peer_closed or stream.broken:
                         return
                     self._scheduler.wait({stream.fd: READ})
-                elif line == b"STATS\r\n" and not up:
+                elif line == b"STATS\r\n" and not logged_in:
                     self._on_probe()
                     while self.silent:
                         self._scheduler.sleep(SECOND // 10)
@@ -112,16 +128,16 @@
                         b"PONG inflight=%d,x0=%.4f\r\n"
                         % (self.open_connections, self.open_connections / self.size)
                     )
-                elif (found := _OPEN.fullmatch(line)) and not up:
-                    login = found[1].decode()
+                elif (match := _OPEN.fullmatch(line)) and not logged_in:
+                    login = match[1].decode()
                     self._on_login()
                     if self.fails:
                         self._on_rejected(login)
                         stream.write(b"ERR\r\n")
                         return
-                    up = True
+                    logged_in = True
                     self.open_connections += 1
-                    self._on_placed(login, found[2].decode(), found[3].decode())
+                    self._on_placed(login, match[2].decode(), match[3].decode())
                     stream.write(b"UP %s\r\n" % self.name.encode())
                 elif line == b"quit\r\n":
                     stream.write(b"BYE\r\n")
@@ -131,15 +147,15 @@
         except LineTooLongError:
             return
         finally:
-            if up:
+            if logged_in:
                 self.open_connections -= 1
                 self._on_closed(login)
             stream.close()
 
-    # What a further stand-in does at each step of a connection by lines
+    # Hooks for subclasses, called at each step of a connection of the line protocol.
 
     def _on_login(self) -> None:
-        """A login has come; may wait."""
+        """Called when a login arrives, before it is answered; it may block."""
 
     def _on_probe(self) -> None:
         pass
@@ -158,13 +174,16 @@
         return self.name.encode()
 
     def _handle_hold(self, call: RpcCall) -> None:
-        """A stream that lasts: its first message is answered with this server's name, all others with themselves."""
+        """Serves a long-lived stream.
+
+        The first message is answered with the server's name, all others are echoed.
+        """
         self._on_placement(Placement(self._scheduler.now(), self.name, call.peer, "hold"))
         self.open_connections += 1
         try:
-            first = True
+            is_first = True
             while (message := call.receive()) is not None:
-                call.send(self.name.encode() if first else message)
-                first = False
+                call.send(self.name.encode() if is_first else message)
+                is_first = False
         finally:
             self.open_connections -= 1
--- a/examples/control/fleet.py
+++ b/examples/control/fleet.py
@@ -122,7 +122,7 @@
         held = proxy.state.assignment("speech")
         if held is None or not held.names:
             return {}
-        sums = (0, *held.sums)
+        sums = (0, *held.cumulative_weights)
         return {name: (sums[at + 1] - sums[at]) / sums[-1] for at, name in enumerate(held.names)}
 
     def _draw(self) -> None:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -149,7 +149,7 @@
         held = proxy.state.assignment(cluster)
         if held is None:
             return None
-        sums = (0, *held.sums)
+        sums = (0, *held.cumulative_weights)
         return {name: sums[at + 1] - sums[at] for at, name in enumerate(held.names)}
 
     def holds(self, proxy: Proxy, *names: str) -> None:
--- a/tools/fleet_count.py
+++ b/tools/fleet_count.py
@@ -1,10 +1,11 @@
-"""Counts what the balancers of a fleet did, second by second, from their own log lines.
+"""Counts what the balancers of a fleet did in each second, from their log lines.
 
     python tools/fleet_count.py DIR
 
-DIR holds one log a balancer, `NAME.log`, each line with its seconds since the start of the day in front. Printed are, for each
-second: what all balancers together took in, sent and met (their `second` lines), how many of them said what of discovery,
-and the servers that most of them spoke of. Reads only; a line that can't be read is counted and passed over.
+DIR holds one log file for each balancer, `NAME.log`. Each line starts with the seconds since the
+start of the day. For each second the tool prints the sums of the balancers' `second` lines, the
+number of balancers that reported each state of discovery, and the servers that most log lines
+name. It only reads; lines that can't be parsed are counted and skipped.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 from pathlib import Path
 
 LINE = re.compile(r"(\d+)\.\d+ corklift: (.*)")
-KINDS = (  # what a line tells, and the server that it tells of
+# The kinds of log lines that are counted. A group in the pattern is the server that the line names.
+KINDS = (
     ("list refused", re.compile(r"discovery: Overbooked")),
     ("list faults", re.compile(r"discovery: (?:Late|Gone|Malformed)")),
     ("list again", re.compile(r"discovery answers again")),
@@ -25,34 +27,38 @@
     ("silent", re.compile(r"server (\S+) silent")),
     ("leaves", re.compile(r"server (\S+) (?:drains|is gone)")),
 )
-FIGURE = re.compile(r"([a-z][a-z -]*)=(\d+)")
+COUNTER = re.compile(r"([a-z][a-z -]*)=(\d+)")
 
 
 def count(
     logs: Iterable[Iterable[str]],
 ) -> tuple[dict[int, Counter[str]], dict[int, Counter[str]], int]:
-    """By second: the sums of all logs, how many lines told of each server and how; and the lines that can't be read."""
+    """Adds up the log lines of a fleet.
+
+    Returns the sums of all logs by second, the number of lines by second for each server and kind,
+    and the number of lines that can't be parsed.
+    """
     sums: dict[int, Counter[str]] = defaultdict(Counter)
     servers: dict[int, Counter[str]] = defaultdict(Counter)
-    unread = 0
+    unparsable = 0
     for log in logs:
         for line in log:
-            found = LINE.match(line)
-            if found is None:
-                unread += bool(line.strip())
+            match = LINE.match(line)
+            if match is None:
+                unparsable += bool(line.strip())
                 continue
-            second, text = int(found[1]), found[2]
+            second, text = int(match[1]), match[2]
             if text.startswith("second: "):
-                for name, value in FIGURE.findall(text[8:]):
+                for name, value in COUNTER.findall(text[8:]):
                     sums[second][name.strip()] += int(value)
                 continue
             for kind, pattern in KINDS:
-                told = pattern.search(text)
-                if told is not None:
+                kind_match = pattern.search(text)
+                if kind_match is not None:
                     sums[second][kind] += 1
                     if pattern.groups:
-                        servers[second][f"{told[1]} {kind}"] += 1
-    return sums, servers, unread
+                        servers[second][f"{kind_match[1]} {kind}"] += 1
+    return sums, servers, unparsable
 
 
 def main() -> int:
@@ -60,12 +66,12 @@
         print(__doc__, file=sys.stderr)
         return 2
     paths = sorted(Path(sys.argv[1]).glob("*.log"))
-    sums, servers, unread = count(path.open(errors="replace") for path in paths)
+    sums, servers, unparsable = count(path.open(errors="replace") for path in paths)
     for second in sorted(sums):
-        told = " ".join(f"{name}={number}" for name, number in sorted(sums[second].items()))
-        spoken = ", ".join(f"{name} x{number}" for name, number in servers[second].most_common(4))
-        print(f"{second:4d}  {told}{'  | ' + spoken if spoken else ''}")
-    print(f"{len(paths)} balancers, {unread} lines that can't be read")
+        counters = " ".join(f"{name}={value}" for name, value in sorted(sums[second].items()))
+        frequent = ", ".join(f"{name} x{lines}" for name, lines in servers[second].most_common(4))
+        print(f"{second:4d}  {counters}{'  | ' + frequent if frequent else ''}")
+    print(f"{len(paths)} balancers, {unparsable} lines that can't be read")
     return 0 if paths else 1
 
 
