--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,7 @@
-"""A control service and stand-ins on loopback: discovery, transcribers and proxies, each side on a scheduler of its own."""
+"""A control service on loopback with stand-in discovery, transcribers and proxies.
+
+The service runs on a scheduler of its own, and all stand-ins on another one.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 [[workloads]]
 name = "plain"
 [[listeners]]
-name = "door"
+name = "main"
 routes = [{ workload = "plain" }]
 [report]
 pressure = "x0"
@@ -35,8 +38,8 @@
 """
 
 
-class Service:
-    """The program in a thread of its own; as good as a process but for its signals."""
+class ServiceThread:
+    """The control service in a thread: like the process, but without signals."""
 
     def __init__(self, config: ControlConfig, path: str | None = None) -> None:
         self.program = Program(config, path)
@@ -49,7 +52,7 @@
         self.program.scheduler.run()
 
     def kill(self) -> None:
-        """As a crash would: every socket is closed with nothing said."""
+        """Closes every socket without a message, as a crash would."""
         self.program.scheduler.stop()
         self._thread.join(5)
         for connection in list(self.program.server.connections):
@@ -65,6 +68,8 @@
 
 
 class Fleet(Loop):
+    """Discovery, transcribers, proxies and control services of one test."""
+
     def __init__(self, servers: int = 3, size: float = 100.0, ramp: int = 0) -> None:
         super().__init__()
         self.placed: list[Placed] = []
@@ -77,20 +82,20 @@
         for server in self.servers.values():
             server.listen()
         self.proxies: list[Proxy] = []
-        self.services: list[Service] = []
-        self.told_at: dict[str, int] = {}
+        self.services: list[ServiceThread] = []
+        self.marked_at: dict[str, int] = {}
 
     def __enter__(self) -> Fleet:
         super().__enter__()
         self.do(self._start)
         return self
 
-    def __exit__(self, *problem: Any) -> None:
+    def __exit__(self, *error: Any) -> None:
         for proxy in self.proxies:
             proxy.stop()
         for service in self.services:
             service.kill()
-        super().__exit__(*problem)
+        super().__exit__(*error)
 
     def _start(self) -> None:
         self.scheduler.spawn(self.discovery.keep_answering)
@@ -107,7 +112,7 @@
 
     def mark(self, name: str, status: str) -> None:
         def mark() -> None:
-            self.told_at[name] = self.scheduler.now()
+            self.marked_at[name] = self.scheduler.now()
             self.discovery.mark(name, status)
 
         self.do(mark)
@@ -118,14 +123,14 @@
             text = text.replace("127.0.0.1:0", f"127.0.0.1:{port}")
         return parse_config(text.encode())
 
-    def service(self, head: str = "", tail: str = "", port: int | None = None) -> Service:
-        service = Service(self.config(head, tail, port))
+    def service(self, head: str = "", tail: str = "", port: int | None = None) -> ServiceThread:
+        service = ServiceThread(self.config(head, tail, port))
         self.services.append(service)
         return service
 
     def proxy(
         self,
-        service: Service | int,
+        service: ServiceThread | int,
         habits: Habits = Habits(),
         node: str = "",
         limits: RpcLimits = RpcLimits(ping_after=0, initial_backoff=100 * MS, ring=8192),
@@ -145,18 +150,18 @@
         return proxy
 
     def weights(self, proxy: Proxy, cluster: str = "plain") -> dict[str, int] | None:
-        """What a proxy draws by now."""
-        held = proxy.held.servers(cluster)
-        if held is None:
+        """Returns the weights by which the proxy draws, by server; None before its first list."""
+        servers = proxy.held.servers(cluster)
+        if servers is None:
             return None
-        sums = (0, *held.sums)
-        return {name: sums[at + 1] - sums[at] for at, name in enumerate(held.names)}
+        sums = (0, *servers.sums)
+        return {name: sums[index + 1] - sums[index] for index, name in enumerate(servers.names)}
 
-    def holds(self, proxy: Proxy, *names: str) -> None:
+    def wait_for_servers(self, proxy: Proxy, *names: str) -> None:
         wait_for(
             lambda: set(self.weights(proxy) or ()) == set(names) and self.weights(proxy) is not None
         )
 
 
-def settle(seconds: float) -> None:
+def sleep(seconds: float) -> None:
     time.sleep(seconds)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The control service on loopback, with stand-in proxies, transcribers and discovery; the failures it is meant for."""
+"""The control service on loopback, with stand-in proxies, transcribers and discovery."""
 
 import json
 import os
@@ -14,7 +14,7 @@
 import grpc
 import pytest
 from envoy.service.discovery.v3 import discovery_pb2
-from fleet import CONFIG, Fleet, settle
+from fleet import CONFIG, Fleet, sleep
 from loop import wait_for
 
 from corklift.control.config import ControlConfigError, parse_config
@@ -27,18 +27,18 @@
 from corklift.standins.proxy import CDS, EDS, Habits
 
 ROOT = Path(__file__).parent.parent
-ALL = ("s1", "s2", "s3")
-SAME = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
+ALL_SERVERS = ("s1", "s2", "s3")
+RAW_BYTES = dict(request_serializer=lambda m: m, response_deserializer=lambda m: m)
 
 
-def test_both_variants_place_by_the_weights_and_leave_a_drained_server_at_once():
+def test_proxies_of_both_variants_place_by_weight_and_leave_a_drained_server_at_once():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
         proxies = [fleet.proxy(service, Habits(incremental=n % 2 == 1)) for n in range(4)]
         for proxy in proxies:
-            fleet.holds(proxy, *ALL)
-        # a busy server gets less, and what proxies placed counts before a probe tells of it
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
+        # A busy server gets less, and placements by proxies count before the next probe.
         fleet.do(lambda: setattr(fleet.servers["s1"], "open", 60))
         wait_for(lambda: all(fleet.weights(p).get("s1", 0) < TOTAL_WEIGHT / 20 for p in proxies))
         for number in range(40):
@@ -47,34 +47,34 @@
         wait_for(lambda: service.program.counters["logins placed by proxies"] == 40)
         assert Counter(placed.server for placed in fleet.placed)["s1"] <= 10
         fleet.mark("s2", "leaving")
-        began = time.monotonic()
+        drained_at = time.monotonic()
         for proxy in proxies:
             wait_for(lambda: "s2" not in fleet.weights(proxy), 0.5)
-        assert time.monotonic() - began < 0.5
+        assert time.monotonic() - drained_at < 0.5
         fleet.mark("s2", "active")
         for proxy in proxies:
-            fleet.holds(proxy, *ALL)
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
 
 
 @pytest.mark.parametrize("incremental", [False, True])
-def test_a_proxy_that_never_answers_or_refuses_still_loses_a_drained_server(incremental):
+def test_a_proxy_that_never_answers_or_rejects_a_response_still_loses_a_drained_server(incremental):
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service("", "[weights]\nevery_ms = 100")
-        # Responses of endpoints that hold s1 with others are refused from the second on: a weight, not the drain.
-        refuses = lambda url, names, count: "entry s1 is odd" if url == EDS and count == 2 else None  # noqa: E731
+        # Rejects the second response of endpoints: a change of weights, not the drain.
+        reject = lambda url, names, count: "entry s1 is odd" if url == EDS and count == 2 else None  # noqa: E731
         silent = fleet.proxy(service, Habits(incremental, acks=False))
-        refusing = fleet.proxy(service, Habits(incremental, refuses=refuses))
-        for proxy in (silent, refusing):
-            fleet.holds(proxy, *ALL)
+        rejecting = fleet.proxy(service, Habits(incremental, refuses=reject))
+        for proxy in (silent, rejecting):
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
         fleet.do(lambda: setattr(fleet.servers["s1"], "open", 50))
-        wait_for(lambda: refusing.held.refused)
+        wait_for(lambda: rejecting.held.refused)
 
-        def refused():
-            answer = fetch_status(("127.0.0.1", service.port), node=refusing.node)
+        def rejected_rows():
+            answer = fetch_status(("127.0.0.1", service.port), node=rejecting.node)
             return [row for row in status_rows(answer) if row["refused"]]
 
-        (row,) = wait_for(refused)
+        (row,) = wait_for(rejected_rows)
         assert (
             row["refused"] == "3: entry s1 is odd"
             and row["state"] == "nacked"
@@ -82,37 +82,36 @@
         )
         for name in ("s1", "s2"):
             fleet.mark(name, "leaving")
-            for proxy in (silent, refusing):
+            for proxy in (silent, rejecting):
                 wait_for(lambda: name not in fleet.weights(proxy), 0.5)
 
 
-def test_lost_half_way_a_proxy_comes_back_stale_and_is_brought_up_to_date():
+def test_a_proxy_that_reconnects_with_stale_or_unknown_versions_is_brought_up_to_date():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
         proxies = [fleet.proxy(service, Habits(incremental=n == 1)) for n in range(2)]
         for proxy in proxies:
-            fleet.holds(proxy, *ALL)
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
         for round_ in range(3):
-            fleet.do(
-                lambda: [proxy.channel.abort_connection() for proxy in proxies]
-            )  # lost as the update goes out
+            # The connections are lost while the update is being sent.
+            fleet.do(lambda: [proxy.channel.abort_connection() for proxy in proxies])
             fleet.mark("s1", "leaving")
             for proxy in proxies:
-                fleet.holds(proxy, "s2", "s3")
+                fleet.wait_for_servers(proxy, "s2", "s3")
             fleet.mark("s1", "active")
             for proxy in proxies:
-                fleet.holds(proxy, *ALL)
-        # versions and nonces that were never issued
+                fleet.wait_for_servers(proxy, *ALL_SERVERS)
+        # Versions that were never issued.
         for proxy in proxies:
 
-            def spoil(proxy=proxy):
+            def forge_versions(proxy=proxy):
                 proxy.held.versions = dict.fromkeys(proxy.held.versions, "never issued")
                 proxy.held.resources[EDS] = {"plain": ("never issued", b""), "gone": ("5", b"")}
                 proxy.channel.abort_connection()
 
-            fleet.do(spoil)
-            fleet.holds(proxy, *ALL)
+            fleet.do(forge_versions)
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
         wait_for(
             lambda: all(
                 not service.program.subscriptions.outdated_kinds(n)
@@ -121,35 +120,35 @@
         )
 
 
-def test_names_and_types_that_do_not_exist_and_requests_without_measure():
+def test_unknown_names_and_types_and_oversized_requests():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service("", "[limits]\nnames = 2000\nmessage_bytes = 1000000")
-        fleet.holds(fleet.proxy(service), *ALL)
+        fleet.wait_for_servers(fleet.proxy(service), *ALL_SERVERS)
         with grpc.insecure_channel(f"127.0.0.1:{service.port}") as channel:
-            stream = channel.stream_stream(ADS + "StreamAggregatedResources", **SAME)
+            stream = channel.stream_stream(ADS + "StreamAggregatedResources", **RAW_BYTES)
 
-            def ask(*messages):
+            def status_code(*messages):
                 call = stream(iter([m.SerializeToString() for m in messages]), timeout=5)
-                with pytest.raises(grpc.RpcError) as problem:
+                with pytest.raises(grpc.RpcError) as error:
                     for _ in call:
                         pass
-                return problem.value.code()
+                return error.value.code()
 
             request = discovery_pb2.DiscoveryRequest
             assert (
-                ask(request(type_url="type.googleapis.com/no.such.Type"))
+                status_code(request(type_url="type.googleapis.com/no.such.Type"))
                 is grpc.StatusCode.INVALID_ARGUMENT
             )
             many = request(type_url=EDS, resource_names=[f"n{n}" for n in range(2001)])
-            assert ask(many) is grpc.StatusCode.RESOURCE_EXHAUSTED
-            large = request(type_url=EDS)
-            large.node.metadata["x"] = "y" * 1_500_000
-            assert ask(large) is grpc.StatusCode.RESOURCE_EXHAUSTED
-            with pytest.raises(grpc.RpcError) as problem:
+            assert status_code(many) is grpc.StatusCode.RESOURCE_EXHAUSTED
+            too_large = request(type_url=EDS)
+            too_large.node.metadata["x"] = "y" * 1_500_000
+            assert status_code(too_large) is grpc.StatusCode.RESOURCE_EXHAUSTED
+            with pytest.raises(grpc.RpcError) as error:
                 list(stream(iter([b"\xff\xff no message"]), timeout=5))
-            assert problem.value.code() is grpc.StatusCode.INVALID_ARGUMENT
-            # under the limits: thousands of names and much metadata, of which nothing is kept
+            assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
+            # Within the limits: thousands of names and large metadata, which is not kept.
             some = request(type_url=EDS, resource_names=[f"n{n}" for n in range(1999)] + ["plain"])
             some.node.id = "large"
             some.node.metadata["x"] = "y" * 900_000
@@ -157,32 +156,32 @@
             answer = discovery_pb2.DiscoveryResponse()
             answer.ParseFromString(next(call))
             assert len(answer.resources) == 1
-        # several streams with one node's name are each told
+        # Several streams with the same node id are each served.
         twins = [fleet.proxy(service, node="twin") for _ in range(3)]
         for twin in twins:
-            fleet.holds(twin, *ALL)
+            fleet.wait_for_servers(twin, *ALL_SERVERS)
         answer = fetch_status(("127.0.0.1", service.port), node="twin")
         assert len(answer.config) == 3 and all(
             row["view"] == "synced" for row in status_rows(answer)
         )
         fleet.mark("s3", "leaving")
         for twin in twins:
-            fleet.holds(twin, "s1", "s2")
+            fleet.wait_for_servers(twin, "s1", "s2")
 
 
-def test_a_peer_that_opens_no_window_or_reads_a_byte_a_second_holds_up_nobody():
+def test_a_peer_with_a_closed_or_tiny_window_delays_no_other():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service(
             "", "[weights]\nevery_ms = 100\n[limits]\nstall_ms = 600\nping_after_ms = 0"
         )
-        good = fleet.proxy(service)
-        fleet.holds(good, *ALL)
+        reading_proxy = fleet.proxy(service)
+        fleet.wait_for_servers(reading_proxy, *ALL_SERVERS)
         from h2.config import H2Configuration
         from h2.connection import H2Connection
         from h2.settings import SettingCodes
 
-        shut = []
+        blocked_peers = []
         for window in (0, 1):
             sock = socket.create_connection(("127.0.0.1", service.port))
             client = H2Connection(H2Configuration(client_side=True))
@@ -202,68 +201,66 @@
             content = discovery_pb2.DiscoveryRequest(type_url=CDS).SerializeToString()
             client.send_data(1, b"\0" + len(content).to_bytes(4, "big") + content)
             sock.sendall(client.data_to_send())
-            shut.append((sock, client))
+            blocked_peers.append((sock, client))
         wait_for(lambda: len(service.program.subscriptions.streams) == 3)
-        for _ in range(4):  # a byte now and then is no reading
-            for sock, client in shut[1:]:
+        for _ in range(4):  # one byte now and then does not count as reading
+            for sock, client in blocked_peers[1:]:
                 client.increment_flow_control_window(1, stream_id=1)
                 sock.sendall(client.data_to_send())
             fleet.mark("s1", "leaving")
-            wait_for(lambda: "s1" not in fleet.weights(good), 0.5)
+            wait_for(lambda: "s1" not in fleet.weights(reading_proxy), 0.5)
             fleet.mark("s1", "active")
-            fleet.holds(good, *ALL)
+            fleet.wait_for_servers(reading_proxy, *ALL_SERVERS)
         wait_for(lambda: len(service.program.subscriptions.streams) == 1)
-        assert service.program.counters["calls stalled"] == 2 and good.connected
-        for sock, _ in shut:
+        assert service.program.counters["calls stalled"] == 2 and reading_proxy.connected
+        for sock, _ in blocked_peers:
             sock.close()
 
 
-def test_a_list_that_empties_is_told_and_one_that_flaps_is_not_followed_up_and_down():
+def test_an_empty_list_is_sent_and_a_flapping_server_returns_at_most_once_per_interval():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service("", "[weights]\nevery_ms = 500")
         proxy = fleet.proxy(service)
-        fleet.holds(proxy, *ALL)
-        before, began = proxy.held.responses[EDS], time.monotonic()
-        late = []
-        for number in range(40):  # ready and draining in turn, every 50 ms
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
+        responses_before, started_at = proxy.held.responses[EDS], time.monotonic()
+        removed_at = []
+        for number in range(40):  # alternates between ready and draining every 50 ms
             fleet.mark("s1", "leaving" if number % 2 == 0 else "active")
-            settle(0.05)
+            sleep(0.05)
             if number % 2 == 0:
                 wait_for(lambda: "s1" not in fleet.weights(proxy), 0.5)
-                late.append(time.monotonic())
-        spent = time.monotonic() - began
-        assert proxy.held.responses[EDS] - before <= 2 * (
-            spent / 0.5 + 2
-        )  # back in once a turn, out once after
+                removed_at.append(time.monotonic())
+        elapsed = time.monotonic() - started_at
+        # At most one return and one removal per interval of 0.5 s.
+        assert proxy.held.responses[EDS] - responses_before <= 2 * (elapsed / 0.5 + 2)
         fleet.mark("s1", "leaving")
-        for name in ALL:
+        for name in ALL_SERVERS:
             fleet.mark(name, "left")
         wait_for(lambda: fleet.weights(proxy) == {})
         assert fleet.do(lambda: proxy.place("plain", 0)) is None
         fleet.list_all()
-        fleet.holds(proxy, *ALL)
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
 
 
-def test_discovery_that_is_silent_or_cuts_its_answers_leaves_the_known_list_in_force():
+def test_with_silent_or_truncated_discovery_the_known_list_stays_in_use():
     with Fleet() as fleet:
         fleet.discovery.silent = True
         fleet.list_all()
         service = fleet.service()
         proxy = fleet.proxy(service)
-        settle(1.0)
-        assert (
-            proxy.connected is False and not service.program.subscriptions.has_snapshot
-        )  # no empty view before the list is known
+        sleep(1.0)
+        # No empty snapshot before the list is known.
+        assert proxy.connected is False and not service.program.subscriptions.has_snapshot
         fleet.discovery.silent = False
-        fleet.holds(proxy, *ALL)
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
         fleet.discovery.cuts = 3
         fleet.mark("s1", "leaving")
         wait_for(lambda: "s1" not in fleet.weights(proxy), 3)
         assert fleet.weights(proxy) and service.program.counters["discovery failures"] >= 3
 
 
-def test_the_service_killed_and_started_anew_under_200_proxies():
+def test_the_service_is_killed_and_restarted_under_200_proxies():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
@@ -276,20 +273,19 @@
             for n in range(200)
         ]
         wait_for(lambda: all(fleet.weights(p) for p in proxies), 15)
-        views = []  # all that any proxy draws by from now on must hold a server
+        views = []  # weights of proxies from now on; none may be empty
         port = service.port
         service.kill()
         wait_for(lambda: not any(p.connected for p in proxies))
         fleet.mark("s1", "leaving")
-        assert all(fleet.weights(p) for p in proxies)  # what they hold stays meanwhile
+        assert all(fleet.weights(p) for p in proxies)  # they keep what they were sent
         fleet.discovery.silent = True
         anew = fleet.service(port=port)
         until = time.monotonic() + 1.0
-        while (
-            time.monotonic() < until
-        ):  # connected anew, but the list is not known: nothing is sent
+        # The proxies are connected again, but the list is not known: nothing is sent.
+        while time.monotonic() < until:
             views += [fleet.weights(p) for p in proxies[::20]]
-            settle(0.05)
+            sleep(0.05)
         fleet.discovery.silent = False
         wait_for(lambda: all("s1" not in fleet.weights(p) for p in proxies), 10)
         wait_for(lambda: len(anew.program.subscriptions.streams) == 200)
@@ -300,10 +296,10 @@
             )
         )
         assert all(view for view in views) and all(len(fleet.weights(p)) == 2 for p in proxies)
-        assert fleet.counters["connects"] <= 200 * 6  # spread, not hammered
+        assert fleet.counters["connects"] <= 200 * 6  # reconnects are spread by the backoff
 
 
-def test_two_services_whose_lists_differ_for_seconds_come_to_equal_versions():
+def test_two_services_whose_lists_differ_for_seconds_converge_to_equal_versions():
     with Fleet() as fleet:
         other = Fleet(servers=0)
         fleet.list_all()
@@ -313,25 +309,29 @@
                     other.discovery.put(n, ("127.0.0.1", s.port)) for n, s in fleet.servers.items()
                 ]
             )
-            # Counts read at different times differ: without weights that move, equal lists are equal views.
-            still = "[weights]\nevery_ms = 100\ndead_band = 1.0"
-            one, two = fleet.service("services = 2", still), other.service("services = 2", still)
+            # Loads read at different times differ. A dead band of 1 keeps weights fixed, so that
+            # equal lists give equal versions.
+            fixed_weights = "[weights]\nevery_ms = 100\ndead_band = 1.0"
+            one, two = (
+                fleet.service("services = 2", fixed_weights),
+                other.service("services = 2", fixed_weights),
+            )
             proxies = [fleet.proxy(one), fleet.proxy(two)]
             for proxy in proxies:
-                fleet.holds(proxy, *ALL)
+                fleet.wait_for_servers(proxy, *ALL_SERVERS)
             fleet.mark("s1", "leaving")
-            fleet.holds(proxies[0], "s2", "s3")
-            settle(1.0)
-            fleet.holds(proxies[1], *ALL)  # its list has not told it yet
+            fleet.wait_for_servers(proxies[0], "s2", "s3")
+            sleep(1.0)
+            fleet.wait_for_servers(proxies[1], *ALL_SERVERS)  # its list has no drain yet
             other.do(lambda: other.discovery.mark("s1", "leaving"))
-            fleet.holds(proxies[1], "s2", "s3")
+            fleet.wait_for_servers(proxies[1], "s2", "s3")
             wait_for(
                 lambda: (
                     [one.program.subscriptions.current_version(k) for k in ResourceKind]
                     == [two.program.subscriptions.current_version(k) for k in ResourceKind]
                 )
             )
-            # a proxy that goes from one to the other is owed nothing
+            # A proxy that moves from one service to the other is sent nothing.
             sent = two.program.counters["response bytes"]
             held = proxies[0].held
             moved = fleet.proxy(two)
@@ -341,7 +341,7 @@
                 held.names,
             )
             wait_for(lambda: len(two.program.subscriptions.streams) == 2)
-            settle(0.3)
+            sleep(0.3)
             assert two.program.counters["response bytes"] <= sent + 3000
 
 
@@ -358,64 +358,63 @@
             server.open += 40
         wait_for(lambda: all(fleet.weights(p) for p in proxies), 15)
 
-        def load():
-            while True:  # some 120 logins a second among all of them, each short
+        def place_logins():
+            while True:  # about 120 short logins a second in total
                 for proxy in proxies:
                     fleet.scheduler.spawn(proxy.place, "plain", 200 * MS)
                     fleet.scheduler.sleep(8 * MS)
 
-        fleet.do(lambda: fleet.scheduler.spawn(load))
-        settle(3)
+        fleet.do(lambda: fleet.scheduler.spawn(place_logins))
+        sleep(3)
 
-        def restart():  # s1 was away and comes back cold
+        def restart():  # s1 returns cold
             fleet.servers["s1"].open = 0
             fleet.discovery.put(
                 "s1", ("127.0.0.1", fleet.servers["s1"].port), since_ms=fleet.scheduler.now() // MS
             )
 
         fleet.mark("s1", "leaving")
-        settle(1)
+        sleep(1)
         fleet.do(restart)
-        began = fleet.scheduler.now()
-        settle(4)
-        placed = [p.at for p in fleet.placed if p.server == "s1" and p.at >= began]
-        assert placed, "it is offered to someone"
-        for at in (
-            placed
-        ):  # in any second: the multiple of what it can take in, which grows from 0.3 to all of it
-            age = min(1.0, (at - began) / SECOND / ramp)
-            bears = multiple * (0.3 + 0.7 * age) * size / ramp
-            assert sum(at - SECOND < other <= at for other in placed) <= bears
-
-
-def test_a_view_out_of_contact_runs_out_and_one_in_contact_does_not():
+        restarted_at = fleet.scheduler.now()
+        sleep(4)
+        placed = [p.at for p in fleet.placed if p.server == "s1" and p.at >= restarted_at]
+        assert placed, "the cold server is offered to no proxy"
+        # In any second at most `multiple` times its capacity, which ramps up from 0.3 to 1.
+        for at in placed:
+            age = min(1.0, (at - restarted_at) / SECOND / ramp)
+            limit = multiple * (0.3 + 0.7 * age) * size / ramp
+            assert sum(at - SECOND < other <= at for other in placed) <= limit
+
+
+def test_endpoints_expire_without_contact_to_the_service_and_not_with_it():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service(
             "", "[freshness]\nendpoint_stale_after_ms = 600\n[weights]\ndead_band = 1.0"
         )
         proxy = fleet.proxy(service)
-        fleet.holds(proxy, *ALL)
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
         until = time.monotonic() + 1.5
         while time.monotonic() < until:
             assert fleet.do(lambda: proxy.draw("plain")) is not None
-            settle(0.05)
+            sleep(0.05)
         service.kill()
-        settle(0.8)
+        sleep(0.8)
         assert (
             fleet.do(lambda: proxy.draw("plain")) is None
             and fleet.counters["draws from a stale view"] == 1
         )
 
 
-def test_a_server_at_a_new_address_is_told_at_once_and_one_that_started_anew_is_out_until_weighed():
+def test_a_new_address_is_sent_at_once_and_a_restarted_server_waits_for_its_cold_weight():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service(
             "", "[weights]\nevery_ms = 3000\ndead_band = 1.0\n[cold]\nramp_ms = 60000"
         )
         proxy = fleet.proxy(service)
-        fleet.holds(proxy, *ALL)
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
         other = fleet.servers["s2"].port
         fleet.do(lambda: fleet.discovery.put("s1", ("127.0.0.1", other)))
         wait_for(
@@ -431,64 +430,65 @@
             )
         )
         wait_for(lambda: set(fleet.weights(proxy)) == {"s1", "s2"}, 0.5)
-        fleet.holds(proxy, *ALL)
-        assert fleet.weights(proxy)["s3"] < TOTAL_WEIGHT / 5  # cold: no more than it bears
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
+        assert fleet.weights(proxy)["s3"] < TOTAL_WEIGHT / 5  # cold: limited to its capacity
 
 
-def test_a_load_report_without_measure_ends_its_stream_and_unknown_servers_count_for_nothing():
+def test_an_oversized_load_report_ends_its_stream_and_unknown_servers_are_ignored():
     from envoy.service.load_stats.v3 import lrs_pb2
 
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
-        fleet.holds(fleet.proxy(service), *ALL)
+        fleet.wait_for_servers(fleet.proxy(service), *ALL_SERVERS)
         with grpc.insecure_channel(f"127.0.0.1:{service.port}") as channel:
-            for number, code in (
+            for count, code in (
                 (6000, grpc.StatusCode.INVALID_ARGUMENT),
                 (1, grpc.StatusCode.DEADLINE_EXCEEDED),
             ):
                 report = lrs_pb2.LoadStatsRequest()
                 stats = report.cluster_stats.add(cluster_name="plain")
-                for at in range(number):
+                for at in range(count):
                     stats.upstream_locality_stats.add(
                         total_issued_requests=1 << 60
                     ).locality.sub_zone = f"x{at}"
                     stats.upstream_locality_stats.add(
                         total_issued_requests=5
                     ).locality.sub_zone = "never listed"
-                talk = threading.Event()
+                done = threading.Event()
 
-                def say(content=report.SerializeToString(), talk=talk):
+                def requests(content=report.SerializeToString(), done=done):
                     yield content
-                    talk.wait(5)
+                    done.wait(5)
 
-                with pytest.raises(grpc.RpcError) as problem:
-                    list(channel.stream_stream(LRS, **SAME)(say(), timeout=0.7))
-                talk.set()
-                assert problem.value.code() is code
+                with pytest.raises(grpc.RpcError) as error:
+                    list(channel.stream_stream(LRS, **RAW_BYTES)(requests(), timeout=0.7))
+                done.set()
+                assert error.value.code() is code
         assert "exceptions" not in service.program.counters and fleet.weights(fleet.proxies[0])
 
 
-def test_draining_servers_are_marked_where_that_is_wanted():
+def test_draining_servers_are_marked_if_configured():
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service('draining = "mark"')
         proxy = fleet.proxy(service)
-        fleet.holds(proxy, *ALL)
+        fleet.wait_for_servers(proxy, *ALL_SERVERS)
         fleet.mark("s1", "leaving")
-        fleet.holds(proxy, "s2", "s3")
+        fleet.wait_for_servers(proxy, "s2", "s3")
         body = proxy.held.resources[EDS]["plain"][1]
-        assert b"s1" in body  # it is there, so what stands there stands, but nobody draws it
+        assert b"s1" in body  # still listed, so open connections stay, but without a weight
         fleet.mark("s1", "left")
         wait_for(lambda: b"s1" not in proxy.held.resources[EDS]["plain"][1])
 
 
-def test_a_grpcio_client_is_placed_by_our_weights_and_leaves_a_draining_server_in_time():
+def test_a_grpcio_client_follows_our_weights_and_leaves_a_draining_server_in_time():
     with Fleet() as fleet:
-        for name, standing in zip(ALL, (10, 20, 60)):
+        for name, standing in zip(ALL_SERVERS, (10, 20, 60)):
             fleet.servers[name].open = standing
         fleet.list_all()
-        # Told once and then held: hundreds of calls a second would move the weights while they are measured.
+        # Published once and then fixed: hundreds of calls a second would otherwise change the
+        # weights during the measurement.
         service = fleet.service("", "[weights]\nevery_ms = 60000")
         wait_for(lambda: service.program.subscriptions.has_snapshot)
         assert len(set(service.program.weights.published["plain"].weights.values())) == 3
@@ -497,7 +497,7 @@
                 sys.executable,
                 str(ROOT / "examples/control/grpc_client.py"),
                 f"127.0.0.1:{service.port}",
-                "xds:///door",
+                "xds:///main",
                 "0",
             ],
             stdin=subprocess.PIPE,
@@ -505,34 +505,39 @@
         )
         try:
             wait_for(lambda: len(fleet.placed) > 400, 20)
-            took = Counter(placed.server for placed in fleet.placed)
+            logins_by_server = Counter(placed.server for placed in fleet.placed)
             weights = service.program.weights.published["plain"].weights
             share = (
                 sum(
-                    abs(took[name] / sum(took.values()) - weights[name] / TOTAL_WEIGHT)
-                    for name in ALL
+                    abs(
+                        logins_by_server[name] / sum(logins_by_server.values())
+                        - weights[name] / TOTAL_WEIGHT
+                    )
+                    for name in ALL_SERVERS
                 )
                 / 2
             )
-            assert share < 0.1 and took["s3"] < took["s2"] < took["s1"]
-            wait_for(
-                lambda: service.program.counters["logins placed by proxies"] > 100
-            )  # it reports loads itself
+            assert (
+                share < 0.1
+                and logins_by_server["s3"] < logins_by_server["s2"] < logins_by_server["s1"]
+            )
+            # The client reports its loads itself.
+            wait_for(lambda: service.program.counters["logins placed by proxies"] > 100)
             fleet.mark("s1", "leaving")
-            told, sofar = fleet.told_at["s1"], len(fleet.placed)
-            wait_for(lambda: len(fleet.placed) > sofar + 300, 20)
-            settle(0.7)
-            late = [
-                placed.at - told
+            drained_at, count_before = fleet.marked_at["s1"], len(fleet.placed)
+            wait_for(lambda: len(fleet.placed) > count_before + 300, 20)
+            sleep(0.7)
+            delays = [
+                placed.at - drained_at
                 for placed in fleet.placed
-                if placed.server == "s1" and placed.at > told
+                if placed.server == "s1" and placed.at > drained_at
             ]
-            assert max(late, default=0) < 500 * MS
+            assert max(delays, default=0) < 500 * MS
         finally:
             client.communicate(timeout=10)
 
 
-GOOD = CONFIG % (8500, "", "")
+VALID_CONFIG = CONFIG % (8500, "", "")
 
 
 @pytest.mark.parametrize(
@@ -552,20 +557,20 @@
         (
             (
                 "[report]",
-                '[[listeners]]\nname = "door"\nroutes = [{ workload = "plain" }]\n[report]',
+                '[[listeners]]\nname = "main"\nroutes = [{ workload = "plain" }]\n[report]',
             ),
             "listeners has a duplicate name",
         ),
     ],
 )
-def test_a_bad_configuration_is_refused_by_its_key(change, key):
-    assert parse_config(GOOD.encode()).workloads
-    with pytest.raises(ControlConfigError) as problem:
-        parse_config(GOOD.replace(*change).encode())
-    assert key in str(problem.value)
+def test_an_invalid_configuration_is_rejected_with_its_key(change, key):
+    assert parse_config(VALID_CONFIG.encode()).workloads
+    with pytest.raises(ControlConfigError) as error:
+        parse_config(VALID_CONFIG.replace(*change).encode())
+    assert key in str(error.value)
 
 
-def test_weights_are_told_in_turn_where_they_matter_and_never_hold_a_drain():
+def test_significant_weights_are_published_once_per_interval_and_drains_at_once():
     weights = WeightPublisher(WeightSettings(interval=SECOND, dead_band=0.05))
     assert weights.may_publish(0, "w") and weights.publish(0, "w", {"a": 0.5, "b": 0.5}, "ab")
     assert not weights.may_publish(SECOND - 1, "w") and weights.may_publish(SECOND, "w")
@@ -574,7 +579,7 @@
     assert weights.publish(2 * SECOND, "w", {"a": 0.96, "b": 0.04}, "ab")
     assert weights.publish(
         3 * SECOND, "w", {"a": 0.99, "b": 0.01}, "ab"
-    )  # little of the draw, much of its own
+    )  # a small part of the draw, but a large part of b's share
     assert weights.remove_servers(["b"]) == ["w"] and weights.published["w"].weights.keys() == {"a"}
     assert weights.remove_servers(["b"]) == []
     assert (
@@ -587,7 +592,7 @@
     assert weights.publish(6 * SECOND, "w", {}, "") and weights.published["w"] == ({}, 0)
 
 
-def started(path):
+def start_process(path):
     process = subprocess.Popen(
         [sys.executable, "-m", "corklift", "control", "--config", str(path)],
         cwd=ROOT,
@@ -599,17 +604,17 @@
     return process, int(line["listen"].rpartition(":")[2])
 
 
-def test_as_a_process_it_reads_anew_tells_its_status_and_sends_proxies_elsewhere(tmp_path):
+def test_the_process_reloads_reports_its_status_and_sends_proxies_away_at_its_end(tmp_path):
     with Fleet() as fleet:
         fleet.list_all()
         path = tmp_path / "control.toml"
         text = CONFIG % (fleet.discovery_port, "", "")
         path.write_text(text)
-        process, port = started(path)
+        process, port = start_process(path)
         try:
             proxy = fleet.proxy(port)
-            fleet.holds(proxy, *ALL)
-            told = subprocess.run(
+            fleet.wait_for_servers(proxy, *ALL_SERVERS)
+            completed = subprocess.run(
                 [
                     sys.executable,
                     "-m",
@@ -625,40 +630,45 @@
                 text=True,
                 timeout=20,
             )
-            found = json.loads(told.stdout)
-            assert {row["kind"] for row in found} == {
+            rows = json.loads(completed.stdout)
+            assert {row["kind"] for row in rows} == {
                 "clusters",
                 "endpoints",
                 "listeners",
                 "routes",
             }
-            assert all(row["view"] == "synced" and row["node"] == "p0" for row in found)
+            assert all(row["view"] == "synced" and row["node"] == "p0" for row in rows)
 
-            def line(event):
+            def next_line(event):
                 while (found := json.loads(process.stderr.readline()))["event"] != event:
                     pass
                 return found
 
             path.write_text(text.replace('name = "plain"', 'name = ""'))
             process.send_signal(signal.SIGHUP)
-            assert "workloads[0].name" in line("configuration refused")["reason"]
+            assert "workloads[0].name" in next_line("configuration refused")["reason"]
             assert fleet.weights(proxy)
-            more = text.replace("[[listeners]]", '[[workloads]]\nname = "more"\n[[listeners]]')
-            path.write_text(more.replace('{ workload = "plain" }', '{ workload = "more" }'))
+            two_workloads = text.replace(
+                "[[listeners]]", '[[workloads]]\nname = "more"\n[[listeners]]'
+            )
+            path.write_text(
+                two_workloads.replace('{ workload = "plain" }', '{ workload = "more" }')
+            )
             process.send_signal(signal.SIGHUP)
-            line("configuration taken")
+            next_line("configuration taken")
             wait_for(lambda: fleet.weights(proxy, "more"))
             path.write_text(
-                more.replace('[[workloads]]\nname = "plain"\n', "").replace('"plain"', '"more"')
+                two_workloads.replace('[[workloads]]\nname = "plain"\n', "").replace(
+                    '"plain"', '"more"'
+                )
             )
             process.send_signal(signal.SIGHUP)
-            line("configuration taken")
-            wait_for(
-                lambda: set(proxy.held.resources[CDS]) == {"more"}
-            )  # the cluster goes once no route names it
+            next_line("configuration taken")
+            # The cluster is removed once no route refers to it.
+            wait_for(lambda: set(proxy.held.resources[CDS]) == {"more"})
             process.send_signal(signal.SIGTERM)
             assert process.wait(5) == 0
-            counters = line("counters")
+            counters = next_line("counters")
             assert counters["responses_of_endpoints"] >= 2 and "exceptions" not in counters
             wait_for(lambda: not proxy.connected)
         finally:
@@ -678,9 +688,10 @@
         "sys.argv = ['corklift']\n"
         "assert m.main() == 0\n"
         "names = {name.partition('.')[0] for name in sys.modules}\n"
-        "print(sorted(names - set(sys.stdlib_module_names) - {'__main__', 'corklift', 'greenlet'}))\n"
+        "print(sorted(names - set(sys.stdlib_module_names) - "
+        "{'__main__', 'corklift', 'greenlet'}))\n"
     )
-    told = subprocess.run(
+    completed = subprocess.run(
         [
             sys.executable,
             "-S",
@@ -693,4 +704,4 @@
         env=os.environ | {"BALANCER_CONFIG": str(config)},
         timeout=20,
     )
-    assert told.stdout.strip() == "[]", told.stdout + told.stderr
+    assert completed.stdout.strip() == "[]", completed.stdout + completed.stderr
--- a/tests/test_control_kept.py
+++ b/tests/test_control_kept.py
@@ -1,4 +1,8 @@
-"""The control service as a process that is killed under drains: what it offers when it is back, with discovery mute or back with an old list."""
+"""The control service as a process that is killed during drains.
+
+After its restart, discovery is silent at first and then returns a list from before the drain. A
+drained server must not be offered again.
+"""
 
 import json
 import signal
@@ -14,7 +18,9 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Service:
+class ServiceProcess:
+    """A control service with a store, in a process of its own."""
+
     def __init__(self, fleet, folder):
         self.fleet, self.path, self.process = fleet, folder / "control.toml", None
         self.path.write_text(
@@ -38,16 +44,20 @@
         self.process.stderr.close()
 
 
-def kills(tmp_path, number, seed=1):
-    """Returns how often a server was offered whose drain a proxy had been told, and how often that was."""
-    rng, offered, told = Random(seed), 0, 0
+def count_offers_after_kills(tmp_path, rounds, seed=1):
+    """Kills the service once per round, during a drain.
+
+    Returns how often a proxy saw the drain before the kill, and was offered the server afterwards;
+    and how often it saw the drain.
+    """
+    rng, offered, drains_seen = Random(seed), 0, 0
     with Fleet() as fleet:
         fleet.list_all()
-        service = Service(fleet, tmp_path)
+        service = ServiceProcess(fleet, tmp_path)
         proxy = service.start()
         try:
-            for turn in range(number):
-                name = f"s{1 + turn % 3}"
+            for round_number in range(rounds):
+                name = f"s{1 + round_number % 3}"
                 wait_for(lambda: len(fleet.weights(proxy) or ()) == 3)
                 index = fleet.discovery.index
                 fleet.mark(name, "leaving")
@@ -57,35 +67,32 @@
                 proxy.stop()
                 fleet.discovery.silent = True
                 proxy = service.start()
-                wait_for(
-                    lambda: fleet.weights(proxy)
-                )  # it knows its last list before discovery answers
+                # The service knows its last list before discovery answers.
+                wait_for(lambda: fleet.weights(proxy))
                 offered += seen and name in fleet.weights(proxy)
-                told += seen
+                drains_seen += seen
 
-                def old():
-                    # Back with a list of before the drain.
+                def return_old_list():
+                    # Discovery answers again, with a list from before the drain.
                     fleet.discovery.entries[name]["status"] = "active"
                     fleet.discovery.index, fleet.discovery.silent = index, False
 
-                fleet.do(old)
+                fleet.do(return_old_list)
                 if seen:
                     time.sleep(0.3)
                     offered += name in fleet.weights(proxy)
-                fleet.do(
-                    lambda: fleet.discovery.put(name, ("127.0.0.1", fleet.servers[name].port))
-                )  # one more than the drain ...
-                fleet.do(
-                    lambda: fleet.discovery.put(name, ("127.0.0.1", fleet.servers[name].port))
-                )  # ... and one newer
+                # Restores the server in two list versions: one with the number of the drain, one
+                # newer.
+                fleet.do(lambda: fleet.discovery.put(name, ("127.0.0.1", fleet.servers[name].port)))
+                fleet.do(lambda: fleet.discovery.put(name, ("127.0.0.1", fleet.servers[name].port)))
             wait_for(lambda: len(fleet.weights(proxy) or ()) == 3)
             service.process.send_signal(signal.SIGTERM)
             assert service.process.wait(10) == 0
         finally:
             service.kill()
-    return offered, told
+    return offered, drains_seen
 
 
-def test_killed_under_drains_no_drained_server_is_offered_again(tmp_path):
-    offered, told = kills(tmp_path, 6)
-    assert offered == 0 and told >= 2
+def test_after_kills_during_drains_no_drained_server_is_offered_again(tmp_path):
+    offered, drains_seen = count_offers_after_kills(tmp_path, 6)
+    assert offered == 0 and drains_seen >= 2
