--- a/corklift/control/__init__.py
+++ b/corklift/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control service: our placement choices handed to other people's proxies through xDS."""
+"""The control service: passes corklift's placement decisions to third-party proxies over xDS."""
--- a/corklift/control/persistence.py
+++ b/corklift/control/persistence.py
@@ -40,17 +40,17 @@
         self,
         scheduler: Scheduler,
         path: str,
-        open_timeout: int,
+        disk_timeout: int,
         listed: Callable[[Scope, Listing], None],
         write_event: Callable[..., None],
     ) -> None:
-        self._scheduler, self._open_timeout, self._forward_list, self._write_event = (
+        self._scheduler, self._disk_timeout, self._forward_list, self._write_event = (
             scheduler,
-            open_timeout,
+            disk_timeout,
             listed,
             write_event,
         )
-        self._core = Recovery(
+        self._recovery = Recovery(
             self,
             Random(),
             RecoveryConfig(),
@@ -69,12 +69,12 @@
         self._pending_writes = 0
 
     def jobs(self) -> list[Callable[[], None]]:
-        self._open_deadline = self._scheduler.now() + self._open_timeout
+        self._open_deadline = self._scheduler.now() + self._disk_timeout
         self._store_worker.start()
         return [self._store_worker.run_callbacks, self._limit_opening]
 
     def _limit_opening(self) -> None:
-        self._scheduler.sleep(self._open_timeout)
+        self._scheduler.sleep(self._disk_timeout)
         self._finish_opening()
 
     def _opened(
@@ -88,9 +88,9 @@
             except FactDecodeError as error:
                 lost = lost or str(error)
         if report is None:
-            self._core.store_unreadable(now, why)
+            self._recovery.store_unreadable(now, why)
         else:
-            self._core.store_loaded(
+            self._recovery.store_loaded(
                 now,
                 facts,
                 Marker(report.store_id, report.sequence),
@@ -98,7 +98,7 @@
                 lost,
                 report.write_error,
             )
-        stored_list = self._core.facts.get(LIST)
+        stored_list = self._recovery.facts.get(LIST)
         if self._full_list is None and stored_list is not None:
             entries = tuple(
                 ServerEntry(
@@ -151,7 +151,7 @@
             tuple(e for e in known.values() if e.status is not Status.GONE),
             0,
         )
-        self._core.list_received(
+        self._recovery.list_received(
             now,
             [
                 StoredServer(e.name, *e.address, e.zone, e.kind, e.cell, int(e.status), e.weight)
@@ -169,7 +169,7 @@
         entries = []
         for entry in content.entries:
             drains = (
-                self._core.update_drain(
+                self._recovery.update_drain(
                     now,
                     entry.name,
                     entry.started_at,
@@ -177,7 +177,7 @@
                     entry.status is not Status.READY,
                 )
                 if from_discovery
-                else self._core.facts.is_leaving(entry.name, entry.started_at, content.version)
+                else self._recovery.facts.is_leaving(entry.name, entry.started_at, content.version)
             )
             entries.append(
                 entry._replace(status=Status.DRAINING)
@@ -187,8 +187,8 @@
         return content._replace(entries=tuple(entries))
 
     def close(self) -> None:
-        self._core.stopping(self._scheduler.now())
-        self._store_worker.wait_until_idle(self._open_timeout)
+        self._recovery.stopping(self._scheduler.now())
+        self._store_worker.wait_until_idle(self._disk_timeout)
         self._store_worker.stop()
 
     # Host of the recovery: there are no peers, and operators act on discovery alone
@@ -198,7 +198,7 @@
 
         def on_written(sequence: int, why: str) -> None:
             self._pending_writes -= 1
-            self._core.persisted(self._scheduler.now(), number, sequence, why)
+            self._recovery.persisted(self._scheduler.now(), number, sequence, why)
 
         self._store_worker.submit(dict(map(encode_fact, facts)), on_written)
 
--- a/corklift/control/subscriptions.py
+++ b/corklift/control/subscriptions.py
@@ -124,6 +124,8 @@
         # Versions that the proxy already held when it opened the stream, from this or another
         # server.
         self.initial_versions: dict[str, str] = {}
+        # Sent responses without an answer by nonce: their version, and each name with its resource
+        # or None for a removal.
         self.unanswered: OrderedDict[str, tuple[str, tuple[tuple[str, Resource | None], ...]]] = (
             OrderedDict()
         )
@@ -194,8 +196,8 @@
     ) -> None:
         """Replaces the given kinds of the snapshot and sends what changed.
 
-        `urgent`: a server was removed; the change does not wait for earlier responses to be
-        answered.
+        `urgent`: a server was removed or its address changed, so that the change is sent without
+        waiting for answers to earlier responses.
         """
         old = self._snapshot
         self._snapshot = {kind: tables.get(kind, old[kind]) for kind in ResourceKind}
@@ -457,7 +459,7 @@
             elif subscription.wants(name) and (
                 subscription.incremental or name in subscription.sent
             ):
-                # Skips a resource that was removed since without a message to the proxy.
+                # Skips a resource that was removed since then without a message to the proxy.
                 subscription.accepted[name] = resource
 
     def _match_initial_versions(self, stream: ProxyStream, subscription: Subscription) -> None:
