--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -251,7 +251,7 @@
         self.store_error = ""  # the store's present error; empty: none
         # Whether the store is known to lack facts that it once had, and no peer that lived through
         # it has replied since.
-        self.store_behind = False
+        self.behind = False
         self._live_peers: list[str] = []
         self._membership_ready = alone
         self._requests: dict[int, tuple[str, int]] = {}  # by request id: peer, time
@@ -307,7 +307,7 @@
         late, self._store_done = self._store_done, True
         self.own_marker, self.store_error = marker, error
         changed = [fact for fact in facts if self.facts.merge(fact, Provenance.READ)]
-        self.store_behind = self.store_behind or bool(lost)
+        self.behind = self.behind or bool(lost)
         ended = self.facts.get(ENDED)
         # Decided by the boot of the machine, because killing the program has no effect on the
         # servers.
@@ -336,7 +336,7 @@
         """The store can't be read, and nothing was salvaged from it; the balancer starts without
         facts.
         """
-        self._store_done, self.store_error, self.store_behind, self.starts_empty = (
+        self._store_done, self.store_error, self.behind, self.starts_empty = (
             True,
             reason,
             True,
@@ -527,7 +527,7 @@
         ):
             # The peer knows a later position of this store: it was rolled back or emptied, or
             # acknowledged a sync without doing it.
-            if not self.store_behind:
+            if not self.behind:
                 self._host.log(
                     "behind",
                     by=reply.sender,
@@ -535,7 +535,7 @@
                     has=self.own_marker.sequence,
                     other_store=known_marker.store != self.own_marker.store,
                 )
-            self.store_behind = True
+            self.behind = True
         if self.starts_empty and reply.power_lost:
             self.power_lost = True
         if reply.lived_through:
@@ -549,8 +549,8 @@
                     for key, start in self.known_start_times.items()
                 },
             }
-            if self.store_behind:
-                self.store_behind = False
+            if self.behind:
+                self.behind = False
                 self._host.log("made good", by=reply.sender)
         if changed:
             self._persist(tuple(changed))
@@ -965,7 +965,7 @@
             sorted(self._queries_sent.items()),
             sorted(self.replies.items()),
             self.live_peer_replied,
-            self.store_behind,
+            self.behind,
             self.starts_empty,
             self.unclean_stop,
             self.power_lost,
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -560,7 +560,7 @@
         core = self.core
         return (
             f"app.recovery_step:{int(core.phase)}|g\n"
-            f"app.store_behind:{int(core.store_behind)}|g\n"
+            f"app.store_behind:{int(core.behind)}|g\n"
             f"app.store_trouble:{int(bool(core.store_error))}|g\n"
             f"app.store_commits:{core.own_marker.sequence}|c\n"
             "app.store_waiting_ms:"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,6 @@
-"""The core of membership in virtual time: seeded histories, deliberate faults that they find, the count, small worlds in all orders."""
+"""Tests of the membership core in virtual time: seeded histories, mutants, the count of balancers,
+and state space exploration.
+"""
 
 from random import Random
 
@@ -27,7 +29,7 @@
 SECOND = 1_000_000_000
 
 
-def test_histories_keep_every_promise():
+def test_histories_violate_no_rule():
     found = [play(seed) for seed in range(110)]
     assert [(day.seed, day.problems) for day in found if day.problems] == []
     assert sum(day.too_low_s > 0 for day in found) <= sum(
@@ -35,23 +37,23 @@
     )
 
 
-class FallsWithSilence(Membership):
+class CountsOnlyLiveMembers(Membership):
     def _update_count(self):
         self._host.count_changed(1 + len(self.live_members))
 
 
-class NeverDenies(Membership):
+class NeverRefutes(Membership):
     def _merge_own_record(self, now, record):
         if record.instance_id != self.own_record.instance_id:
             super()._merge_own_record(now, record)
 
 
-class ForgetsDeath(Membership):
+class NeverRetriesDead(Membership):
     def _retry_dead(self, now):
         pass
 
 
-class TakesAnyWord(Membership):
+class AcceptsOutdatedRecords(Membership):
     def _merge_record(self, now, record):
         held = self.table.get(record.name)
         if (
@@ -63,46 +65,46 @@
         super()._merge_record(now, record)
 
 
-class LetsAllIn(Membership):
+class AdmitsEveryone(Membership):
     def _admit(self, now, call, message):
         self._merge_message(now, message)
         self._host.send_reply(call, self._message(now, ACK))
 
 
 @pytest.mark.parametrize(
-    "spoilt", [FallsWithSilence, NeverDenies, ForgetsDeath, TakesAnyWord, LetsAllIn]
+    "mutant",
+    [CountsOnlyLiveMembers, NeverRefutes, NeverRetriesDead, AcceptsOutdatedRecords, AdmitsEveryone],
 )
-def test_histories_find_deliberate_faults(spoilt):
-    assert any(play(seed, spoilt).problems for seed in range(40))
+def test_histories_detect_mutants(mutant):
+    assert any(play(seed, mutant).problems for seed in range(40))
 
 
-def settled(number, seed=1, **more):
-    net = Net(Shape(number, settled=True, **more), seed)
+def settled_net(members, seed=1, **options):
+    net = Net(Shape(members, settled=True, **options), seed)
     net.start()
     net.run(3)
     return net
 
 
-def test_a_death_is_known_to_all_and_counted_until_it_is_shown():
-    net = settled(12)
+def test_a_dead_member_is_known_to_all_and_counted_until_operators_forget_it():
+    net = settled_net(12)
     net.keep_looking()
-    lost = net.seats[5]
-    life = lost.core.own_record.instance_id
-    lost.kill()
+    dead = net.seats[5]
+    instance_id = dead.core.own_record.instance_id
+    dead.kill()
     net.run(30)
-    assert set(net.dead_at[lost.name, life]) == {seat.number for seat in net.seats} - {5}
-    assert {seat.uses for seat in net.seats if seat.alive} == {
-        12
-    }  # connections come and go: it might be one of them
+    assert set(net.dead_at[dead.name, instance_id]) == {seat.number for seat in net.seats} - {5}
+    # Connections come and go, so the dead member may still be placing some.
+    assert {seat.uses for seat in net.seats if seat.alive} == {12}
     for seat in net.seats:
         if seat.alive:
-            assert seat.core.forget(net.now, lost.name)
-    net.run(30)  # each asks each once more: nobody has heard that it is back
+            assert seat.core.forget(net.now, dead.name)
+    net.run(30)  # every member calls every other once more, and none knows that it is back
     assert {seat.uses for seat in net.seats if seat.alive} == {11} and net.too_low == 0
 
 
-def test_one_in_ten_lost_one_way_stalls_and_stops_of_half_the_suspicion_kill_nobody():
-    net = settled(20, loss=0.1)
+def test_packet_loss_one_way_links_and_short_pauses_cause_no_false_death():
+    net = settled_net(20, loss=0.1)
     net.cut |= {(3, 4), (7, 1), (2, 9)}
     for at in range(10):
         net.after(
@@ -113,18 +115,18 @@
     assert net.deaths == []
 
 
-def test_the_fewest_connections_over_a_window():
+def test_the_sliding_minimum_never_exceeds_the_true_one():
     rng = Random(1)
-    minimum, told = SlidingMinimum(0), []
+    minimum, recorded = SlidingMinimum(0), []
     for now in range(1, 400):
-        held, window = rng.randrange(50), rng.choice((10, 40))
-        minimum.record(now, held, window)
-        told.append(held)
+        connections, window = rng.randrange(50), rng.choice((10, 40))
+        minimum.record(now, connections, window)
+        recorded.append(connections)
         span, fewest = minimum.minimum(now)
-        assert fewest <= min(told[max(0, now - span - 1) :]) and span <= window
+        assert fewest <= min(recorded[max(0, now - span - 1) :]) and span <= window
 
 
-def test_the_count_falls_by_the_servers_own_counts_alone():
+def test_the_count_falls_only_by_the_reports_of_the_servers():
     count = BalancerCount(5, SECOND, 0)
     for name in "bcde":
         count.member_alive(0, name)
@@ -134,16 +136,16 @@
     count.member_dead(60 * SECOND, "e")
     assert count.value == 5
     count.set_connections(62 * SECOND, 10)
-    # 33 at the servers, of which 30 are accounted for: three more may be d's and e's.
+    # The servers hold 33 connections, of which 30 are accounted for: three may belong to d and e.
     assert not count.server_reported(
         62 * SECOND, "s1", 20, {"s1", "s2"}
     ) and not count.server_reported(62 * SECOND, "s2", 13, {"s1", "s2"})
     assert not count.member_replied(
         61 * SECOND, 63 * SECOND, "b", 20 * SECOND, 10
-    )  # asked before the reports were whole
+    )  # the call was made before the reports were complete
     assert not count.member_replied(
         63 * SECOND, 63 * SECOND, "b", 1 * SECOND, 10
-    )  # of too short a window
+    )  # its window is too short
     assert not count.member_replied(63 * SECOND, 63 * SECOND, "b", 20 * SECOND, 10)
     assert count.member_replied(63 * SECOND, 63 * SECOND, "c", 20 * SECOND, 10) and count.value == 5
     count.set_connections(70 * SECOND, 10)
@@ -151,17 +153,17 @@
     count.server_reported(70 * SECOND, "s2", 10, {"s1", "s2"})
     count.member_replied(71 * SECOND, 71 * SECOND, "b", 20 * SECOND, 10)
     assert count.member_replied(71 * SECOND, 71 * SECOND, "c", 20 * SECOND, 10) and count.value == 3
-    count.member_dead(72 * SECOND, "c")  # the evidence took it for living
+    count.member_dead(72 * SECOND, "c")  # the evidence counted it as alive
     assert count.value == 5
     count.member_left(73 * SECOND, "c")
-    assert count.value == 5  # it may be back, and this word late
+    assert count.value == 5  # it may be back, and this record late
     assert count.member_replied(74 * SECOND, 74 * SECOND, "b", 0, 0) and count.value == 4
     count.member_alive(74 * SECOND, "d")
     assert count.value == 4
 
 
-def test_a_balancer_that_was_stopped_counts_all_again_before_it_places():
-    net = settled(4)
+def test_a_paused_balancer_counts_all_members_again_before_it_places():
+    net = settled_net(4)
     core = net.seats[0].core
     core._merge_record(net.now, updated_record(core.table["b3"], state=MemberState.DEAD))
     core.count._max_dead_placing = 0
@@ -171,13 +173,13 @@
     assert net.seats[0].uses == 4
 
 
-def test_words_of_newer_and_broken_peers():
+def test_messages_of_newer_and_faulty_peers():
     record = MemberRecord("b9", "10.0.0.9:1", 7, 0, 1, 0)
     newer = encode(Message("ping", record, "b1"))
     assert decode(newer).sender == record
-    longer = bytes([newer[0] + 1]) + newer[1:] + b"\xa3new"  # an array with one field more
+    longer = bytes([newer[0] + 1]) + newer[1:] + b"\xa3new"  # an array with one more field
     assert decode(longer).sender == record
-    net = settled(3)
+    net = settled_net(3)
     answers = {}
     net.seats[0].calls[99] = lambda answer: answers.setdefault(99, answer)
     net.seats[0].core.request_received(net.now, 99, Message("dance", record))
@@ -193,18 +195,18 @@
             decode(bad)
 
 
-def test_small_worlds_in_every_order():
+def test_exploration_of_small_fleets_finds_no_violation():
     found = explore(lambda: Small(Fleet()), 4, 2_500)
     assert not found.what, "\n".join([found.what, *found.trace])
     found = wander(lambda: Small(Fleet()), 80, 60, 1)
     assert not found.what, "\n".join([found.what, *found.trace])
     found = wander(lambda: Small(Fleet(settled=False)), 60, 60, 2)
     assert not found.what, "\n".join([found.what, *found.trace])
-    assert wander(lambda: Small(Fleet(), FallsWithSilence), 300, 60, 1).what
+    assert wander(lambda: Small(Fleet(), CountsOnlyLiveMembers), 300, 60, 1).what
 
 
-def test_the_file_names_the_key_at_fault(tmp_path):
-    whole = open("deploy/three/b1.toml", encoding="utf-8").read()
+def test_configuration_errors_name_the_key(tmp_path):
+    valid = open("deploy/three/b1.toml", encoding="utf-8").read()
     assert "peers of b1" in check("deploy/three/b1.toml")
     path = tmp_path / "b.toml"
     for change, key in (
@@ -217,11 +219,11 @@
         (('discovery = "127.0.0.1:8500"', ""), "discovery"),
         (("[peers]", "[peers"), "b.toml"),
     ):
-        assert change[0] in whole
-        path.write_text(whole.replace(*change, 1))
+        assert change[0] in valid
+        path.write_text(valid.replace(*change, 1))
         with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
             check(str(path))
 
 
-def test_a_day_is_the_same_again():
+def test_a_history_is_reproducible():
     assert Day(77).play() == Day(77).play()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -328,13 +328,13 @@
     core = host.read()
     core.members_changed(0, ["b2", "b3"], True)
     core.reply_received(0, host.asks[0][0], answer(yours=Marker(b"mine", 12)))
-    assert core.store_behind and "behind" in host.logs
+    assert core.behind and "behind" in host.logs
     core.reply_received(0, host.asks[1][0], answer(name="b3", lived=True))
-    assert not core.store_behind and "made good" in host.logs
+    assert not core.behind and "made good" in host.logs
     other = Host()
     other.read().members_changed(0, ["b2"], True)
     other.core.reply_received(0, other.asks[0][0], answer(yours=Marker(b"another", 1)))
-    assert other.core.store_behind  # emptied, or put in from elsewhere
+    assert other.core.behind  # emptied, or put in from elsewhere
 
 
 def ready(living=("b2", "b3", "b4", "b5")):
