--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,6 @@
-"""Recovery: what is believed, who is asked, in which order service returns; days of power loss in virtual time, and every order of a small one."""
+"""Tests of recovery: facts, queries to peers, phases and admission; power loss in virtual time, and
+state space exploration.
+"""
 
 from random import Random
 
@@ -44,7 +46,15 @@
 
 class Host:
     def __init__(self, boot="one", alone=False, expected=5):
-        self.asks, self.tells, self.keeps, self.steps, self.out, self.logs, self.relists = (
+        (
+            self.state_requests,
+            self.replications,
+            self.writes,
+            self.phases,
+            self.out_of_service,
+            self.logs,
+            self.list_updates,
+        ) = (
             [],
             [],
             [],
@@ -65,114 +75,117 @@
             alone=alone,
         )
 
-    def request_state(self, number, name, message, until):
-        self.asks.append((number, name, message))
+    def request_state(self, request_id, name, message, until):
+        self.state_requests.append((request_id, name, message))
 
-    def replicate(self, number, name, message, until):
-        self.tells.append((number, name, message))
+    def replicate(self, request_id, name, message, until):
+        self.replications.append((request_id, name, message))
 
-    def persist(self, number, facts):
-        self.keeps.append((number, facts))
+    def persist(self, write_id, facts):
+        self.writes.append((write_id, facts))
 
     def delete_persisted(self, facts):
-        self.forgotten = [*getattr(self, "forgotten", []), *facts]
+        self.deleted = [*getattr(self, "deleted", []), *facts]
 
-    def apply_recovered(self, out, put_back):
-        self.out = self.out - put_back | out
+    def apply_recovered(self, out_of_service, restored):
+        self.out_of_service = self.out_of_service - restored | out_of_service
 
     def probe_servers(self, span):
         pass
 
     def reapply_list(self):
-        self.relists += 1
+        self.list_updates += 1
 
     def server_start_times(self):
         return {"s1": 7}
 
-    def phase_changed(self, step, why):
-        self.steps.append(step)
+    def phase_changed(self, phase, reason):
+        self.phases.append(phase)
 
     def log(self, what, **fields):
         self.logs.append(what)
 
-    def read(self, *facts, now=0, boot="one", clean=False, fresh=False, **more):
-        given = [] if fresh else [Fact(ENDED, "", (1,), [boot, clean], "b1"), *facts]
-        self.core.store_loaded(now, given, Marker(b"mine", 9), fresh, **more)
+    def load(self, *facts, now=0, boot="one", clean=False, fresh=False, **options):
+        stored = [] if fresh else [Fact(ENDED, "", (1,), [boot, clean], "b1"), *facts]
+        self.core.store_loaded(now, stored, Marker(b"mine", 9), fresh, **options)
         return self.core
 
-    def kept(self, fine=True):
-        for number, _ in self.keeps:
-            self.core.persisted(0, number, 10, "" if fine else "disk full")
-        self.keeps = []
+    def finish_writes(self, succeeded=True):
+        for write_id, _ in self.writes:
+            self.core.persisted(0, write_id, 10, "" if succeeded else "disk full")
+        self.writes = []
 
 
-def answer(
+def state_reply(
     *facts,
-    lived=False,
-    remembers=True,
-    name="b2",
-    yours=Marker(),
-    hows=None,
-    ages=None,
+    lived_through=False,
+    has_memory=True,
+    sender="b2",
+    requester_marker=Marker(),
+    provenances=None,
+    start_times=None,
     power_lost=False,
 ):
     return StateReply(
-        name,
+        sender,
         2,
-        lived,
+        lived_through,
         facts,
-        tuple(hows or [Provenance.READ] * len(facts)),
+        tuple(provenances or [Provenance.READ] * len(facts)),
         Marker(),
-        yours,
-        ages or {},
-        remembers,
+        requester_marker,
+        start_times or {},
+        has_memory,
         power_lost,
     )
 
 
-def out(server, number, value=True, by="b1"):
-    return Fact(OUT, server, (number,), value, by)
+def override(server, version, value=True, source="b1"):
+    return Fact(OUT, server, (version,), value, source)
 
 
-def test_the_higher_number_wins_per_fact_whatever_came_when():
+def test_the_highest_version_of_a_fact_wins_in_any_order():
     facts = Facts()
-    assert facts.merge(out("s1", 3), Provenance.READ) and not facts.merge(
-        out("s1", 2, False), Provenance.LIVE
+    assert facts.merge(override("s1", 3), Provenance.READ) and not facts.merge(
+        override("s1", 2, False), Provenance.LIVE
     )
     assert facts.out_of_service() == {"s1"} and facts.provenance(OUT, "s1") is Provenance.READ
     assert (
-        not facts.merge(out("s1", 3), Provenance.LIVE)
+        not facts.merge(override("s1", 3), Provenance.LIVE)
         and facts.provenance(OUT, "s1") is Provenance.LIVE
     )
-    assert facts.merge(out("s1", 4, False), Provenance.HEARD) and facts.out_of_service() == set()
-    assert facts.merge(
-        out("s1", 4, True, by="b9"), Provenance.HEARD
-    )  # of two at once the name decides, at all alike
+    assert (
+        facts.merge(override("s1", 4, False), Provenance.HEARD) and facts.out_of_service() == set()
+    )
+    # Of two equal versions the source decides, in the same way at all balancers.
+    assert facts.merge(override("s1", 4, True, source="b9"), Provenance.HEARD)
     other = Facts()
-    for fact in (out("s1", 4, True, by="b9"), out("s1", 4, False), out("s1", 3)):
+    for fact in (override("s1", 4, True, source="b9"), override("s1", 4, False), override("s1", 3)):
         other.merge(fact, Provenance.HEARD)
     assert other.digest == facts.digest and other.out_of_service() == facts.out_of_service()
 
 
-def test_a_drain_holds_against_an_older_list_and_ends_by_a_newer_one_or_a_new_start():
-    core = Host().read()
+def test_a_drain_is_ended_by_a_newer_list_or_a_restart_but_not_by_an_older_list():
+    core = Host().load()
     assert core.update_drain(0, "s1", 0, 10, True)
-    assert core.update_drain(0, "s1", 0, 9, False)  # of before
+    assert core.update_drain(0, "s1", 0, 9, False)  # an older list
     assert core.update_drain(0, "s1", 0, 10, False)
     assert not core.update_drain(0, "s1", 0, 11, False) and not core.facts.is_leaving("s1", 0, 11)
     assert core.update_drain(0, "s2", 500, 10, True)
-    assert core.update_drain(0, "s2", 400, 12, False)  # told of an earlier process under that name
-    assert not core.update_drain(0, "s2", 600, 3, False)  # a new one: its list may number from one
+    assert core.update_drain(0, "s2", 400, 12, False)  # about an earlier process of that name
+    assert not core.update_drain(
+        0, "s2", 600, 3, False
+    )  # a new process: the index may have restarted
 
 
-def test_drains_of_servers_that_are_gone_end_with_age_and_none_other():
+def test_only_old_drains_of_unlisted_servers_are_deleted():
     host = Host()
-    core = host.read()
+    core = host.load()
     core.config = core.config._replace(max_gone_drains=3)
     for at in range(6):
         core.update_drain(0, f"s{at}", 0, 10 + at, True)
     core.list_received(0, [StoredServer("s0", "10.0.0.1", 1, "", "", 0, 2, 1.0)], 30)
-    assert [fact.name for fact in host.forgotten] == ["s1", "s2"]
+    assert [fact.name for fact in host.deleted] == ["s1", "s2"]
     assert (
         core.facts.is_leaving("s0", 0, 9)
         and core.facts.is_leaving("s5", 0, 9)
@@ -180,13 +193,13 @@
     )
 
 
-def test_what_is_never_believed_is_never_kept():
+def test_untrusted_kinds_and_invalid_facts_are_not_stored():
     assert {name for name, (trust, _) in KINDS.items() if trust is Trust.NEVER} == {
         "connections",
         "health",
         "cold",
     }
-    for fact in (out("s1", 3), Fact(DRAIN, "s", (0, 3), True), Fact(COUNT, "", (1,), 9)):
+    for fact in (override("s1", 3), Fact(DRAIN, "s", (0, 3), True), Fact(COUNT, "", (1,), 9)):
         assert decode_fact(encode_fact(fact)[1]) == fact
     for bad in (
         Fact(OUT, "s", (1,), "yes"),
@@ -202,22 +215,22 @@
         decode(StateReply, b"\xff\x00")
 
 
-def test_incarnation_goes_on_above_the_disks():
-    core = Host().read(Fact(SELF, "", (4,), [7, 3]))
+def test_the_next_incarnation_is_above_the_stored_one():
+    core = Host().load(Fact(SELF, "", (4,), [7, 3]))
     assert core.next_incarnation == (8, 4)
-    assert Host().read(fresh=True).next_incarnation == (0, 1)
+    assert Host().load(fresh=True).next_incarnation == (0, 1)
 
 
-def test_from_the_first_moment_each_login_is_let_in_or_refused_with_a_time():
+def test_in_every_phase_a_login_is_admitted_or_rejected_with_a_time_to_retry():
     host = Host()
     core = host.core
     waits = [core.admit_login(0, importance) for importance in [0.0] * 300 + [1.0] * 300]
     assert all(0 < wait <= SECOND for wait in waits)
-    assert sum(waits[:300]) > sum(waits[300:])  # what matters most is told to come sooner
-    host.read()
+    assert sum(waits[:300]) > sum(waits[300:])  # important logins retry sooner
+    host.load()
     core.members_changed(0, ["b2", "b3", "b4"], True)
-    for number, name, _ in list(host.asks):
-        core.reply_received(0, number, answer(name=name))
+    for number, name, _ in list(host.state_requests):
+        core.reply_received(0, number, state_reply(sender=name))
     assert core.phase is RecoveryPhase.LOOK and core.admit_login(0, 1.0) is not None
     core.servers_probed(0, ["s1", "s2"], False)
     assert core.phase is RecoveryPhase.LOOK
@@ -235,233 +248,257 @@
     )
 
 
-def test_a_disk_that_does_not_answer_is_not_waited_for_and_heard_late_all_the_same():
+def test_a_store_that_stalls_is_not_waited_for_and_merged_when_it_loads_late():
     host = Host()
     core = host.core
     assert core.tick(SECOND) and core.phase is RecoveryPhase.READ
     core.tick(4 * SECOND)
     assert core.phase is RecoveryPhase.ASK and core.store_error
-    host.read(out("s1", 3), now=9 * SECOND)
-    assert host.out == {"s1"}
+    host.load(override("s1", 3), now=9 * SECOND)
+    assert host.out_of_service == {"s1"}
 
 
-def test_who_is_asked_and_what_ends_the_question():
+def test_which_peers_are_queried_and_what_ends_the_queries():
     host = Host(expected=40)
-    host.read()
+    host.load()
     host.core.members_changed(0, [f"b{number}" for number in range(2, 41)], True)
-    assert len(host.asks) == 3  # a few, not all
-    for number, name, _ in list(host.asks):
+    assert len(host.state_requests) == 3  # a few, not all
+    for number, name, _ in list(host.state_requests):
         host.core.request_failed(0, number)
-    assert len(host.asks) == 6 and host.core.phase is RecoveryPhase.ASK
-    for number, name, _ in host.asks[3:]:
-        host.core.reply_received(0, number, answer(name=name, remembers=False))
-    assert (
-        host.core.phase is RecoveryPhase.ASK
-    )  # those that remember nothing can't say that there was nothing
-    for number, name, _ in host.asks[6:]:
-        host.core.reply_received(0, number, answer(name=name))
+    assert len(host.state_requests) == 6 and host.core.phase is RecoveryPhase.ASK
+    for number, name, _ in host.state_requests[3:]:
+        host.core.reply_received(0, number, state_reply(sender=name, has_memory=False))
+    # Peers with empty stores can't confirm that there were no facts.
+    assert host.core.phase is RecoveryPhase.ASK
+    for number, name, _ in host.state_requests[6:]:
+        host.core.reply_received(0, number, state_reply(sender=name))
     assert host.core.phase is RecoveryPhase.LOOK and host.core.state_complete
 
 
-def test_one_alone_ends_its_question_by_a_bound_unless_it_remembers_nothing():
+def test_a_lone_balancer_serves_after_a_deadline_unless_its_store_was_empty():
     host = Host()
-    host.read()
+    host.load()
     host.core.members_changed(0, [], True)
     host.core.tick(4 * SECOND)
     assert host.core.phase is RecoveryPhase.ASK
     host.core.tick(6 * SECOND)
     assert host.core.phase is RecoveryPhase.LOOK and not host.core.state_complete
     stopped = Host()
-    stopped.read(clean=True)
+    stopped.load(clean=True)
     stopped.core.members_changed(0, [], True)
     stopped.core.tick(3 * SECOND)
     assert stopped.core.phase is RecoveryPhase.LOOK
     empty = Host()
-    empty.read(fresh=True)
+    empty.load(fresh=True)
     empty.core.members_changed(0, [], True)
     empty.core.tick(600 * SECOND)
     assert empty.core.phase is RecoveryPhase.ASK
     for act in (
         lambda core: core.store_unreadable(0, "StoreInUseError"),
         lambda core: core.tick(4 * SECOND),
-    ):  # in use elsewhere; stalled
+    ):  # the store is in use by another process; the store stalls
         unread = Host()
         act(unread.core)
         unread.core.members_changed(5 * SECOND, [], True)
         unread.core.tick(600 * SECOND)
         assert unread.core.phase is RecoveryPhase.ASK
     alone = Host(alone=True)
-    alone.read(fresh=True)
+    alone.load(fresh=True)
     assert alone.core.phase is RecoveryPhase.LOOK
 
 
-def test_two_that_have_only_read_do_not_confirm_each_other():
+def test_two_balancers_that_only_read_their_disks_do_not_confirm_each_other():
     host = Host(expected=3)
-    core = host.read()
+    core = host.load()
     core.members_changed(0, ["b2", "b3"], True)
-    core.reply_received(0, host.asks[0][0], answer(out("s1", 3), hows=[Provenance.LIVE]))
+    core.reply_received(
+        0, host.state_requests[0][0], state_reply(override("s1", 3), provenances=[Provenance.LIVE])
+    )
     assert (
-        host.out == {"s1"}
+        host.out_of_service == {"s1"}
         and core.facts.provenance(OUT, "s1") is Provenance.HEARD
         and not core.live_peer_replied
     )
-    told = core.state_requested(0, StateRequest("b3", 5, Marker(), 0, True))
+    reply = core.state_requested(0, StateRequest("b3", 5, Marker(), 0, True))
     assert (
-        not told.lived_through
-        and not told.start_times
-        and told.provenances[[fact.kind for fact in told.facts].index(OUT)] == Provenance.HEARD
+        not reply.lived_through
+        and not reply.start_times
+        and reply.provenances[[fact.kind for fact in reply.facts].index(OUT)] == Provenance.HEARD
     )
     core.reply_received(
         0,
-        host.asks[1][0],
-        answer(out("s1", 4, False), lived=True, hows=[Provenance.LIVE], ages={"s1": 5}),
+        host.state_requests[1][0],
+        state_reply(
+            override("s1", 4, False),
+            lived_through=True,
+            provenances=[Provenance.LIVE],
+            start_times={"s1": 5},
+        ),
     )
     assert (
         core.live_peer_replied
-        and host.out == set()
+        and host.out_of_service == set()
         and core.facts.provenance(OUT, "s1") is Provenance.LIVE
     )
 
 
-def test_a_disk_that_went_back_is_shown_by_a_peer_and_made_good_by_one_that_lived():
+def test_a_peer_reveals_a_store_that_was_rolled_back_and_a_live_peer_repairs_it():
     host = Host()
-    core = host.read()
+    core = host.load()
     core.members_changed(0, ["b2", "b3"], True)
-    core.reply_received(0, host.asks[0][0], answer(yours=Marker(b"mine", 12)))
+    core.reply_received(
+        0, host.state_requests[0][0], state_reply(requester_marker=Marker(b"mine", 12))
+    )
     assert core.behind and "behind" in host.logs
-    core.reply_received(0, host.asks[1][0], answer(name="b3", lived=True))
+    core.reply_received(0, host.state_requests[1][0], state_reply(sender="b3", lived_through=True))
     assert not core.behind and "made good" in host.logs
     other = Host()
-    other.read().members_changed(0, ["b2"], True)
-    other.core.reply_received(0, other.asks[0][0], answer(yours=Marker(b"another", 1)))
-    assert other.core.behind  # emptied, or put in from elsewhere
+    other.load().members_changed(0, ["b2"], True)
+    other.core.reply_received(
+        0, other.state_requests[0][0], state_reply(requester_marker=Marker(b"another", 1))
+    )
+    assert other.core.behind  # the store was emptied or replaced
 
 
-def ready(living=("b2", "b3", "b4", "b5")):
+def serving_host(live_peers=("b2", "b3", "b4", "b5")):
     host = Host()
-    core = host.read()
-    core.members_changed(0, list(living), True)
-    for number, name, _ in list(host.asks):
-        core.reply_received(0, number, answer(name=name, lived=True))
+    core = host.load()
+    core.members_changed(0, list(live_peers), True)
+    for number, name, _ in list(host.state_requests):
+        core.reply_received(0, number, state_reply(sender=name, lived_through=True))
     core.servers_probed(0, ["s1"], True)
     assert core.phase is RecoveryPhase.FULL
-    host.kept()
-    host.tells.clear()
+    host.finish_writes()
+    host.replications.clear()
     return host, core
 
 
-def test_a_yes_means_that_enough_disks_have_the_word():
-    host, core = ready()
-    said = []
-    core.set_out_of_service(0, "s1", True, lambda *told: said.append(told))
-    assert host.out == {"s1"} and len(host.tells) == 4 and not said  # in force at once
-    host.kept()
-    assert not said
-    core.replicate_reply_received(
-        0, host.tells[0][0], ReplicateReply(False)
-    )  # it knows, its disk does not
-    core.replicate_reply_received(0, host.tells[1][0], ReplicateReply(True))
-    assert not said
-    core.replicate_reply_received(0, host.tells[2][0], ReplicateReply(True))
-    assert said == [(ReplicationOutcome.KEPT, 3, 3)]
-    core.replicate_reply_received(0, host.tells[3][0], None)
-    assert said == [(ReplicationOutcome.KEPT, 3, 3)]
+def test_an_override_is_acknowledged_once_enough_disks_store_it():
+    host, core = serving_host()
+    outcomes = []
+    core.set_out_of_service(0, "s1", True, lambda *outcome: outcomes.append(outcome))
+    # It is in force at once.
+    assert host.out_of_service == {"s1"} and len(host.replications) == 4 and not outcomes
+    host.finish_writes()
+    assert not outcomes
+    # This peer received the override and failed to store it.
+    core.replicate_reply_received(0, host.replications[0][0], ReplicateReply(False))
+    core.replicate_reply_received(0, host.replications[1][0], ReplicateReply(True))
+    assert not outcomes
+    core.replicate_reply_received(0, host.replications[2][0], ReplicateReply(True))
+    assert outcomes == [(ReplicationOutcome.KEPT, 3, 3)]
+    core.replicate_reply_received(0, host.replications[3][0], None)
+    assert outcomes == [(ReplicationOutcome.KEPT, 3, 3)]
 
 
 @pytest.mark.parametrize(
-    "fine, answers, kept",
+    "stored_here, replies, copies",
     [(False, [ReplicateReply(True), None, None, None], 1), (True, [None] * 4, 1)],
 )
-def test_no_yes_where_too_few_have_it(fine, answers, kept):
-    host, core = ready()
-    said = []
-    core.set_out_of_service(0, "s1", True, lambda *told: said.append(told))
-    host.kept(fine)
-    for (number, _, _), told in zip(host.tells, answers):
-        core.replicate_reply_received(0, number, told)
-    assert said == [(ReplicationOutcome.PARTLY, kept, 3)] and bool(core.store_error) is not fine
-    host, core = ready()
-    core.set_out_of_service(0, "s1", True, lambda *told: said.append(told))
-    core.tick(6 * SECOND)  # a disk and peers that say nothing at all
-    assert said[-1][0] is ReplicationOutcome.PARTLY
-
-
-def test_a_word_said_from_old_knowledge_is_said_anew_above_what_others_hold():
-    host, core = ready()
-    said = []
-    core.set_out_of_service(0, "s1", False, lambda *told: said.append(told))
-    host.kept()
+def test_an_override_on_too_few_disks_is_not_acknowledged(stored_here, replies, copies):
+    host, core = serving_host()
+    outcomes = []
+    core.set_out_of_service(0, "s1", True, lambda *outcome: outcomes.append(outcome))
+    host.finish_writes(stored_here)
+    for (number, _, _), reply in zip(host.replications, replies):
+        core.replicate_reply_received(0, number, reply)
+    assert (
+        outcomes == [(ReplicationOutcome.PARTLY, copies, 3)]
+        and bool(core.store_error) is not stored_here
+    )
+    host, core = serving_host()
+    core.set_out_of_service(0, "s1", True, lambda *outcome: outcomes.append(outcome))
+    core.tick(6 * SECOND)  # neither the disk nor a peer replies
+    assert outcomes[-1][0] is ReplicationOutcome.PARTLY
+
+
+def test_an_override_with_an_outdated_version_is_repeated_above_that_of_the_peers():
+    host, core = serving_host()
+    outcomes = []
+    core.set_out_of_service(0, "s1", False, lambda *outcome: outcomes.append(outcome))
+    host.finish_writes()
     core.replicate_reply_received(
-        0, host.tells[0][0], ReplicateReply(True, (out("s1", 7, True, "b9"),))
+        0, host.replications[0][0], ReplicateReply(True, (override("s1", 7, True, "b9"),))
     )
-    assert core.facts.get(OUT, "s1").version == (8,) and host.out == set()
-    host.kept()
-    for number, _, message in host.tells:
+    assert core.facts.get(OUT, "s1").version == (8,) and host.out_of_service == set()
+    host.finish_writes()
+    for number, _, message in host.replications:
         if message.facts[0].version == (8,):
             core.replicate_reply_received(0, number, ReplicateReply(True))
-    assert said and said[-1][0] is ReplicationOutcome.KEPT
+    assert outcomes and outcomes[-1][0] is ReplicationOutcome.KEPT
 
 
-def test_a_peer_is_answered_once_its_word_is_on_this_disk():
-    host, core = ready()
-    said = []
+def test_a_peer_gets_its_reply_once_its_override_is_stored_here():
+    host, core = serving_host()
+    replies = []
     core.replicate_received(
-        0, Replicate("b2", 2, Marker(b"b2", 4), (out("s1", 5, True, "b2"),)), said.append
+        0, Replicate("b2", 2, Marker(b"b2", 4), (override("s1", 5, True, "b2"),)), replies.append
     )
-    assert host.out == {"s1"} and not said
-    host.kept()
-    assert said == [ReplicateReply(True, (), Marker(b"mine", 10))]
+    assert host.out_of_service == {"s1"} and not replies
+    host.finish_writes()
+    assert replies == [ReplicateReply(True, (), Marker(b"mine", 10))]
     core.replicate_received(
-        0, Replicate("b2", 2, Marker(b"b2", 4), (out("s1", 4, False, "b2"),)), said.append
+        0, Replicate("b2", 2, Marker(b"b2", 4), (override("s1", 4, False, "b2"),)), replies.append
+    )
+    host.finish_writes(False)
+    assert (
+        replies[1].newer[0].version == (5,)
+        and not replies[1].persisted
+        and host.out_of_service == {"s1"}
     )
-    host.kept(False)
-    assert said[1].newer[0].version == (5,) and not said[1].persisted and host.out == {"s1"}
     assert core.state_requested(
         0, StateRequest("b2", 2, Marker(b"b2", 4), 0, True)
     ).requester_marker == Marker(b"b2", 4)
 
 
-def test_after_a_loss_of_power_servers_are_as_old_as_their_first_answer():
+def test_after_a_power_loss_servers_are_as_old_as_their_first_reply():
     host = Host(boot="two")
-    core = host.read(boot="one")
+    core = host.load(boot="one")
     assert core.power_lost
-    taken = core.effective_start(10 * SECOND, "s1", 5)
-    assert taken >= 10 * SECOND
-    before = host.relists
-    core.server_answered(taken - 1, "s1")
-    assert host.relists == before and core.effective_start(20 * SECOND, "s1", 5) == taken
+    assumed = core.effective_start(10 * SECOND, "s1", 5)
+    assert assumed >= 10 * SECOND
+    before = host.list_updates
+    core.server_answered(assumed - 1, "s1")
+    assert host.list_updates == before and core.effective_start(20 * SECOND, "s1", 5) == assumed
     core.effective_start(10 * SECOND, "s2", 5)
     core.server_answered(15 * SECOND, "s2")
-    assert host.relists == before + 1 and core.effective_start(20 * SECOND, "s2", 5) == 15 * SECOND
-    core.members_changed(0, ["b2"], True)
-    core.reply_received(0, host.asks[0][0], answer(lived=True, ages={"s1": 3}))
-    assert core.effective_start(20 * SECOND, "s1", 2) == 3  # one that lived knows
     assert (
-        core.effective_start(20 * SECOND, "s3", 90 * SECOND) == 20 * SECOND
-    )  # a clock that is ahead
-    assert not Host().read().power_lost  # killed, on a machine that did not boot
+        host.list_updates == before + 1
+        and core.effective_start(20 * SECOND, "s2", 5) == 15 * SECOND
+    )
+    core.members_changed(0, ["b2"], True)
+    core.reply_received(
+        0, host.state_requests[0][0], state_reply(lived_through=True, start_times={"s1": 3})
+    )
+    assert core.effective_start(20 * SECOND, "s1", 2) == 3  # from a peer that lived through it
+    # The server's clock is ahead.
+    assert core.effective_start(20 * SECOND, "s3", 90 * SECOND) == 20 * SECOND
+    assert not Host().load().power_lost  # killed, and the machine was not rebooted
     emptied = Host(boot="two")
-    emptied.read(fresh=True)
+    emptied.load(fresh=True)
     emptied.core.members_changed(0, ["b2"], True)
-    emptied.core.reply_received(0, emptied.asks[0][0], answer(power_lost=True))
-    assert emptied.core.power_lost  # it hears so from one that remembers
+    emptied.core.reply_received(0, emptied.state_requests[0][0], state_reply(power_lost=True))
+    assert emptied.core.power_lost  # learned from the peer
 
 
-def test_a_server_that_lost_what_it_held_began_anew():
-    host, core = ready()
+def test_a_server_that_lost_its_connections_has_restarted():
+    host, core = serving_host()
     core.server_answered(10 * SECOND, "s1", 40.0)
-    core.server_answered(11 * SECOND, "s1", 2.0)  # its clients left: it has answered all along
-    before = host.relists
+    core.server_answered(11 * SECOND, "s1", 2.0)  # its clients left, but it replied all the time
+    before = host.list_updates
     core.server_answered(12 * SECOND, "s1", 40.0)
     core.server_unresponsive(13 * SECOND, "s1")
-    core.server_answered(13 * SECOND, "s1", 35.0)  # only late
-    assert host.relists == before
+    core.server_answered(13 * SECOND, "s1", 35.0)  # it was only slow
+    assert host.list_updates == before
     core.server_unresponsive(14 * SECOND, "s1")
     core.server_answered(15 * SECOND, "s1", 1.0)
-    assert host.relists == before + 1 and core.effective_start(16 * SECOND, "s1", 5) == 15 * SECOND
+    assert (
+        host.list_updates == before + 1
+        and core.effective_start(16 * SECOND, "s1", 5) == 15 * SECOND
+    )
 
 
-def test_servers_back_within_two_seconds_that_no_list_tells_of():
+def test_servers_that_restart_within_two_seconds_without_a_list_change_are_not_overloaded():
     fallen = {
         kind: sum(
             play(Day(seed, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind).fallen
@@ -472,7 +509,7 @@
     assert fallen["serve"] == 0 and fallen["today"] >= 4
 
 
-def test_the_door_follows_what_servers_show_and_what_cold_ones_bear():
+def test_admission_follows_the_outcome_of_logins_and_the_budget_of_cold_servers():
     admission = AdmissionControl(0, RULE, 4, 2)
     assert admission.window == 2.0
     assert (
@@ -482,11 +519,12 @@
     )
     admission.login_finished(True)
     admission.login_finished(True)
+    # The least important logins get half of the window.
     assert admission.window == 4.0 and [admission.try_admit(0, 0.0) for _ in range(3)] == [
         True,
         True,
         False,
-    ]  # least importance: half of it
+    ]
     admission.login_finished(False)
     assert admission.window == 2.0
     for _ in range(40):
@@ -494,19 +532,19 @@
     admission.set_cold_servers(0, [(0, 200.0)] * 4, 2)
     for _ in range(100):
         admission.login_finished(True)
-    passed = 0
+    admitted = 0
     for at in range(0, 2 * SECOND, SECOND // 100):
         if admission.try_admit(at, 1.0):
             admission.login_finished(True)
-            passed += 1
-    bears = 4 * 3.0 * 0.3 * 200 / 8 / 2  # a second, this balancer's half
-    assert 0.6 * bears * 2 < passed < bears * 2 and not admission.unrestricted
+            admitted += 1
+    budget = 4 * 3.0 * 0.3 * 200 / 8 / 2  # logins per second, for this balancer's half
+    assert 0.6 * budget * 2 < admitted < budget * 2 and not admission.unrestricted
     admission.clear_cold_servers()
     assert admission.unrestricted
     assert all(0 < retry_after(Random(at), SECOND, 1.0) < 0.7 * SECOND for at in range(50))
 
 
-def test_days_of_power_loss():
+def test_simulated_power_losses_violate_no_rule():
     for seed in range(1, 13):
         seen = play(Day.drawn(seed))
         assert (
@@ -518,14 +556,14 @@
         assert seen.restored_s >= 0 and (seen.alone_on_a_lying_disk or not seen.placed_out), seen
 
 
-def test_forty_balancers_come_back_sooner_than_todays_and_place_nothing_at_a_server_out():
+def test_forty_balancers_recover_sooner_than_without_recovery_and_respect_overrides():
     day = Day(3, seconds=20.0)
     mine, today = play(day), play(day, "today")
     assert not mine.placed_out and not mine.rules and today.placed_out > 20
     assert mine.restored_s < today.restored_s and mine.calls_of_one < 40
 
 
-def test_every_order_of_a_small_loss_and_walks_through_more():
+def test_exploration_of_a_small_fleet_finds_no_violation():
     shape = Returns()
     found = lab_explore.explore(lambda: lab_explore.world("recovery", shape._asdict()), 5, 3000)
     assert not found.what, found.trace
@@ -533,7 +571,7 @@
     assert not found.what, found.trace
 
 
-def _old_answer_taken_for_live(monkeypatch):
+def _trust_old_lists(monkeypatch):
     monkeypatch.setattr(
         recovery_facts.Facts, "is_leaving", lambda self, name, started_at, index: False
     )
@@ -542,25 +580,25 @@
     )
 
 
-def _steps_skipped(monkeypatch):
+def _admit_in_every_phase(monkeypatch):
     monkeypatch.setattr(Recovery, "admit_login", lambda self, now, importance: None)
 
 
-def _words_not_asked(monkeypatch):
+def _skip_queries(monkeypatch):
     monkeypatch.setattr(Recovery, "state_complete", property(lambda self: True))
 
 
-def _yes_before_the_disk(monkeypatch):
-    plain = Recovery._persist
+def _acknowledge_before_write(monkeypatch):
+    original = Recovery._persist
 
-    def keep(self, facts, done=lambda fine: None):
-        done(True)
-        plain(self, facts)
+    def persist(self, facts, callback=lambda succeeded: None):
+        callback(True)
+        original(self, facts)
 
-    monkeypatch.setattr(Recovery, "_persist", keep)
+    monkeypatch.setattr(Recovery, "_persist", persist)
 
 
-def _budget_left_out(monkeypatch):
+def _without_budget(monkeypatch):
     monkeypatch.setattr(
         recovery_core.AdmissionControl,
         "set_cold_servers",
@@ -569,31 +607,31 @@
 
 
 @pytest.mark.parametrize(
-    "fault", [_old_answer_taken_for_live, _steps_skipped, _words_not_asked, _yes_before_the_disk]
+    "mutant", [_trust_old_lists, _admit_in_every_phase, _skip_queries, _acknowledge_before_write]
 )
-def test_deliberate_faults_are_found(monkeypatch, fault):
-    fault(monkeypatch)
-    wrong = 0
+def test_mutants_are_detected(monkeypatch, mutant):
+    mutant(monkeypatch)
+    violations = 0
     for seed in range(1, 40):
-        if fault in (_words_not_asked, _yes_before_the_disk):
-            wrong += bool(
+        if mutant in (_skip_queries, _acknowledge_before_write):
+            violations += bool(
                 lab_explore.wander(
                     lambda: lab_explore.world("recovery", Returns()._asdict()), 100, 50, seed
                 ).what
             )
         else:
             seen = play(Day.drawn(seed))
-            wrong += bool(
+            violations += bool(
                 seen.rules
                 or seen.placed_out
                 and not seen.alone_on_a_lying_disk
                 or seen.words_forgotten
             )
-        if wrong:
+        if violations:
             break
-    assert wrong
+    assert violations
 
 
-def test_a_door_without_a_budget_is_found(monkeypatch):
-    _budget_left_out(monkeypatch)
+def test_admission_without_a_budget_is_detected(monkeypatch):
+    _without_budget(monkeypatch)
     assert play(Day(1, 100, 30, 300.0, 10.0, seconds=14.0)).fallen
