--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -1,6 +1,7 @@
-"""The command line. Each command's program is imported when it is asked for, and no sooner.
+"""The command line: commands, options and their output.
 
-Owns the words and options. Must never be imported by `python -m corklift` alone: that starts the balancer, at 32 MB.
+Each command imports its program only when it runs. `python -m corklift` without a command must not
+import this module, so that the memory of a balancer stays at 32 MB.
 """
 
 from __future__ import annotations
@@ -19,42 +20,42 @@
     ) -> tuple[str, int]:
         host, _, port = str(value).rpartition(":")
         if not host or not port.isdecimal() or int(port) > 65535:
-            self.fail(f"{value!r} is no address and port", param, ctx)
+            self.fail(f"{value!r} is not an address and a port", param, ctx)
         return host, int(port)
 
 
-@click.group(help="A balancer for long-lived connections, and the services round it.")
+@click.group(help="Load balancer for long-lived connections, and related services.")
 @click.version_option(package_name=None, version="0.2.0", prog_name="corklift")
 def main() -> None:
     pass
 
 
-@main.command(help="The balancer, configured by BALANCER_CONFIG; the same as no command.")
+@main.command(help="Run a balancer configured by BALANCER_CONFIG; the default without a command.")
 def run() -> None:
     from corklift.service import run_balancer
 
     sys.exit(run_balancer())
 
 
-@main.command(help="The balancer with peers, configured by a TOML file; see docs/operate/peers.md.")
+@main.command(
+    help="Run a balancer with peers, configured by a TOML file. See docs/operate/peers.md."
+)
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--check", is_flag=True, help="Only read the file and say whether it holds.")
+@click.option("--check", is_flag=True, help="Only validate the file.")
 def serve(file: str, check: bool) -> None:
     from corklift.net.limits import ConfigError
-    from corklift.serve import check as look
+    from corklift.serve import check as check_file
     from corklift.serve import main as start
 
     if not check:
         sys.exit(start(file))
     try:
-        click.echo(look(file))
+        click.echo(check_file(file))
     except ConfigError as problem:
         raise click.ClickException(str(problem)) from None
 
 
-@main.group(
-    help="Balancers that know each other: who lives, by one of them. See docs/operate/peers.md."
-)
+@main.group(help="Fleet membership as one balancer sees it. See docs/operate/peers.md.")
 def peers() -> None:
     pass
 
@@ -70,7 +71,7 @@
 
 
 @peers.command(
-    "status", help="Whom one balancer holds for living, suspect, dead or gone, and what it counts."
+    "status", help="Show the members of the fleet, their states and the count of balancers."
 )
 @click.argument("address", type=_Address())
 @click.option("--json", "as_json", is_flag=True)
@@ -83,21 +84,21 @@
     if as_json:
         click.echo(content)
         return
-    told = json.loads(content)
+    fleet = json.loads(content)
     click.echo(
-        f"{told['name']} counts {told['count']} balancers"
-        + ("" if told["joined"] else ", has not joined yet")
+        f"{fleet['name']} counts {fleet['count']} balancers"
+        + ("" if fleet["joined"] else ", has not joined yet")
     )
-    for row in told["members"]:
+    for row in fleet["members"]:
         click.echo(
-            f"{row['name']:20} {row['standing']:8} {row['address']:22} incarnation {row['incarnation']:<4} "
-            f"{row['zone']} {row['version']}"
+            f"{row['name']:20} {row['standing']:8} {row['address']:22} "
+            f"incarnation {row['incarnation']:<4} {row['zone']} {row['version']}"
         )
 
 
 @peers.command(
     "forget",
-    help="Says for a balancer that is held for dead that it is gone for good: it is counted no longer.",
+    help="Declare that a dead balancer will not come back, so that it is no longer counted.",
 )
 @click.argument("address", type=_Address())
 @click.argument("name")
@@ -105,17 +106,17 @@
     from corklift.membership.peers import FORGET
 
     _ask_peer(address, FORGET, name.encode())
-    click.echo(f"{name} is gone")
+    click.echo(f"{name} is forgotten")
 
 
 @main.group(
-    help="What a balancer or the control service keeps on the disk. See docs/operate/power.md."
+    help="The store of a balancer or of the control service on disk. See docs/operate/power.md."
 )
 def store() -> None:
     pass
 
 
-def _loaded(path: str) -> Any:
+def _load_store(path: str) -> Any:
     from corklift.store.files import DiskFiles
     from corklift.store.format import DamagedStoreError, load
 
@@ -131,37 +132,40 @@
 
 @store.command(
     "check",
-    help="Reads all; says what a start would find, or where it is damaged. Changes nothing.",
+    help="Read the whole store; report its content or the damage. Changes nothing.",
 )
 @click.argument("folder", type=_Folder)
 def store_check(folder: str) -> None:
-    found = _loaded(folder)
+    found = _load_store(folder)
     if not found.segment_number:
-        click.echo(f"{folder}: no store is here")
+        click.echo(f"{folder}: no store found")
         return
     click.echo(
-        f"{folder}: store {found.store_id.hex()}, {len(found.state)} keys, commit {found.sequence}, segment {found.segment_number}"
+        f"{folder}: store {found.store_id.hex()}, {len(found.state)} keys, "
+        f"commit {found.sequence}, segment {found.segment_number}"
     )
     for cut in found.torn_tails:
-        click.echo(f"a torn end, left out: {cut.name} at byte {cut.offset}, {cut.length} bytes")
+        click.echo(
+            f"ignored an incomplete write: {cut.name} at byte {cut.offset}, {cut.length} bytes"
+        )
 
 
-@store.command("dump", help="Keys and values, one a line, in order.")
+@store.command("dump", help="Print keys and values, one per line, sorted by key.")
 @click.argument("folder", type=_Folder)
 @click.option("--prefix", default="")
 def store_dump(folder: str, prefix: str) -> None:
     import msgspec
 
-    for key, value in sorted(_loaded(folder).state.items()):
+    for key, value in sorted(_load_store(folder).state.items()):
         if key.startswith(prefix.encode()):
             try:
-                told = msgspec.msgpack.decode(value)
+                shown = msgspec.msgpack.decode(value)
             except msgspec.DecodeError:
-                told = value.hex()
-            click.echo(f"{key.decode('utf-8', 'replace')} {told}")
+                shown = value.hex()
+            click.echo(f"{key.decode('utf-8', 'replace')} {shown}")
 
 
-def _written(state: dict[bytes, bytes], to: str) -> None:
+def _write_store(state: dict[bytes, bytes], to: str) -> None:
     import os
 
     from corklift.store.files import DiskFiles
@@ -170,24 +174,24 @@
     if os.path.isdir(to) and os.listdir(to):
         raise click.ClickException(f"{to} is not empty")
     disk = DiskFiles(to)
-    made = Store(disk)
+    target = Store(disk)
     try:
-        made.commit([dict(state)])
+        target.commit([dict(state)])
     finally:
-        made.close()
+        target.close()
         disk.release()
 
 
 @store.command(
     "init",
-    help="Says that there is nothing to remember: for a fleet's first balancer, that can reach no other.",
+    help="Create an empty store, for the first balancer of a fleet, which has no peer to ask.",
 )
 @click.argument("path", type=click.Path(file_okay=False))
 @click.option(
     "--boot",
     default="/proc/sys/kernel/random/boot_id",
     show_default=True,
-    help="As in the balancer's file.",
+    help="The same as store.boot in the balancer's file.",
 )
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.driver import boot_of
@@ -197,21 +201,21 @@
     from corklift.store.worker import StoreFolders
 
     try:
-        made = Store(StoreFolders(path).newest())
-        if made.items():
-            raise click.ClickException(f"{path}: there is something to remember")
-        made.commit(
+        created = Store(StoreFolders(path).newest())
+        if created.items():
+            raise click.ClickException(f"{path}: the store is not empty")
+        created.commit(
             [dict([encode_fact(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])]
         )
     except (DamagedStoreError, StoreInUseError, CommitFailedError, OSError) as problem:
         raise click.ClickException(f"{path}: {problem}") from None
-    made.close()
-    click.echo(f"{path}: nothing to remember")
+    created.close()
+    click.echo(f"{path}: empty store created")
 
 
 @store.command(
     "salvage",
-    help="Writes what can be read of a damaged store into an empty folder, and says what is lost.",
+    help="Write the readable part of a damaged store to an empty folder; report what is lost.",
 )
 @click.argument("folder", type=_Folder)
 @click.option("--to", required=True, type=click.Path(file_okay=False))
@@ -223,30 +227,30 @@
     found = salvage(disk.names(), disk.read)
     for lost in found.losses:
         click.echo(f"lost: {lost}")
-    _written(found.state, to)
+    _write_store(found.state, to)
     click.echo(f"{to}: {len(found.state)} keys")
 
 
 @store.command(
     "copy",
-    help="Writes what is kept into an empty folder, as a store of its own. Only while no process has it.",
+    help="Copy a store that no process has open to an empty folder.",
 )
 @click.argument("folder", type=_Folder)
 @click.argument("to", type=click.Path(file_okay=False))
 def store_copy(folder: str, to: str) -> None:
-    found = _loaded(folder)
-    _written(found.state, to)
+    found = _load_store(folder)
+    _write_store(found.state, to)
     click.echo(f"{to}: {len(found.state)} keys")
 
 
 @main.group(
     invoke_without_command=True,
-    help="The control service: placement choices for proxies, through xDS.",
+    help="Run the control service, which configures proxies through xDS.",
 )
 @click.option(
-    "--config", type=click.Path(dir_okay=False), help="TOML; see docs/operate/control.md."
+    "--config", type=click.Path(dir_okay=False), help="A TOML file; see docs/operate/control.md."
 )
-@click.option("--check", is_flag=True, help="Only read the configuration and say whether it holds.")
+@click.option("--check", is_flag=True, help="Only validate the file.")
 @click.pass_context
 def control(context: click.Context, config: str | None, check: bool) -> None:
     if context.invoked_subcommand is not None:
@@ -269,24 +273,24 @@
     sys.exit(serve(config))
 
 
-@control.command(help="Which proxy has which view, from a running control service (CSDS).")
+@control.command(help="Show which resource versions each proxy has, from a control service (CSDS).")
 @click.option("--address", type=_Address(), default="127.0.0.1:18000", show_default=True)
-@click.option("--node", default="", help="Only proxies whose id contains this.")
+@click.option("--node", default="", help="Only proxies whose node id contains this.")
 @click.option("--json", "as_json", is_flag=True)
 def status(address: tuple[str, int], node: str, as_json: bool) -> None:
-    from corklift.control.status import main as tell
+    from corklift.control.status import main as print_status
 
-    sys.exit(tell(address, node, as_json))
+    sys.exit(print_status(address, node, as_json))
 
 
 @main.group(
-    help="The lab: fleets in virtual time, experiments, exploration. See docs/operate/lab.md."
+    help="Simulation: fleets in virtual time, experiments, exploration. See docs/operate/lab.md."
 )
 def lab() -> None:
     pass
 
 
-def _experiment(path: str) -> Any:
+def _load_experiment(path: str) -> Any:
     from corklift.lab.experiment import load
     from corklift.lab.scenario import BadScenario
 
@@ -298,36 +302,39 @@
         raise click.ClickException(str(problem)) from None
 
 
-def _table(results: list[dict[str, Any]]) -> None:
+def _print_results(results: list[dict[str, Any]]) -> None:
     for found in results:
         changes = " ".join(f"{key}={value}" for key, value in found["varied"].items())
         rules = (
             " ".join(f"rule {rule}: {number}" for rule, number in found["rules"].items())
-            or "rules kept"
+            or "no rule broken"
         )
         click.echo(
-            f"{found['policy']:18} seed {found['seed']:<4} service {found['service']:.4f}  {rules}  {changes}"
+            f"{found['policy']:18} seed {found['seed']:<4} service {found['service']:.4f}  "
+            f"{rules}  {changes}"
         )
 
 
 @lab.command(
-    "run", help="Plays an experiment; lines go to --out, where an interrupted one goes on."
+    "run", help="Run an experiment; an interrupted one continues from the results in --out."
 )
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--out", type=click.Path(dir_okay=False), help="JSON lines; FILE.jsonl by default.")
+@click.option(
+    "--out", type=click.Path(dir_okay=False), help="Results as JSON lines; FILE.jsonl by default."
+)
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
 def lab_run(file: str, out: str | None, processes: int) -> None:
     from corklift.lab.experiment import carry_out
 
-    given = _experiment(file)
+    given = _load_experiment(file)
     try:
         for result in carry_out(given, out or f"{file}.jsonl", processes):
-            _table([result])
+            _print_results([result])
     except ValueError as problem:
         raise click.ClickException(str(problem)) from None
 
 
-@lab.command(help="Differences between policies, pair by pair, with 95 % intervals.")
+@lab.command(help="Show differences between policies over paired runs, with 95 % intervals.")
 @click.argument("results", type=click.Path(exists=True, dir_okay=False))
 @click.option("--against", default="module", show_default=True)
 @click.option(
@@ -342,11 +349,14 @@
     _, found = read(results)
     for row in sorted(differences(found, against, figure), key=lambda row: -row.mean):
         click.echo(
-            f"{row.policy:18} {row.mean:+.4f}  ({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)"
+            f"{row.policy:18} {row.mean:+.4f}  "
+            f"({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)"
         )
 
 
-@lab.command(help="The runs in which a policy does worst against the one that sees the true state.")
+@lab.command(
+    help="Show the runs in which a policy is worst, compared with one that sees the true state."
+)
 @click.argument("results", type=click.Path(exists=True, dir_okay=False))
 @click.option("--policy", default="module", show_default=True)
 @click.option("--most", type=click.IntRange(1, 1000), default=5, show_default=True)
@@ -354,22 +364,22 @@
     from corklift.lab.experiment import read
 
     _, found = read(results)
-    mark = {
+    best_service = {
         (run["seed"], str(run["varied"])): run["service"]
         for run in found
         if run["policy"] == "true state"
     }
-    mine = [
-        (run["service"] - mark.get((run["seed"], str(run["varied"])), run["service"]), run)
+    policy_runs = [
+        (run["service"] - best_service.get((run["seed"], str(run["varied"])), run["service"]), run)
         for run in found
         if run["policy"] == policy
     ]
-    for apart, run in sorted(mine, key=lambda pair: pair[0])[:most]:
-        click.echo(f"{apart:+.4f} ", nl=False)
-        _table([run])
+    for difference, run in sorted(policy_runs, key=lambda pair: pair[0])[:most]:
+        click.echo(f"{difference:+.4f} ", nl=False)
+        _print_results([run])
 
 
-@lab.command(help="One HTML page with plots.")
+@lab.command(help="Write the results as an HTML page with plots.")
 @click.argument("results", type=click.Path(exists=True, dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), default="report.html", show_default=True)
 def report(results: str, out: str) -> None:
@@ -382,15 +392,15 @@
     click.echo(f"{out}: {len(found)} runs")
 
 
-@lab.command(help="Every order of events in a small world, to a depth; then random walks.")
+@lab.command(help="Explore all orders of events in a small model up to a depth; then random walks.")
 @click.option(
     "--world",
     type=click.Choice(["placing", "views", "members", "recovery"]),
     default="placing",
     show_default=True,
-    help="The decision module, the control service's views with one proxy, three members, or three recoveries.",
+    help="The decisions, the control service with one proxy, three members, or three recoveries.",
 )
-@click.option("--incremental", is_flag=True, help="Of views: that variant.")
+@click.option("--incremental", is_flag=True, help="For views: the incremental variant of xDS.")
 @click.option("--depth", type=click.IntRange(1, 40), default=5, show_default=True)
 @click.option("--states", type=click.IntRange(10, 10_000_000), default=20_000, show_default=True)
 @click.option("--walks", type=click.IntRange(0, 10_000_000), default=500, show_default=True)
@@ -402,7 +412,7 @@
     default="repeatable",
     show_default=True,
 )
-@click.option("--out", type=click.Path(dir_okay=False), help="Where a counterexample goes.")
+@click.option("--out", type=click.Path(dir_okay=False), help="File for a counterexample.")
 def explore(
     world: str,
     incremental: bool,
@@ -444,7 +454,7 @@
         sys.exit(1)
 
 
-@lab.command(help="Plays a counterexample that `explore --out` wrote.")
+@lab.command(help="Replay a counterexample that `explore --out` wrote.")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def replay(file: str) -> None:
     import json
@@ -456,7 +466,7 @@
     world = lab_explore.world(given["world"], given["shape"])
     for label in given["path"]:
         if label not in world.enabled():
-            click.echo(f"passed over: {label}")
+            click.echo(f"skipped, not possible here: {label}")
             continue
         world.play(label)
         if world.broken():
@@ -467,7 +477,7 @@
 
 
 @lab.command(
-    help="Balancers, stand-in transcribers and clients on loopback: placements a second, latency, limits."
+    help="Measure placements per second, latency and limits with real balancers on loopback."
 )
 @click.option("--balancers", type=click.IntRange(1, 16), default=1, show_default=True)
 @click.option("--servers", type=click.IntRange(1, 200), default=4, show_default=True)
@@ -476,7 +486,7 @@
     type=click.FloatRange(1, 5000),
     default=100.0,
     show_default=True,
-    help="Logins a second.",
+    help="Logins per second.",
 )
 @click.option("--seconds", type=click.FloatRange(1, 600), default=8.0, show_default=True)
 @click.option(
@@ -484,14 +494,14 @@
     type=click.FloatRange(0.1, 600),
     default=5.0,
     show_default=True,
-    help="Mean length of a connection, s.",
+    help="Mean duration of a connection, in seconds.",
 )
 @click.option(
     "--sockets",
     type=click.IntRange(32, 20_000),
     default=4096,
     show_default=True,
-    help="A balancer's limit.",
+    help="Limit of sockets of each balancer.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json", is_flag=True)
@@ -526,13 +536,14 @@
 
 
 @main.group(
-    help="The rig: real processes of serve with faults between them, and a checker. See docs/design/rig.md."
+    help="Fault injection: real `serve` processes with faults between them, and a checker. "
+    "See docs/design/rig.md."
 )
 def rig() -> None:
     pass
 
 
-def _scenario(path: str) -> Any:
+def _load_scenario(path: str) -> Any:
     from corklift.rig.scenario import BadScenario, read
 
     try:
@@ -541,7 +552,7 @@
         raise click.ClickException(str(problem)) from None
 
 
-def _verdict(events: Any) -> int:
+def _print_verdict(events: Any) -> int:
     from corklift.rig.checker import around, judge
 
     found = judge(events, max(event.at for event in events))
@@ -549,7 +560,9 @@
         first = found[0]
         click.echo(f"{first.promise} broken: {first.what}\n" + "\n".join(around(events, first.at)))
     logins = sum(event.what == "login" for event in events)
-    click.echo(f"{logins} logins, {len(found)} breaks" + ("" if found else ": all promises kept"))
+    click.echo(
+        f"{logins} logins, {len(found)} violations" + ("" if found else ": all promises kept")
+    )
     return 1 if found else 0
 
 
@@ -576,37 +589,37 @@
                 "spoil": spoil,
             }
             file.write(msgspec.json.encode(head).decode() + "\n" + written(played.events))
-    return _verdict(played.events)
+    return _print_verdict(played.events)
 
 
-@rig.command("run", help="Plays a scenario and judges it; exits 1 where a promise is broken.")
+@rig.command("run", help="Run a scenario and check it; exits with 1 if a promise is broken.")
 @click.argument("file", type=click.Path(dir_okay=False))
 @click.option(
-    "--out", type=click.Path(dir_okay=False), help="Where the events go, for replay and report."
+    "--out", type=click.Path(dir_okay=False), help="File for the events, for replay and report."
 )
 @click.option(
     "--peers/--no-peers",
     default=True,
     show_default=True,
-    help="Off: the same balancers, that do not know each other.",
+    help="Whether the balancers know each other.",
 )
-@click.option("--seed", type=int, help="Instead of the file's.")
+@click.option("--seed", type=int, help="Overrides the seed of the file.")
 @click.option(
     "--spoil",
     multiple=True,
     metavar="BALANCER=FAULT",
-    help="A deliberate fault of `rig list`, put into it at its start.",
+    help="Start this balancer with a deliberate fault of `rig list`.",
 )
-@click.option("--verbose", is_flag=True, help="What the rig sees and does, as it happens.")
+@click.option("--verbose", is_flag=True, help="Print the events as they happen.")
 def rig_run(
     file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool
 ) -> None:
-    given = _scenario(file)
+    given = _load_scenario(file)
     spoilt = dict(item.partition("=")[::2] for item in spoil)
     sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, spoilt, out, verbose))
 
 
-@rig.command("list", help="The scenarios of a folder, and the deliberate faults.")
+@rig.command("list", help="List the scenarios of a folder, and the deliberate faults.")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False), default="examples/rig")
 def rig_list(folder: str) -> None:
     import os
@@ -615,15 +628,16 @@
 
     for name in sorted(os.listdir(folder)):
         if name.endswith(".toml"):
-            given = _scenario(os.path.join(folder, name))
+            given = _load_scenario(os.path.join(folder, name))
             click.echo(
-                f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  {given.name}"
+                f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  "
+                f"{given.name}"
             )
     for fault_name, made in FAULTS.items():
         click.echo(f"{fault_name:24} {(made.__doc__ or '').strip()}")
 
 
-@rig.command("replay", help="Plays again what `run --out` wrote, and judges it.")
+@rig.command("replay", help="Run again what `run --out` wrote, and check it.")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 def rig_replay(file: str) -> None:
     import json
@@ -646,7 +660,7 @@
     )
 
 
-@rig.command("report", help="The time line of what `run --out` wrote, as one HTML page.")
+@rig.command("report", help="Write the time line of what `run --out` wrote as an HTML page.")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), default="rig.html", show_default=True)
 def rig_report(file: str, out: str) -> None:
