--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -61,7 +61,7 @@
     report_names: dict[str, str]
     pushed_measurement: tuple[MeasurementKind, int] | None
     localities: list[str]
-    kinds: list[str]
+    machine_types: list[str]
     # How long a probe connection is kept open while idle, in ns.
     probe_keepalive: int
     # Address of the admin endpoints, if enabled.
