--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -77,6 +77,10 @@
 
 
 def _login(fields: tuple) -> Login:
+    """Returns the login of a NEW_REQUEST or CARRIED event.
+
+    Flags: 1 says that the cost is known, 8 stands for `mid_flow`, and 16 for `came_back`.
+    """
     login, workload, tenant, subject, time_limit_at, cost, group, flags = fields[:8]
     return Login(
         login,
@@ -129,6 +133,7 @@
         return self.reply.frame(batch.number)
 
     def _dispatch(self, instance: int, code: int, fields: tuple, content: bytes, now: int) -> None:
+        """Passes one event to the balancer of the instance, which START creates."""
         if code == codec.START:
             try:
                 settings = json.loads(content)
@@ -151,24 +156,24 @@
         elif code == codec.TICK_DUE:
             balancer.timer_due(now, fields[0])
         elif code == codec.RESOLVED:
-            login, closed, server, status, attempt, delay, _ = fields
+            login, closed, server, outcome_code, attempt, delay, _ = fields
             balancer.hand_off_ended(
                 now,
                 login,
                 bool(closed),
                 server,
-                OUTCOMES.get(status, Outcome.ERROR),
+                OUTCOMES.get(outcome_code, Outcome.ERROR),
                 attempt,
                 delay,
                 codec.parse_report(content, self._report_fields[instance]),
             )
         elif code == codec.CHECK_RESULT:
-            server, delay, status, _ = fields
+            server, delay, outcome_code, _ = fields
             balancer.probe_answered(
                 now,
                 server,
                 delay,
-                OUTCOMES.get(status, Outcome.ERROR),
+                OUTCOMES.get(outcome_code, Outcome.ERROR),
                 codec.parse_report(content, self._report_fields[instance]),
             )
         elif code == codec.UNDER_WAY:
