--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -221,8 +221,7 @@
     # Events
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
-        """Continues from what an earlier process of this name stored; to be called before the
-        start.
+        """Continues from what an earlier process of this name has stored; called before `start`.
 
         Records of the earlier process are thereby outdated from the first message on, and not only
         when a peer passes one on.
@@ -367,9 +366,7 @@
             )
 
     def detect_pause(self, now: int) -> None:
-        """Checks, before a login is placed, whether this process was paused; if so, the count is
-        raised first.
-        """
+        """Checks before a placement whether this process was paused, and if so raises the count."""
         self._detect_pause(now)
 
     def set_connections(self, now: int, connections: int) -> None:
@@ -377,8 +374,9 @@
         self.count.set_connections(now, connections)
 
     def server_reported(self, now: int, server: str, connections: float, listed: set[str]) -> None:
-        """Records the connections that a server reports, whichever balancer placed them; `listed`:
-        all servers that may hold some.
+        """Records a report of a server on its connections.
+
+        It covers the connections of all balancers; `listed` are all servers that may hold some.
         """
         if self.count.server_reported(now, server, connections, listed):
             self._update_count()
@@ -441,8 +439,9 @@
         to: MemberRecord | None = None,
         receiver: str = "",
         records: tuple[MemberRecord, ...] = (),
-        **more: object,
+        **fields: object,
     ) -> Message:
+        """Creates a message with gossip; `receiver` names the member that gets it, if not `to`."""
         window, min_connections = self.count.own_minimum(now)
         return Message(
             kind,
@@ -453,7 +452,7 @@
             self._digest,
             window,
             min_connections,
-            **more,  # type: ignore[arg-type]
+            **fields,  # type: ignore[arg-type]
         )
 
     def _gossip_for(self, receiver: str) -> tuple[MemberRecord, ...]:
@@ -478,6 +477,7 @@
         return tuple(chosen)
 
     def _sync_page(self, cursor: str) -> tuple[tuple[MemberRecord, ...], str]:
+        """Returns the records after the name `cursor`, and the cursor of the next page, if any."""
         at = bisect_right(self._names, cursor)
         names = self._names[at : at + self._config.page_size]
         return tuple(self.table[name] for name in names), names[
@@ -492,26 +492,40 @@
         *,
         address: str = "",
         span: int = 0,
-        done: Callable[[int, Message | None], None] | None = None,
+        callback: Callable[[int, Message | None], None] | None = None,
         name: str = "",
         instance_id: int = 0,
-        **more: object,
+        **fields: object,
     ) -> int:
+        """Sends a request, and returns its id.
+
+        Args:
+            now: current time, in ns.
+            kind: kind of the message.
+            to: the member.
+            address: where to call it, if not at the address of its record.
+            span: timeout in ns; 0: one probe period, longer if this process is slow.
+            callback: called with the time and the reply; None: there was none.
+            name: the member that the probe is about, if not `to`.
+            instance_id: the process that the probe is about, if not the one of `to`.
+            **fields: further fields of the message.
+        """
         request_id, self._next_request_id = self._next_request_id, self._next_request_id + 1
         address = address or to.address
         self._requests[request_id] = _Request(
-            kind, name or to.name, instance_id or to.instance_id, address, now, done
+            kind, name or to.name, instance_id or to.instance_id, address, now, callback
         )
         self._host.send_request(
             request_id,
             address,
             to.name,
-            self._message(now, kind, to=to if to.instance_id else None, **more),  # type: ignore[arg-type]
+            self._message(now, kind, to=to if to.instance_id else None, **fields),  # type: ignore[arg-type]
             now + (span or self._config.period * (1 + self._slowdown)),
         )
         return request_id
 
     def _merge_message(self, now: int, message: Message) -> None:
+        """Merges the records of a message, and requests a page if the tables differ."""
         sender = message.sender
         self._merge_record(now, sender)
         for record in message.records[:MAX_RECORDS]:
@@ -526,7 +540,7 @@
             span = self._config.page_interval * self._config.period * self._rng.uniform(0.75, 1.25)
             self._next_sync_at = now + int(span if self._announced else span / 8)
             self._request(
-                now, SYNC, sender, cursor=self._sync_cursor, done=self._sync_page_received
+                now, SYNC, sender, cursor=self._sync_cursor, callback=self._sync_page_received
             )
 
     def _sync_page_received(self, now: int, message: Message | None) -> None:
@@ -598,6 +612,7 @@
             self._update_count()
 
     def _merge_own_record(self, now: int, record: MemberRecord) -> None:
+        """Handles a record of this member's own name: refutes it, or checks which process is live."""
         own = self.own_record
         if record.instance_id == own.instance_id:
             if (
@@ -641,7 +656,7 @@
                         max(self.own_record.restart_count, record.restart_count + 1),
                     )
 
-            self._request(now, PING, record, done=on_reply)
+            self._request(now, PING, record, callback=on_reply)
 
     def _raise_incarnation(self, incarnation: int, restart_count: int) -> None:
         self._digest ^= self._hash_record(self.own_record)
@@ -651,14 +666,13 @@
         self._digest ^= self._hash_record(self.own_record)
 
     def _stop_rejected(self, reason: str) -> None:
-        """Stops sending; anything sent would be taken for a message of the other process of this
-        name.
-        """
+        """Stops sending, as a message would be taken for one of the other process of this name."""
         if not self.rejected:
             self.rejected = self._leaving = True
             self._host.name_rejected(reason)
 
     def _declare_dead(self, now: int, name: str, instance_id: int) -> None:
+        """Marks a process of a member as dead."""
         current = self.table.get(name)
         if current is not None and current.instance_id == instance_id and current.state <= SUSPECT:
             self._merge_record(
@@ -688,6 +702,7 @@
         suspicion.expires_at = suspicion.started_at + int(span)
 
     def _suspect(self, now: int, record: MemberRecord) -> None:
+        """Marks a member as suspected by this one."""
         current = self.table.get(record.name)
         if (
             current is not None
@@ -704,6 +719,7 @@
                 self._merge_record(now, suspected)
 
     def _expire_suspicions(self, now: int) -> None:
+        """Declares dead the members whose suspicions have expired."""
         if self._no_deaths_until:
             if now < self._no_deaths_until:
                 return
@@ -749,6 +765,7 @@
     # Probes
 
     def _keep_probing(self, now: int) -> None:
+        """Ends the present probe when it is due, and starts the next one."""
         probe = self._probe
         if (
             probe is not None
@@ -775,6 +792,7 @@
                 self._request(now, PING, record, span=span)
 
     def _next_probe_target(self) -> MemberRecord | None:
+        """Returns the next member of the round; None: no other member is live."""
         for _ in range(2):
             while self._probe_round:
                 record = self.table.get(self._probe_round.pop())
@@ -785,6 +803,7 @@
         return None
 
     def _request_relays(self, now: int, probe: _Probe) -> None:
+        """Asks a few other members to probe the target of a probe."""
         others = [
             record
             for record in self.live_members
@@ -807,6 +826,8 @@
             )
 
     def _relay_probe(self, now: int, call_id: int, subject: MemberRecord, timeout: int) -> None:
+        """Probes a member for a peer, which gets an ACK or a NACK."""
+
         def on_reply(at: int, reply: Message | None) -> None:
             reached = (
                 reply is not None
@@ -828,12 +849,13 @@
             PING,
             known if known is not None and known.instance_id == subject.instance_id else subject,
             span=max(1, min(timeout, self._config.max_slowdown * self._config.period)),
-            done=on_reply,
+            callback=on_reply,
         )
 
     # Joining and rejoining
 
     def _keep_joining(self, now: int) -> None:
+        """Tries the next address to join at, with exponential backoff."""
         if self.joined or now < self._next_join_at:
             return
         config = self._config
@@ -850,7 +872,7 @@
         )
 
     def _try_to_join(self, now: int, address: str) -> None:
-        def done(at: int, reply: Message | None) -> None:
+        def callback(at: int, reply: Message | None) -> None:
             self._untried_addresses.discard(address)
             if reply is None:
                 return
@@ -865,13 +887,13 @@
                 self._host.log(f"joined the fleet through {reply.sender.name} at {address}")
 
         self._request(
-            now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, done=done
+            now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, callback=callback
         )
 
     def _announce(self, now: int) -> None:
         """Announces this member to all known members, a few at a time."""
 
-        def done(at: int, reply: Message | None) -> None:
+        def callback(at: int, reply: Message | None) -> None:
             self._pending_announcements -= 1
 
         synced = self._table_synced or all(record.state > SUSPECT for record in self.table.values())
@@ -879,12 +901,13 @@
         for record in left[: self._config.records_per_message]:
             self._announced_to.add(record.name)
             self._pending_announcements += 1
-            self._request(now, PING, record, done=done)
+            self._request(now, PING, record, callback=callback)
         self._announced = synced and not left and not self._pending_announcements
 
     def _admit(self, now: int, call_id: int, message: Message) -> None:
-        """Handles the JOIN of a member that starts or restarts; it is refused if a process that
-        replies has its name.
+        """Handles the JOIN of a member that starts or restarts.
+
+        It is refused if a process that replies has its name.
         """
         record = message.sender
         current = (
@@ -927,13 +950,12 @@
                 now,
                 PING,
                 current,
-                done=looked,
+                callback=looked,
                 span=int(self._config.period * self._config.ack_timeout * (1 + self._slowdown)),
             )
 
     def _retry_dead(self, now: int) -> None:
-        """Calls from time to time a dead member, or a configured address at which no member is
-        known.
+        """Calls from time to time a dead member or a configured address without a known member.
 
         This guards against two sides of a partition that still consider each other dead after it
         has ended.
--- a/corklift/membership/count.py
+++ b/corklift/membership/count.py
@@ -1,5 +1,6 @@
-"""Estimates how many balancers may be placing logins; each one gets its share of a cold server's
-budget by this number.
+"""Estimates how many balancers may be placing logins.
+
+The budget of a cold server is divided by this number.
 
 The number grows at once and falls only on evidence: a member announced that it leaves, operators
 declared it gone, or the connection counts of the servers leave no room for it. Too high a number
@@ -79,6 +80,7 @@
         self._start_round(now)
 
     def _start_round(self, now: int) -> None:
+        """Starts a round of evidence."""
         self._round_started_at, self._reports_complete_at = now, 0
         self._server_reports: dict[str, float] = {}
         self._minimums: dict[str, int] = {}
@@ -167,8 +169,14 @@
     def member_replied(
         self, sent_at: int, now: int, name: str, window: int, min_connections: int
     ) -> bool:
-        """Records a member's reply to a call made at `sent_at`, with its minimum number of
-        connections over `window` ns.
+        """Records a member's minimum number of connections, from its reply.
+
+        Args:
+            sent_at: when the call was made, in ns.
+            now: current time, in ns.
+            name: the member.
+            window: length of the window of the minimum, in ns.
+            min_connections: the minimum in that window.
 
         Returns:
             Whether this may have changed the count.
@@ -187,6 +195,7 @@
     def _add_minimum(
         self, sent_at: int, now: int, name: str, window: int, min_connections: int
     ) -> bool:
+        """Adds a member's minimum to the round, if its window covers the reports of the servers."""
         if (
             not self._reports_complete_at
             or sent_at < self._reports_complete_at
@@ -197,6 +206,7 @@
         return self._finish_round(now)
 
     def _finish_round(self, now: int) -> bool:
+        """Limits the number of dead members by the evidence of a round, if it is complete."""
         if not self._reports_complete_at or not self._alive <= self._minimums.keys():
             return False
         window, min_connections = self._own_minimum.minimum(now)
@@ -218,8 +228,9 @@
 
     @property
     def value(self) -> int:
-        """Number of balancers that may be placing: this one, the live ones, and others that no
-        evidence excludes.
+        """Number of balancers that may be placing logins.
+
+        These are this one, the live ones, and the others that no evidence excludes.
         """
         # Expected balancers that are not known by name may be starting and hold no connections yet,
         # so no evidence covers them.
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -20,9 +20,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; of two records with the same incarnation, the higher state takes
-    precedence.
-    """
+    """State of a member; at the same incarnation the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -47,9 +45,7 @@
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """Of two records of one name the higher rank takes precedence, in whatever order they
-        arrive.
-        """
+        """Orders the records of one name: the higher rank takes precedence, whenever it arrives."""
         return self.incarnation, self.instance_id, self.state
 
 
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -220,8 +220,9 @@
             process.relay.set_accepting(False)
 
     def resume(self, incarnation: int, restart_count: int, expected: int) -> None:
-        """Continues from the state that was recovered, and starts to take part; see
-        `Membership.resume`.
+        """Continues from the recovered state and takes part from now on.
+
+        See `Membership.resume`.
         """
         self.core.resume(incarnation, restart_count, expected)
         self._waits = False
@@ -249,9 +250,7 @@
         return self._keep_accepting, self._keep_ticking, self._keep_updating
 
     def on_stop_requested(self) -> None:
-        """Does nothing: clients still arrive for a moment, so peers are told after the last one
-        left.
-        """
+        """Does nothing: clients still arrive, so peers are told in `on_clients_drained`."""
 
     def on_clients_drained(self) -> None:
         """The last client has gone: announces that this balancer leaves."""
@@ -444,8 +443,7 @@
 
 
 def call_peer(address: tuple[str, int], path: str, request: bytes, wait: int = 3 * SECOND) -> Any:
-    """Makes one unary call to a balancer from a process that runs no scheduler, for the command
-    line.
+    """Makes one unary call to a balancer, for the command line; runs a scheduler of its own.
 
     Raises:
         RpcError: the call failed.
--- a/corklift/recovery/admission.py
+++ b/corklift/recovery/admission.py
@@ -1,5 +1,6 @@
-"""Admission control for logins after a restart of the fleet, while servers and clients come back
-together.
+"""Admission control for logins after a restart of the fleet.
+
+It applies while servers and clients come back together.
 
 Two limits apply, and the tighter one decides. The first is a window of hand-offs in progress that
 follows slow start (Jacobson 1988), with a hand-off in place of a packet: it starts small, grows by
@@ -107,9 +108,7 @@
         )
 
     def try_admit(self, now: int, importance: float) -> bool:
-        """Returns whether a login is admitted; `importance` is from 0 to 1, relative to the most
-        important workload.
-        """
+        """Returns whether a login is admitted; `importance` is relative, from 0 to 1."""
         share = MIN_SHARE + (1 - MIN_SHARE) * importance
         self._refill(now)
         if self.in_progress < max(1.0, self.window * share) and (
@@ -123,9 +122,7 @@
         return False
 
     def login_finished(self, fulfilled: bool | None) -> None:
-        """An admitted login has succeeded, has failed at a server, or (None) has ended in a way
-        that says nothing of a server.
-        """
+        """An admitted login has succeeded, failed at a server, or (None) ended otherwise."""
         self.in_progress = max(0, self.in_progress - 1)
         if fulfilled:
             self.window += 1.0
@@ -136,8 +133,6 @@
 
 
 def retry_after(rng: Random, max_retry_after: int, importance: float) -> int:
-    """Returns the time in ns after which a rejected login should retry: random, and shorter for
-    important logins.
-    """
+    """Returns when a rejected login should retry, in ns: random, sooner for important ones."""
     low, high = RETRY_SPREAD
     return int(max_retry_after * rng.uniform(low, high - (high - low) / 2 * importance))
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -1,5 +1,4 @@
-"""Recovery of a balancer from its start to full service, and durable replication of operator
-overrides.
+"""Recovery of a balancer after a start, and durable replication of operator overrides.
 
 The phases: READ loads the local store. ASK queries a few live peers for newer facts. LOOK waits
 until each server that may serve has replied to a probe or failed to. OPEN admits logins as the
@@ -71,8 +70,9 @@
 
 
 class RecoveryConfig(NamedTuple):
-    """Timeouts and limits. `period` and `max_retry_after` are in ns; other times are in probe
-    periods.
+    """Timeouts and limits.
+
+    `period` and `max_retry_after` are in ns; other times are in probe periods.
     """
 
     period: int = 1_000_000_000
@@ -333,9 +333,7 @@
         self.tick(now)
 
     def store_unreadable(self, now: int, reason: str) -> None:
-        """The store can't be read, and nothing was salvaged from it; the balancer starts without
-        facts.
-        """
+        """The store can't be read or salvaged; the balancer starts without facts."""
         self._store_done, self.store_error, self.behind, self.starts_empty = (
             True,
             reason,
@@ -357,6 +355,7 @@
     def _persist(
         self, facts: tuple[Fact, ...], callback: Callable[[bool], None] = lambda succeeded: None
     ) -> None:
+        """Starts a write of facts; the callback gets whether it succeeded."""
         write_id, self._next_id = self._next_id, self._next_id + 1
         self._persist_callbacks[write_id] = callback
         self._host.persist(write_id, facts)
@@ -387,9 +386,7 @@
 
     @property
     def next_incarnation(self) -> tuple[int, int]:
-        """Incarnation and restart count to start with: above the stored ones, which peers may still
-        gossip.
-        """
+        """Incarnation and restart count to start with, above those that peers may still gossip."""
         previous = self.facts.get(SELF)
         return (
             (int(previous.value[0]) + 1, int(previous.value[1]) + 1)
@@ -446,9 +443,7 @@
         return max(self._expected, int(stored.value) if stored is not None else 0)
 
     def stopping(self, now: int) -> None:
-        """Stores that this process was told to stop, so that the next start is not treated as one
-        after a loss.
-        """
+        """Stores that this process was told to stop, so the next start does not follow a loss."""
         self._persist_own((Fact(ENDED, "", (1,), [self._boot, True], self.name, now),))
 
     # Peers
@@ -483,6 +478,7 @@
         )
 
     def _request_state(self, now: int, name: str, full: bool) -> None:
+        """Sends a query to a peer; `full` asks for all facts and start times."""
         request_id, self._next_id = self._next_id, self._next_id + 1
         self._requests[request_id] = name, now
         self._host.request_state(
@@ -593,8 +589,9 @@
         return reply
 
     def _record_marker(self, now: int, name: str, marker: Marker) -> None:
-        """Remembers the position of a peer's store; it is stored with the next override, which is
-        often enough.
+        """Remembers the position of a peer's store.
+
+        It is stored with the next override, which is often enough.
         """
         self.peer_markers[name] = marker
 
@@ -641,8 +638,9 @@
         out_of_service: bool,
         callback: Callable[[ReplicationOutcome, int, int], None],
     ) -> None:
-        """Takes a server out of service or restores it, at once at this balancer, and replicates
-        that.
+        """Takes a server out of service or restores it, and replicates that.
+
+        It is in force at this balancer at once.
 
         Args:
             now: current time, in ns.
@@ -676,6 +674,7 @@
     def _replicate(
         self, now: int, facts: list[Fact], callback: Callable[[ReplicationOutcome, int, int], None]
     ) -> None:
+        """Starts to replicate facts that belong to one override."""
         replication_id, self._next_id = self._next_id, self._next_id + 1
         replication = self._replications[replication_id] = _Replication(
             facts[0], callback, now + int(self.config.replication_timeout * self.config.period)
@@ -692,6 +691,7 @@
         self._update_replication(now, replication_id)
 
     def _send_replications(self, now: int, replication_id: int, facts: list[Fact]) -> None:
+        """Sends facts to further peers, as far as the limit of concurrent calls allows."""
         replication = self._replications[replication_id]
         while (
             replication.unsent
@@ -757,6 +757,7 @@
         return min(1 + self.config.copies, fleet // 2 + 1)
 
     def _update_replication(self, now: int, replication_id: int) -> None:
+        """Ends a replication once enough disks store the fact, or all peers replied, or in time."""
         replication = self._replications.get(replication_id)
         if replication is None:
             return
@@ -785,6 +786,7 @@
     # Effects of facts
 
     def _apply_facts(self, changed: Iterable[Fact]) -> None:
+        """Passes on to the host what has changed."""
         changed = list(changed)
         out_of_service = {fact.name for fact in changed if fact.kind == OUT and fact.value}
         restored = {fact.name for fact in changed if fact.kind == OUT and not fact.value}
@@ -794,6 +796,7 @@
             self._host.reapply_list()
 
     def _merge_shared(self, now: int, facts: list[Fact], provenance: Provenance) -> None:
+        """Merges facts, and stores those that are new."""
         changed = tuple(fact for fact in facts if self.facts.merge(fact, provenance))
         if changed:
             self._persist(changed)
@@ -859,9 +862,7 @@
         self._unresponsive.add(name)
 
     def server_answered(self, now: int, name: str, connections: float | None = None) -> None:
-        """A server has replied to a probe, with its number of connections; so it had started
-        before.
-        """
+        """A server has replied to a probe, so it had started; `connections` is from its report."""
         previous = self._connections.get(name, 0.0)
         if connections is not None:
             self._connections[name] = connections
@@ -941,17 +942,16 @@
         return retry_after(self._rng, self.config.max_retry_after, importance)
 
     def login_finished(self, now: int, fulfilled: bool | None) -> None:
-        """A login that was admitted in the phase OPEN has ended; see
-        `AdmissionControl.login_finished`.
-        """
+        """A login that was admitted in the phase OPEN has ended; see `AdmissionControl`."""
         if self.admission is not None:
             self.admission.login_finished(fulfilled)
             if self.admission.unrestricted and self.phase is RecoveryPhase.OPEN:
                 self._enter(now, RecoveryPhase.FULL, "servers accept all logins")
 
     def exploration_state(self, now: int) -> object:
-        """Returns all state that affects future behaviour, with times relative to now, for state
-        space exploration.
+        """Returns all state that affects future behaviour, for state space exploration.
+
+        Times are relative to now.
         """
         return (
             self.phase,
@@ -1063,9 +1063,7 @@
         return max(now + 1, min(due))
 
     def _query_peers(self, now: int) -> None:
-        """Queries a few live peers, chosen at random because hundreds of balancers may start at
-        once.
-        """
+        """Queries a few live peers, at random because hundreds of balancers may start at once."""
         pending = {name for name, _ in self._requests.values()}
         candidates = [
             name for name in self._live_peers if name not in pending and name not in self.replies
@@ -1101,6 +1099,7 @@
         )
 
     def _enter(self, now: int, phase: RecoveryPhase, reason: str) -> None:
+        """Enters a phase."""
         self.phase = phase
         if phase is RecoveryPhase.ASK:
             self._query_deadline = now + int(
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -198,6 +198,7 @@
         return self._peers.rejection_reason if self._peers else ""
 
     def _keep_driving(self) -> None:
+        """Passes on what has changed in the process, until it stops."""
         facade = self._process.facade
         while not self._left:
             now = self._scheduler.now()
@@ -389,6 +390,7 @@
     def _opened(
         self, report: OpenReport | None, items: list[tuple[bytes, bytes]], lost: str, reason: str
     ) -> None:
+        """The store has been opened; `report` is None if it can't be read."""
         now = self._scheduler.now()
         if report is None:
             self.core.store_unreadable(now, reason)
@@ -419,8 +421,9 @@
     # The list
 
     def _recovered_list(self, scope: Scope, content: Listing) -> Listing:
-        """Corrects a list by the recovered facts: servers that are leaving stay so, and start times
-        are adjusted.
+        """Corrects a list by the recovered facts.
+
+        Servers that are known to be leaving stay so, and start times are adjusted.
         """
         now = self._scheduler.now()
         is_new = scope is not Scope.CACHED and not self._reapplying
@@ -450,6 +453,7 @@
         return content._replace(entries=tuple(entries))
 
     def _store_list(self, now: int, content: Listing) -> None:
+        """Merges a list into the full list, and stores that."""
         known = (
             {}
             if content.is_full or self._listing is None
@@ -485,6 +489,7 @@
         )
 
     def _check_admission(self, login_request: LoginRequest, number: int) -> Rejection | None:
+        """Decides on a login; None: it is admitted."""
         if self.core.phase is RecoveryPhase.FULL:
             return None
         retry_in = self.core.admit_login(self._scheduler.now(), self._importance_of(login_request))
@@ -557,6 +562,7 @@
         return True
 
     def _stats(self) -> str:
+        """Returns the metrics of the recovery."""
         core = self.core
         return (
             f"app.recovery_step:{int(core.phase)}|g\n"
--- a/corklift/recovery/facts.py
+++ b/corklift/recovery/facts.py
@@ -1,5 +1,6 @@
-"""Facts about the fleet that a balancer stores and shares, and how far each kind is trusted after a
-restart.
+"""Facts about the fleet that a balancer stores and shares with its peers.
+
+Each kind has a level of trust after a restart.
 
 Of two versions of a fact the higher one takes precedence, whichever store or peer it came from.
 Does no I/O and reads no clock. Invariant: a fact that was only read from a disk never sends a login
@@ -102,9 +103,7 @@
 
     @property
     def rank(self) -> tuple[tuple[int, ...], str]:
-        """Of two facts with one key the higher rank takes precedence; equal versions are ordered by
-        source.
-        """
+        """Orders the versions of one fact; equal versions are ordered by source."""
         return self.version, self.source
 
 
@@ -207,8 +206,7 @@
         return known.provenance if known is not None else None
 
     def merge(self, fact: Fact, provenance: Provenance) -> bool:
-        """Adds a fact if it is newer than the known version; an equal one may only raise the
-        provenance.
+        """Adds a fact if it is newer; an equal one may only raise the provenance.
 
         Returns:
             Whether the fact was newer.
