--- a/corklift/control/status.py
+++ b/corklift/control/status.py
@@ -21,8 +21,7 @@
 def fetch_status(
     address: tuple[str, int], node: str = "", timeout: int = 5 * SECOND
 ) -> csds_pb2.ClientStatusResponse:
-    """Asks the control service at the address for the status of all proxies whose node id contains
-    `node`.
+    """Fetches the status of all proxies whose node id contains `node`.
 
     Raises:
         RpcError: the call failed.
--- a/corklift/rpc/session.py
+++ b/corklift/rpc/session.py
@@ -172,7 +172,7 @@
                 self._bytes_to_skip = FRAME_HEADER_BYTES - 3 + length
 
     def _drop_goaway_frames(self, content: bytes) -> Iterable[bytes]:
-        """Yields a server's frames without GOAWAY, on which h2 would end the calls in progress."""
+        """Yields a server's frames except GOAWAY, for which h2 would end the calls in progress."""
         self._partial += content
         offset = yielded = 0
         frames = bytes(self._partial)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -273,7 +273,7 @@
             for n in range(200)
         ]
         wait_for(lambda: all(fleet.weights(p) for p in proxies), 15)
-        views = []  # weights of proxies from now on; none may be empty
+        observed_weights = []  # weights of proxies from now on; none may be empty
         port = service.port
         service.kill()
         wait_for(lambda: not any(p.connected for p in proxies))
@@ -284,7 +284,7 @@
         until = time.monotonic() + 1.0
         # The proxies are connected again, but the list is not known: nothing is sent.
         while time.monotonic() < until:
-            views += [fleet.weights(p) for p in proxies[::20]]
+            observed_weights += [fleet.weights(p) for p in proxies[::20]]
             sleep(0.05)
         fleet.discovery.silent = False
         wait_for(lambda: all("s1" not in fleet.weights(p) for p in proxies), 10)
@@ -295,7 +295,9 @@
                 for n in list(anew.program.subscriptions.streams)
             )
         )
-        assert all(view for view in views) and all(len(fleet.weights(p)) == 2 for p in proxies)
+        assert all(weights for weights in observed_weights) and all(
+            len(fleet.weights(p)) == 2 for p in proxies
+        )
         assert fleet.counters["connects"] <= 200 * 6  # reconnects are spread by the backoff
 
 
@@ -381,10 +383,10 @@
         placed = [p.at for p in fleet.placed if p.server == "s1" and p.at >= restarted_at]
         assert placed, "the cold server is offered to no proxy"
         # In any second at most `multiple` times its capacity, which ramps up from 0.3 to 1.
-        for at in placed:
-            age = min(1.0, (at - restarted_at) / SECOND / ramp)
+        for placed_at in placed:
+            age = min(1.0, (placed_at - restarted_at) / SECOND / ramp)
             limit = multiple * (0.3 + 0.7 * age) * size / ramp
-            assert sum(at - SECOND < other <= at for other in placed) <= limit
+            assert sum(placed_at - SECOND < other <= placed_at for other in placed) <= limit
 
 
 def test_endpoints_expire_without_contact_to_the_service_and_not_with_it():
@@ -448,10 +450,10 @@
             ):
                 report = lrs_pb2.LoadStatsRequest()
                 stats = report.cluster_stats.add(cluster_name="plain")
-                for at in range(count):
+                for index in range(count):
                     stats.upstream_locality_stats.add(
                         total_issued_requests=1 << 60
-                    ).locality.sub_zone = f"x{at}"
+                    ).locality.sub_zone = f"x{index}"
                     stats.upstream_locality_stats.add(
                         total_issued_requests=5
                     ).locality.sub_zone = "never listed"
