--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -1,7 +1,9 @@
-"""Real processes of `serve`, stand-ins in processes of their own, clients in open loop, and a link for each directed pair.
+"""Runs a fleet of real processes: balancers, stand-ins, and clients that arrive in open loop.
 
-Owns every process that it starts, ends them by their ids, and always ends by itself. What it hears of each, and what it does to
-them, is one list of events on one clock. Must never judge them (see `checker`), or reach beyond loopback.
+There is a link for each directed pair of processes, on which faults can be played. The rig ends
+each process that it started, by its id, and always ends by itself. What the processes report and
+what the rig does to them is one list of events on one clock. The rig does not check them (see
+`checker`), and it uses loopback addresses only.
 """
 
 from __future__ import annotations
@@ -25,59 +27,79 @@
 from corklift.rig.links import NO_FAULT, Fault, Link
 from corklift.standins.client import connect, send_request
 
-CLIENT_TIME_LIMIT = 3 * SECOND  # a client's own time limit
+CLIENT_TIME_LIMIT = 3 * SECOND
 MAX_BALANCERS, MAX_SERVERS, MAX_RATE, MAX_SECONDS = 40, 40, 500.0, 300.0
 COLD_SERVER_MODEL = {"start_share": 0.3, "multiple": 3.0, "span_ms": 1000}
 DRAIN_GRACE = 500 * MS
-CLIENT_PORT, PEER_PORT, ADMIN_PORT = 9000, 7000, 9500  # ports of a balancer
-_RIG_NUMBERS = count()  # of this process
+# The ports on which each balancer listens, at an address of its own.
+CLIENT_PORT, PEER_PORT, ADMIN_PORT = 9000, 7000, 9500
+# Numbers the rigs of this process, so that each gets a network of its own.
+_RIG_NUMBERS = count()
 
 
 class Shape(NamedTuple):
+    """The size and the settings of a fleet.
+
+    Attributes:
+        rate: logins per second.
+        hold_s: mean duration of a connection.
+        size: number of connections that fill a server.
+        period_ms: interval of the balancers' probes of each other.
+        peers: False runs the same balancers without knowledge of each other.
+        join: number of addresses of other balancers in each configuration file.
+        late: balancers that start only when a disruption starts them.
+        configured_balancers: number of balancers in the settings; 0 is the true number.
+        store: whether each balancer has a store for its durable state.
+        knows: whether each configuration file holds the true list of servers at each start; the
+            baseline for the order in which a fleet returns after a loss of power.
+        ramp_ms: warm-up time of a cold server.
+        clocks: whether the balancers' clocks can be set.
+    """
+
     balancers: int = 5
     servers: int = 3
-    rate: float = 20.0  # logins a second
-    hold_s: float = 6.0  # mean length of a connection
-    size: float = 200.0  # connections that fill a server
-    period_ms: int = 200  # of peers' probes
+    rate: float = 20.0
+    hold_s: float = 6.0
+    size: float = 200.0
+    period_ms: int = 200
     sockets: int = 600
     memory_mb: int = 192
-    peers: bool = True  # off: the same processes, that do not know each other
-    join: int = 3  # addresses that a file names
-    late: tuple[str, ...] = ()  # balancers that start only when a trouble says so
-    told: int = 0  # balancers by the settings; 0: the true number
+    peers: bool = True
+    join: int = 3
+    late: tuple[str, ...] = ()
+    configured_balancers: int = 0
     seed: int = 1
-    store: bool = False  # each keeps what must last
-    knows: bool = (
-        False  # the file of each tells the true list at each start: the mark for an order of return
-    )
-    ramp_ms: int = 8000  # that a cold server takes
-    clocks: bool = False  # balancers' clocks can be set
+    store: bool = False
+    knows: bool = False
+    ramp_ms: int = 8000
+    clocks: bool = False
 
 
 class Event(NamedTuple):
-    at: int  # ns
+    """Something that a process reported or that the rig did, at a time in nanoseconds."""
+
+    at: int
     source: str
     what: str
     fields: dict[str, Any]
 
 
 class ConditionTimeoutError(Exception):
-    """What must happen has not, within a wide limit."""
+    """A condition did not become true within its time limit."""
 
 
 class ManagedProcess:
-    """One process."""
+    """A process of the fleet, which can be started more than once."""
 
     def __init__(self, name: str, command: list[str], folder: str, stdin: bool = False) -> None:
         self.name, self.command, self._stdin = name, command, stdin
-        self._errors = os.path.join(folder, f"{name}.err")
+        self._error_path = os.path.join(folder, f"{name}.err")
         self.process: subprocess.Popen[bytes] | None = None
         self.stopped = False
 
     def start(self, log_on_error: bool) -> Any:
-        """Returns the end of the pipe by which its log comes."""
-        errors = open(self._errors, "ab")  # noqa: SIM115
+        """Starts the process and returns the pipe with its events: standard error or output."""
+        errors = open(self._error_path, "ab")  # noqa: SIM115
         self.process = subprocess.Popen(
             self.command,
             stdin=subprocess.PIPE if self._stdin else subprocess.DEVNULL,
@@ -98,48 +120,59 @@
 
 
 class Rig:
+    """A running fleet, and the faults that are played on it."""
+
     def __init__(
         self,
         shape: Shape,
         mutants: dict[str, str] | None = None,
         show: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """`spoil`: by balancer's name, a deliberate fault that is put into it at its start."""
+        """`mutants` names the deliberate fault (see `mutants`) that a balancer runs with."""
         if not (
             1 <= shape.balancers <= MAX_BALANCERS
             and 0 <= shape.servers <= MAX_SERVERS
             and 0 <= shape.rate <= MAX_RATE
         ):
             raise ValueError(
-                f"a rig is bounded: {MAX_BALANCERS} balancers, {MAX_SERVERS} servers, {MAX_RATE:.0f} logins a second"
+                f"a rig has at most {MAX_BALANCERS} balancers, {MAX_SERVERS} servers "
+                f"and {MAX_RATE:.0f} logins per second"
             )
         self.shape, self._mutants, self._show = shape, mutants or {}, show
         self.rng = Random(shape.seed)
         self.problems: list[str] = []
-        self._start_counts: dict[str, int] = {}  # by balancer, of its processes ...
-        self._end_counts: dict[str, int] = {}  # ... and how many of their ends were noted
-        self._clock_offsets: dict[str, int] = {}  # by balancer, what its clock is off by, ns
+        # By balancer: processes started, and processes whose end has been recorded.
+        self._start_counts: dict[str, int] = {}
+        self._end_counts: dict[str, int] = {}
+        # By balancer: offset of its clock in nanoseconds.
+        self._clock_offsets: dict[str, int] = {}
         self.scheduler = Scheduler(wall_clock(), self.problems.append)
         self.events: list[Event] = []
         self.balancers: dict[str, ManagedProcess] = {}
         self.servers: dict[str, ManagedProcess] = {}
         self.discovery: ManagedProcess | None = None
-        self.links: dict[tuple[str, str], Link] = {}  # by who calls and who is called
-        self.open_connections: dict[str, int] = {}  # clients that stand, by balancer
-        self.serving: set[str] = set()  # balancers whose front sends them clients
-        self._member_states: dict[
-            str, dict[str, str]
-        ] = {}  # of present processes, kept as it comes: looked at over and over
+        # By caller and callee.
+        self.links: dict[tuple[str, str], Link] = {}
+        # Clients' open connections, by balancer.
+        self.open_connections: dict[str, int] = {}
+        # Balancers to which clients are sent, as the proxy in front of them would do.
+        self.serving: set[str] = set()
+        # By balancer and member, the state that the running process reported last. Kept up to date
+        # by each event, since callers poll it.
+        self._member_states: dict[str, dict[str, str]] = {}
         self._balancer_counts: dict[str, int] = {}
         self._next_login = 1
         self._failed: BaseException | None = None
         self._accepting_clients = False
 
     def run(self, conduct: Callable[[Rig], None]) -> Rig:
-        """Starts all, plays, ends all; raises what the conductor raises."""
-        wanted = 4 * (self.shape.balancers + 2) ** 2 + 4096
-        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, max(soft, wanted)), hard))
+        """Starts the fleet, calls `conduct` and ends the fleet; raises what `conduct` raises."""
+        wanted_descriptors = 4 * (self.shape.balancers + 2) ** 2 + 4096
+        soft_limit, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+        resource.setrlimit(
+            resource.RLIMIT_NOFILE,
+            (min(hard_limit, max(soft_limit, wanted_descriptors)), hard_limit),
+        )
         self.scheduler.spawn(self._conduct, conduct)
         self.scheduler.run()
         if self._failed is not None:
@@ -159,12 +192,12 @@
                 self.scheduler.stop()
 
     def kill_all(self) -> None:
-        """All processes end now; what they left can be looked at."""
+        """Kills all processes; their files remain until `run` returns."""
         self._accepting_clients = False
-        for running in self._all_processes():
-            if running.process is not None:
-                running.signal(signal.SIGKILL)
-                running.process.wait()
+        for managed in self._all_processes():
+            if managed.process is not None:
+                managed.signal(signal.SIGKILL)
+                managed.process.wait()
 
     def _all_processes(self) -> list[ManagedProcess]:
         return [
@@ -179,24 +212,28 @@
         self.events.append(Event(self.scheduler.now() if at is None else at, source, what, fields))
         self._show(f"{source}: {what} {fields}")
 
-    def wait_until(self, true: Callable[[], Any], seconds: float = 30.0, what: str = "") -> Any:
-        """Waits for what must happen; the limit is wide, what is asserted is not time.
+    def wait_until(
+        self, condition: Callable[[], Any], seconds: float = 30.0, what: str = ""
+    ) -> Any:
+        """Waits until a condition returns a true value, and returns that value.
+
+        The limit is wide: tests assert that something happens, not how fast.
 
         Raises:
-            TooLate: it has not come true.
+            ConditionTimeoutError: the condition did not become true.
         """
-        until = self.scheduler.now() + int(seconds * SECOND)
-        while not (found := true()):
-            if self.scheduler.now() >= until:
-                raise ConditionTimeoutError(what or "it has not come true in time")
+        deadline = self.scheduler.now() + int(seconds * SECOND)
+        while not (result := condition()):
+            if self.scheduler.now() >= deadline:
+                raise ConditionTimeoutError(what or "the condition did not become true in time")
             self.scheduler.sleep(10 * MS)
-        return found
+        return result
 
     def sleep(self, seconds: float) -> None:
         self.scheduler.sleep(int(seconds * SECOND))
 
     def events_from(self, source: str, what: str, **fields: Any) -> list[Event]:
-        """What one process has told of that, so far."""
+        """Returns the events of one process with this name and these fields, so far."""
         return [
             event
             for event in self.events
@@ -206,45 +243,47 @@
         ]
 
     def member_states(self, name: str) -> dict[str, str]:
-        """By member, what the present process of this balancer said last that it holds of it."""
+        """Returns the state of each member as this balancer's running process last reported it."""
         return self._member_states.get(name, {})
 
     def balancer_count(self, name: str) -> int:
-        """What the guards of this balancer's present process go by."""
+        """Returns the number of balancers that this balancer's running process assumes."""
         return self._balancer_counts.get(name, 0)
 
     def _read_events(self, name: str, pipe: Any) -> None:
         os.set_blocking(pipe.fileno(), False)
-        held = b""
+        buffer = b""
         while True:
             self.scheduler.wait({pipe.fileno(): READ})
             try:
-                content = os.read(pipe.fileno(), 1 << 16)
+                chunk = os.read(pipe.fileno(), 1 << 16)
             except BlockingIOError:
                 continue
-            if not content:
+            if not chunk:
                 break
-            *lines, held = (held + content).split(b"\n")
+            *lines, buffer = (buffer + chunk).split(b"\n")
             for line in lines:
                 try:
-                    told = json.loads(line)
-                    at = told.pop("at_ns")
+                    fields = json.loads(line)
+                    at = fields.pop("at_ns")
                     event = Event(
                         self.scheduler.now() if self._clock_offsets.get(name) else at,
-                        told.pop("name"),
-                        told.pop("event"),
-                        told,
+                        fields.pop("name"),
+                        fields.pop("event"),
+                        fields,
                     )
                     self.events.append(event)
                     if event.what == "member":
-                        self._member_states.setdefault(name, {})[told["member"]] = told["standing"]
+                        self._member_states.setdefault(name, {})[fields["member"]] = fields[
+                            "standing"
+                        ]
                     elif event.what == "count":
-                        self._balancer_counts[name] = told["balancers"]
+                        self._balancer_counts[name] = fields["balancers"]
                 except (ValueError, KeyError, AttributeError):
                     self.record("line", name, text=line.decode("utf-8", "replace")[:500])
         pipe.close()
         self._end_counts[name] = self._end_counts.get(name, 0) + 1
-        self.serving.discard(name)  # the front sees that
+        self.serving.discard(name)
         self.record("ended", "rig", who=name)
 
     # Starting
@@ -252,21 +291,26 @@
     def _start_all(self) -> None:
         shape = self.shape
         names = [f"b{number}" for number in range(1, shape.balancers + 1)]
+        # By balancer: how often its machine has booted, and how many of its next starts fail.
         self._boot_numbers: dict[str, int] = {}
-        self._failing_starts: dict[str, int] = {}  # starts of a balancer that fail yet
-        self._listed_servers: dict[
-            str, dict[str, Any]
-        ] = {}  # servers as they truly are: leaving, and since when they run
-        self.out_of_service: set[str] = set()  # servers out by operators' word, as they had a yes
-        # Addresses of their own: a port that was free a moment ago may be taken by a connection that goes out.
-        net = f"127.{64 + os.getpid() % 128}.{next(_RIG_NUMBERS) % 256}"
-        self.hosts = {name: f"{net}.{number}" for number, name in enumerate(names, 1)}
+        self._failing_starts: dict[str, int] = {}
+        # By server: whether it is really leaving, and since when it runs.
+        self._listed_servers: dict[str, dict[str, Any]] = {}
+        # Servers taken out of service by an operator override that a balancer confirmed.
+        self.out_of_service: set[str] = set()
+        # Each rig has addresses of its own: at a shared address, an outgoing connection could take
+        # a port that was free a moment ago.
+        network = f"127.{64 + os.getpid() % 128}.{next(_RIG_NUMBERS) % 256}"
+        self.hosts = {name: f"{network}.{number}" for number, name in enumerate(names, 1)}
         here = [sys.executable, "-m", "corklift.rig.standin"]
         for number in range(1, shape.servers + 1):
             name = f"s-{number:08x}"
-            given = {"size": shape.size, "cold": COLD_SERVER_MODEL | {"ramp_ms": shape.ramp_ms}}
+            arguments = {"size": shape.size, "cold": COLD_SERVER_MODEL | {"ramp_ms": shape.ramp_ms}}
             self.servers[name] = ManagedProcess(
-                name, [*here, "server", name, json.dumps(given)], self._folder, stdin=True
+                name,
+                [*here, "server", name, json.dumps(arguments)],
+                self._folder,
+                stdin=True,
             )
         self.discovery = ManagedProcess(
             "discovery",
@@ -274,9 +318,9 @@
             self._folder,
             stdin=True,
         )
-        for running in [*self.servers.values(), self.discovery]:
-            self.scheduler.spawn(self._read_events, running.name, running.start(log_on_error=False))
-            self.record("started", who=running.name)
+        for process in [*self.servers.values(), self.discovery]:
+            self.scheduler.spawn(self._read_events, process.name, process.start(log_on_error=False))
+            self.record("started", who=process.name)
         ports = {
             name: self.wait_until(
                 lambda name=name: self.events_from(name, "listens"), what=f"{name} listens"
@@ -288,9 +332,9 @@
             self._open_link("client", name, CLIENT_PORT, self.hosts[name])
             for server in self.servers:
                 self._open_link(name, server, ports[server]["port"])
-            for other in names:
-                if other != name:
-                    self._open_link(name, other, PEER_PORT, self.hosts[other])
+            for peer in names:
+                if peer != name:
+                    self._open_link(name, peer, PEER_PORT, self.hosts[peer])
         for server in self.servers:
             self.list_server(server)
         for name in names:
@@ -326,19 +370,20 @@
         )
 
     def _write_files(self, name: str) -> None:
-        """What a balancer's process reads at its start."""
+        """Writes the files that a balancer's process reads at its start."""
         with open(os.path.join(self._folder, f"{name}.toml"), "w", encoding="utf-8") as file:
             file.write(
-                self._config_text(name, sorted(self.hosts, key=lambda other: int(other[1:])))
+                self._config_text(name, sorted(self.hosts, key=lambda balancer: int(balancer[1:])))
             )
         with open(os.path.join(self._folder, f"{name}.boot"), "w", encoding="utf-8") as file:
             file.write(f"boot {self._boot_numbers[name]}\n")
 
     def _all_serving(self) -> bool:
-        for name, running in self.balancers.items():
-            if name not in self.shape.late and not running.alive:
+        for name, process in self.balancers.items():
+            if name not in self.shape.late and not process.alive:
                 raise ConditionTimeoutError(
-                    f"{name} has ended: {[event.fields for event in self.events_from(name, 'line')][-3:]}"
+                    f"{name} has ended: "
+                    f"{[event.fields for event in self.events_from(name, 'line')][-3:]}"
                 )
         return all(
             self.events_from(name, "serving") or name in self.shape.late or not self.shape.peers
@@ -347,7 +392,7 @@
 
     def _config_text(self, name: str, names: list[str]) -> str:
         shape, host = self.shape, self.hosts[name]
-        others = [other for other in names if other != name]
+        peer_names = [peer for peer in names if peer != name]
         lines = (
             [
                 "[peers]",
@@ -357,22 +402,22 @@
                 "join = "
                 + json.dumps(
                     [
-                        f"{self.hosts[other]}:{PEER_PORT}"
-                        for other in names[: shape.join]
-                        if other != name
+                        f"{self.hosts[peer]}:{PEER_PORT}"
+                        for peer in names[: shape.join]
+                        if peer != name
                     ]
                 ),
                 "[peers.via]",
                 *(
-                    f'"{self.hosts[other]}:{PEER_PORT}" = "{self.links[name, other].address}"'
-                    for other in others
+                    f'"{self.hosts[peer]}:{PEER_PORT}" = "{self.links[name, peer].address}"'
+                    for peer in peer_names
                 ),
             ]
             if shape.peers
             else []
         )
         settings = {
-            "balancers": shape.told or shape.balancers,
+            "balancers": shape.configured_balancers or shape.balancers,
             "zone": 0,
             "localities": ["here"],
             "skus": ["standard"],
@@ -442,10 +487,10 @@
                                 "zone": "here",
                                 "type": "standard",
                                 "weight": 1.0,
-                                "since_ms": listed["since_ms"],
+                                "since_ms": entry["since_ms"],
                             }
-                            for server, listed in self._listed_servers.items()
-                            if not listed["leaving"] and server not in self.out_of_service
+                            for server, entry in self._listed_servers.items()
+                            if not entry["leaving"] and server not in self.out_of_service
                         ],
                     }
                 )
@@ -453,21 +498,23 @@
         return "\n".join(lines) + "\n"
 
     def start(self, name: str) -> None:
-        running = self.balancers[name]
-        if not running.alive:
+        """Starts a balancer unless it runs."""
+        process = self.balancers[name]
+        if not process.alive:
             self._write_files(name)
             self._member_states[name], self._balancer_counts[name] = {}, 0
             self._start_counts[name] = self._start_counts.get(name, 0) + 1
-            plain = running.command
+            command = process.command
             if self._failing_starts.get(name, 0):
                 self._failing_starts[name] -= 1
-                running.command = [sys.executable, "-c", "raise SystemExit(71)"]
+                process.command = [sys.executable, "-c", "raise SystemExit(71)"]
             else:
                 self.record("started", who=name)
-            self.scheduler.spawn(self._read_events, name, running.start(log_on_error=True))
-            running.command = plain
+            self.scheduler.spawn(self._read_events, name, process.start(log_on_error=True))
+            process.command = command
 
     def list_server(self, server: str, since_ms: int = 0) -> None:
+        """Puts a server into the list of discovery as active."""
         self._listed_servers[server] = {"leaving": False, "since_ms": since_ms}
         self.send_command(
             "discovery",
@@ -476,17 +523,17 @@
             addresses={name: self.links[name, server].address for name in self.hosts},
         )
 
-    def send_command(self, name: str, **word: Any) -> None:
-        """To a stand-in."""
-        running = self.discovery if name == "discovery" else self.servers[name]
+    def send_command(self, name: str, **command: Any) -> None:
+        """Sends a command to a stand-in as a line of JSON, if its process runs."""
+        stand_in = self.discovery if name == "discovery" else self.servers[name]
         if (
-            running is not None
-            and running.alive
-            and running.process is not None
-            and running.process.stdin is not None
+            stand_in is not None
+            and stand_in.alive
+            and stand_in.process is not None
+            and stand_in.process.stdin is not None
         ):
-            running.process.stdin.write(json.dumps(word).encode() + b"\n")
-            running.process.stdin.flush()
+            stand_in.process.stdin.write(json.dumps(command).encode() + b"\n")
+            stand_in.process.stdin.flush()
 
     # Faults
 
@@ -500,37 +547,45 @@
             self.serving.discard(name)
 
     def terminate(self, *names: str) -> None:
-        """SIGTERM: on purpose."""
+        """Sends SIGTERM, on which a balancer leaves the fleet."""
         self.record("told to stop", who=list(names))
         for name in names:
             self._process(name).signal(signal.SIGTERM)
             self.serving.discard(name)
 
     def mark_leaving(self, server: str) -> None:
-        """Discovery tells that it leaves."""
+        """Marks a server as leaving in the list of discovery."""
         self._listed_servers[server]["leaving"] = True
         self.send_command("discovery", mark=server, status="leaving")
 
     def cut_power(self, *names: str) -> None:
-        """Of balancers and servers: they are dead, and what was not synced is there or not by chance. A balancer's machine boots anew."""
+        """Cuts the power of balancers and servers.
+
+        The processes are killed, each write that was not synced is lost or kept at random, and a
+        balancer's machine boots again.
+        """
         self.record_fault("power", list(names))
         for name in names:
             self._process(name).signal(signal.SIGKILL)
             self.serving.discard(name)
         for name in names:
-            running = self._process(name)
-            self.wait_until(lambda running=running: not running.alive, what="dead")
+            process = self._process(name)
+            self.wait_until(lambda process=process: not process.alive, what="dead")
             if name in self.balancers:
                 self._boot_numbers[name] += 1
-                base = os.path.join(self._folder, name)
-                for store in sorted(os.listdir(base)) if os.path.isdir(base) else ():
-                    for what in cut_power(
-                        os.path.join(base, store), self.rng, self.disk_control_folder(name)
+                folder = os.path.join(self._folder, name)
+                for store_folder in sorted(os.listdir(folder)) if os.path.isdir(folder) else ():
+                    for loss in cut_power(
+                        os.path.join(folder, store_folder), self.rng, self.disk_control_folder(name)
                     ):
-                        self.record("disk", who=name, lost=what)
+                        self.record("disk", who=name, lost=loss)
 
     def set_clock_offset(self, name: str, seconds: float) -> None:
-        """At its next start a balancer's clock is off by so much; and from now on, if that is forward: the one in a process never goes back."""
+        """Sets the offset of a balancer's clock.
+
+        An offset takes effect at the next start, and a larger one than before also in the running
+        process, whose clock never goes back.
+        """
         forward = seconds * SECOND > self._clock_offsets.get(name, 0)
         self._clock_offsets[name] = int(seconds * SECOND)
         self.record("clock", who=name, seconds=seconds)
@@ -540,7 +595,10 @@
             self.balancers[name].signal(signal.SIGUSR2)
 
     def limit_resource(self, kind: str, *names: str, over: bool = False) -> None:
-        """Memory or descriptors at their limit: what a process has, it keeps, and gets hardly more."""
+        """Limits memory or descriptors of balancers to a little more than they use now.
+
+        `over` lifts the limit.
+        """
         number = resource.RLIMIT_AS if kind == "memory" else resource.RLIMIT_NOFILE
         if over:
             self.record("over", kind=kind, who=list(names))
@@ -560,51 +618,60 @@
             resource.prlimit(process.pid, number, (bound, resource.prlimit(process.pid, number)[1]))
 
     def fail_next_starts(self, name: str, times: int) -> None:
-        """Its next starts end at once, before any of its code runs."""
+        """Makes the next starts of a balancer exit before any of its code runs."""
         self.record("starts fail", who=name, times=times)
         self._failing_starts[name] = times
 
     def disk_control_folder(self, name: str) -> str:
-        """Where this balancer's disk is told what to do."""
+        """Returns the folder in which the faults of this balancer's disk are written."""
         path = os.path.join(self._folder, f"{name}.rig")
         os.makedirs(path, exist_ok=True)
         return path
 
     def set_disk_faults(self, name: str, **plan: str) -> None:
-        """From now on: what goes wrong with which call, as `disks.Played` has it; nothing: the disk is sound."""
+        """Sets the fault of each call of a balancer's disk (see `disks.FaultyDiskFiles`).
+
+        Without arguments, the disk has no faults.
+        """
         self.record("disk", who=name, plan=plan)
-        beside = os.path.join(self.disk_control_folder(name), "new")
-        with open(beside, "w", encoding="utf-8") as file:
+        new_path = os.path.join(self.disk_control_folder(name), "new")
+        with open(new_path, "w", encoding="utf-8") as file:
             json.dump(plan, file)
-        os.replace(beside, os.path.join(self.disk_control_folder(name), PLAN_FILE))
+        os.replace(new_path, os.path.join(self.disk_control_folder(name), PLAN_FILE))
 
     def start_server(self, server: str, listed: bool = False) -> None:
-        """After a loss: cold, at another port. `listed`: discovery tells when it started."""
-        running = self.servers[server]
-        marks = len(self.events_from(server, "listens"))
-        self.scheduler.spawn(self._read_events, server, running.start(log_on_error=False))
+        """Starts a lost server again: cold, and at another port.
+
+        `listed` puts its entry, with the time of its start, into the list of discovery.
+        """
+        process = self.servers[server]
+        earlier_starts = len(self.events_from(server, "listens"))
+        self.scheduler.spawn(self._read_events, server, process.start(log_on_error=False))
         self.record("started", who=server)
         port = self.wait_until(
-            lambda: self.events_from(server, "listens")[marks:], what=f"{server} listens"
+            lambda: self.events_from(server, "listens")[earlier_starts:], what=f"{server} listens"
         )[0].fields["port"]
         for name in self.hosts:
             self.links[name, server].target = ("127.0.0.1", port)
         self.send_command(server, cold=True)
-        since = self.scheduler.now() // MS
+        started_ms = self.scheduler.now() // MS
         if listed:
-            self.list_server(server, since)
+            self.list_server(server, started_ms)
         else:
-            self._listed_servers[server]["since_ms"] = since
+            self._listed_servers[server]["since_ms"] = started_ms
 
     def operator(self, balancer: str, server: str, out: bool, wait: float = 30.0) -> int:
-        """An operator's word to one balancer; returns the status, 0 where none came."""
-        asked = self.scheduler.now()
-        number = len(self.events)
+        """Asks one balancer, as an operator, to take a server out of service or to restore it.
+
+        Returns the HTTP status, or 0 if there was no response.
+        """
+        asked_at = self.scheduler.now()
+        request_number = len(self.events)
         self.record(
-            "word asked", "operator", balancer=balancer, server=server, out=out, word=number
+            "word asked", "operator", balancer=balancer, server=server, out=out, word=request_number
         )
-        host, status, text = self.hosts[balancer], 0, b""
-        stream = connect(self.scheduler, (host, ADMIN_PORT), asked + SECOND)
+        host, status, response = self.hosts[balancer], 0, b""
+        stream = connect(self.scheduler, (host, ADMIN_PORT), asked_at + SECOND)
         if stream is not None:
             try:
                 body = json.dumps({"member": server}).encode()
@@ -612,8 +679,8 @@
                     f"POST /admin/{'cordon' if out else 'uncordon'} HTTP/1.1\r\nHost: {host}\r\n"
                     f"Content-Length: {len(body)}\r\n\r\n"
                 ).encode() + body
-                text = send_request(self.scheduler, stream, line, asked + int(wait * SECOND))
-                status = int(text.split(b" ")[1]) if text.startswith(b"HTTP/1.1 ") else 0
+                response = send_request(self.scheduler, stream, line, asked_at + int(wait * SECOND))
+                status = int(response.split(b" ")[1]) if response.startswith(b"HTTP/1.1 ") else 0
             finally:
                 stream.close()
         self.record(
@@ -623,14 +690,15 @@
             server=server,
             out=out,
             status=status,
-            word=number,
-            took_ms=(self.scheduler.now() - asked) // MS,
+            word=request_number,
+            took_ms=(self.scheduler.now() - asked_at) // MS,
         )
         if status == 200:
             (self.out_of_service.add if out else self.out_of_service.discard)(server)
         return status
 
     def suspend(self, *names: str) -> None:
+        """Stops processes with SIGSTOP until `resume`."""
         self.record_fault("stop", list(names))
         for name in names:
             self._process(name).signal(signal.SIGSTOP)
@@ -643,8 +711,9 @@
         self.record("over", kind="stop", who=list(names))
 
     def restart(self, *names: str) -> None:
+        """Starts balancers again, each once its last process has ended."""
         for name in names:
-            # Its end is noted before it is started: what is noted after that is the next one's.
+            # Its end is recorded before the next start, so that all later events are of that start.
             self.wait_until(
                 lambda name=name: (
                     not self._process(name).alive
@@ -659,7 +728,7 @@
         return self.balancers.get(name) or self.servers.get(name) or self.discovery  # type: ignore[return-value]
 
     def apply_fault(self, pairs: list[tuple[str, str]], fault: Fault) -> None:
-        """On these links from now on; a sound one ends what was played there."""
+        """Applies a fault to these links; `NO_FAULT` ends the faults on them."""
         self.record(
             "over" if fault == NO_FAULT else "fault",
             kind="links",
@@ -674,9 +743,10 @@
             self.links[pair].set_fault(fault)
 
     def links_between(
-        self, one: list[str], other: list[str], both: bool = True
+        self, group: list[str], other_group: list[str], both: bool = True
     ) -> list[tuple[str, str]]:
-        pairs = [(a, b) for a in one for b in other if a != b]
+        """Returns the links from one group to the other, and back if `both`."""
+        pairs = [(a, b) for a in group for b in other_group if a != b]
         return [
             pair
             for pair in (pairs + [(b, a) for a, b in pairs] if both else pairs)
@@ -686,7 +756,7 @@
     # Clients
 
     def _admit_when_ready(self, name: str) -> None:
-        """Takes a balancer in once it answers PING, as the front does."""
+        """Sends clients to a balancer once it answers PING, as a proxy in front would do."""
         while self.balancers[name].alive:
             stream = self._connect(name, self.scheduler.now() + SECOND)
             if stream is not None:
@@ -712,32 +782,33 @@
                 self.scheduler.sleep(due - self.scheduler.now())
             self.scheduler.spawn(self._run_client, due)
 
-    def _run_client(self, due: int) -> None:
-        """One client: comes, and comes back where it is refused or moved, until its time is over."""
+    def _run_client(self, arrives_at: int) -> None:
+        """Runs a client that logs in again when it is rejected or moved, until its time ends."""
         workload = "once" if self.rng.random() < 0.2 else "plain"
-        ends = due + int(self.rng.expovariate(1 / self.shape.hold_s) * SECOND)
-        again, pause = False, 0
+        ends_at = arrives_at + int(self.rng.expovariate(1 / self.shape.hold_s) * SECOND)
+        reconnecting, pause = False, 0
         for _ in range(6):
             self.scheduler.sleep(pause)
             if not self._accepting_clients or not self.serving:
                 return
-            word, pause = self._login(workload, again, ends)
-            if word == "UP" and self.scheduler.now() >= ends - 20 * MS:
+            reply, pause = self._login(workload, reconnecting, ends_at)
+            if reply == "UP" and self.scheduler.now() >= ends_at - 20 * MS:
                 return
-            again = word == "UP"
+            reconnecting = reply == "UP"
             pause = max(pause, 100 * MS)
 
-    def _connect(self, balancer: str, until: int) -> Stream | None:
-        return connect(self.scheduler, ("127.0.0.1", self.links["client", balancer].port), until)
+    def _connect(self, balancer: str, deadline: int) -> Stream | None:
+        return connect(self.scheduler, ("127.0.0.1", self.links["client", balancer].port), deadline)
 
-    def _login(self, workload: str, again: bool, ends: int) -> tuple[str, int]:
+    def _login(self, workload: str, reconnecting: bool, ends_at: int) -> tuple[str, int]:
+        """Logs in once and holds the connection; returns the reply and the time until a retry."""
         balancer = self.rng.choice(sorted(self.serving))
         stream = self._connect(balancer, self.scheduler.now() + SECOND)
         if stream is None:
             return "", 0
-        number, self._next_login = self._next_login, self._next_login + 1
-        login, asked = f"{number:016x}", self.scheduler.now()
-        stood = False
+        login_number, self._next_login = self._next_login, self._next_login + 1
+        login, asked_at = f"{login_number:016x}", self.scheduler.now()
+        is_open = False
         try:
             self.record(
                 "login",
@@ -752,44 +823,44 @@
                 self.rng.getrandbits(60),
                 workload.encode(),
                 CLIENT_TIME_LIMIT // MS,
-                b",again=1" if again else b"",
+                b",again=1" if reconnecting else b"",
             )
-            # Waits longer than its limit, to tell a late answer from none.
-            heard = send_request(self.scheduler, stream, line, asked + 2 * CLIENT_TIME_LIMIT)
-            word = heard.split(b" ")[0].strip().decode("ascii", "replace")
+            # Waits longer than the time limit, to distinguish a late answer from none.
+            response = send_request(self.scheduler, stream, line, asked_at + 2 * CLIENT_TIME_LIMIT)
+            reply = response.split(b" ")[0].strip().decode("ascii", "replace")
             self.record(
                 "answer",
                 "client",
                 login=login,
-                word=word,
-                took_ns=self.scheduler.now() - asked,
+                word=reply,
+                took_ns=self.scheduler.now() - asked_at,
                 how="line"
-                if word
+                if reply
                 else "ended"
                 if stream.peer_closed
                 else "reset"
                 if stream.broken
                 else "nothing",
             )
-            if word != "UP":
-                more = self._read_more(stream, 300 * MS)
-                if more:
+            if reply != "UP":
+                extra = self._read_more(stream, 300 * MS)
+                if extra:
                     self.record(
-                        "more", "client", login=login, text=more.decode("ascii", "replace")[:80]
+                        "more", "client", login=login, text=extra.decode("ascii", "replace")[:80]
                     )
-                told = heard.split(b" ")[1:2]
-                return word, int(told[0]) * MS if word == "BUSY" and told and told[
+                arguments = response.split(b" ")[1:2]
+                return reply, int(arguments[0]) * MS if reply == "BUSY" and arguments and arguments[
                     0
                 ].strip().isdigit() else 0
-            stood = True
+            is_open = True
             self.open_connections[balancer] = self.open_connections.get(balancer, 0) + 1
             while (
                 self._accepting_clients
                 and not stream.peer_closed
                 and not stream.broken
-                and self.scheduler.now() < ends
+                and self.scheduler.now() < ends_at
             ):
-                self.scheduler.wait({stream.fd: READ}, ends)
+                self.scheduler.wait({stream.fd: READ}, ends_at)
                 stream.receive()
                 line = stream.receive_buffer.read(len(stream.receive_buffer))
                 if line.startswith((b"UP", b"BUSY", b"ERR")):
@@ -800,25 +871,25 @@
                 "closed",
                 "client",
                 login=login,
-                by="client" if self.scheduler.now() >= ends else "balancer",
+                by="client" if self.scheduler.now() >= ends_at else "balancer",
             )
             return "UP", 0
         finally:
-            if stood:
+            if is_open:
                 self.open_connections[balancer] -= 1
             stream.close()
 
-    def _read_more(self, stream: Stream, span: int) -> bytes:
-        until = self.scheduler.now() + span
-        while not stream.peer_closed and not stream.broken and self.scheduler.now() < until:
+    def _read_more(self, stream: Stream, duration: int) -> bytes:
+        deadline = self.scheduler.now() + duration
+        while not stream.peer_closed and not stream.broken and self.scheduler.now() < deadline:
             stream.receive()
             if len(stream.receive_buffer):
                 return stream.receive_buffer.read(len(stream.receive_buffer))
-            self.scheduler.wait({stream.fd: READ}, until)
+            self.scheduler.wait({stream.fd: READ}, deadline)
         return b""
 
     def resources(self, name: str) -> tuple[int, int]:
-        """kB resident and descriptors of a balancer."""
+        """Returns the resident memory in kB and the number of open descriptors of a balancer."""
         process = self.balancers[name].process
         try:
             assert process is not None
@@ -831,9 +902,9 @@
 
 
 def _toml(value: Any) -> str:
-    """A value on one line."""
+    """Returns a value as TOML on one line."""
     if isinstance(value, dict):
-        return "{ " + ", ".join(f"{key} = {_toml(held)}" for key, held in value.items()) + " }"
+        return "{ " + ", ".join(f"{key} = {_toml(item)}" for key, item in value.items()) + " }"
     if isinstance(value, list):
         return "[" + ", ".join(map(_toml, value)) + "]"
     return json.dumps(value)
--- a/corklift/rig/mutants.py
+++ b/corklift/rig/mutants.py
@@ -3,8 +3,8 @@
     python -m corklift.rig.mutants NAME[,NAME...] serve FILE
 
 Each function patches one behaviour of the program in this process before it starts; the checker
-must find the result. Neither the product nor the checker imports this module. The functions' names and
-docstrings are what `rig list` prints.
+must find the result. Neither the product nor the checker imports this module. `rig list` prints the
+names and docstrings of the functions.
 """
 
 from __future__ import annotations
--- a/corklift/rig/scenario.py
+++ b/corklift/rig/scenario.py
@@ -129,7 +129,7 @@
             join=fleet.join,
             late=tuple(fleet.late),
             seed=self.seed if seed is None else seed,
-            told=fleet.told,
+            configured_balancers=fleet.told,
             store=fleet.store and peers,
             clocks=fleet.clocks,
         )
--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -361,4 +361,4 @@
         )
         assert rig.balancer_count("b1") == 3
 
-    played(conduct, Shape(balancers=3, rate=0, told=1))
+    played(conduct, Shape(balancers=3, rate=0, configured_balancers=1))
