--- a/tests/scene.py
+++ b/tests/harness.py
@@ -29,14 +29,14 @@
 QUIET = ("timer",)
 
 
-class Scene:
+class PolicyHarness:
     def __init__(self, seed: int = 7, **settings) -> None:
         self.now = 1_000 * MS
-        self.lines: list[str] = []
-        self.sent: list[tuple[int, int]] = []
+        self.trace: list[str] = []
+        self.hand_offs: list[tuple[int, int]] = []
         self.timers: list[tuple[int, int]] = []
-        self.auto: dict[int, Report | Outcome] = {}
-        self.asked: list[int] = []
+        self.probe_answers: dict[int, Report | Outcome] = {}
+        self.pending_probes: list[int] = []
         defaults = dict(
             zone=0,
             balancers=2,
@@ -60,7 +60,7 @@
     # Host
 
     def hand_off(self, login, server, cut_at):
-        self.sent.append((login, server))
+        self.hand_offs.append((login, server))
         self._say(f"hand off {login} to {server}, cut after {(cut_at - self.now) // MS} ms")
 
     def cancel(self, login, attempt):
@@ -76,7 +76,7 @@
         self._say(f"move {login}")
 
     def probe(self, server):
-        self.asked.append(server)
+        self.pending_probes.append(server)
 
     def close_idle(self, server):
         self._say(f"close idle {server}")
@@ -99,12 +99,14 @@
     # Helpers
 
     def _say(self, text: str) -> None:
-        self.lines.append(f"{self.now // MS - 1000:>6} {text}")
+        self.trace.append(f"{self.now // MS - 1000:>6} {text}")
 
-    def note(self, text: str) -> None:
-        self.lines.append(f"# {text}")
+    def comment(self, text: str) -> None:
+        self.trace.append(f"# {text}")
 
-    def listed(self, *servers, scope=Scope.FULL, status=Status.READY, zone=0, cell=0, started_at=0):
+    def list_servers(
+        self, *servers, scope=Scope.FULL, status=Status.READY, zone=0, cell=0, started_at=0
+    ):
         self.balancer.servers_listed(
             self.now,
             scope,
@@ -122,9 +124,9 @@
             self.timers.remove(due)
             self.now = max(self.now, due[0])
             self.balancer.timer_due(self.now, due[1])
-            while self.asked:
-                server = self.asked.pop(0)
-                answer = self.auto.get(server)
+            while self.pending_probes:
+                server = self.pending_probes.pop(0)
+                answer = self.probe_answers.get(server)
                 if isinstance(answer, Report):
                     self.balancer.probe_answered(self.now, server, MS, Outcome.FULFILLED, answer)
                 elif answer is not None:
@@ -137,20 +139,22 @@
             workload=0, tenant=0, subject=0, time_limit_at=self.now + 3200 * MS, cost=None, group=0
         )
         self.balancer.login_arrived(self.now, Login(login=number, **(plain | fields)))
-        return self.sent[-1][1] if self.sent and self.sent[-1][0] == number else None
+        return self.hand_offs[-1][1] if self.hand_offs and self.hand_offs[-1][0] == number else None
 
-    def ends(self, number: int, outcome: Outcome, attempt: int = 0, closed: bool = False) -> None:
-        server = [s for login, s in self.sent if login == number][attempt]
+    def end_hand_off(
+        self, number: int, outcome: Outcome, attempt: int = 0, closed: bool = False
+    ) -> None:
+        server = [s for login, s in self.hand_offs if login == number][attempt]
         self._say(f"  ({number}.{attempt} at {server}: {outcome.value})")
         self.balancer.hand_off_ended(self.now, number, closed, server, outcome, attempt, MS, None)
 
-    def stands(self, number: int, attempt: int = 0) -> None:
-        server = [s for login, s in self.sent if login == number][attempt]
+    def open_connection(self, number: int, attempt: int = 0) -> None:
+        server = [s for login, s in self.hand_offs if login == number][attempt]
         self.balancer.hand_off_started(self.now, number, attempt, server, MS)
 
-    def check(self, name: str) -> None:
+    def check_trace(self, name: str) -> None:
         """The trace must equal the one kept; a missing trace is written down and fails, to be read first."""
-        text = "\n".join(self.lines) + "\n"
+        text = "\n".join(self.trace) + "\n"
         kept = TRACES / f"{name}.txt"
         if not kept.exists():
             kept.parent.mkdir(exist_ok=True)
@@ -162,36 +166,41 @@
 class VirtualPoll:
     """Polls real sockets; when none is ready, time jumps to the next timer instead of passing."""
 
-    def __init__(self, wire: Wire) -> None:
-        self._wire, self._poll = wire, select.poll()
+    def __init__(self, harness: BalancerHarness) -> None:
+        self._harness, self._poll = harness, select.poll()
         self.register, self.unregister = self._poll.register, self._poll.unregister
 
     def poll(self, timeout: int | None):
         ready = self._poll.poll(0) or (timeout != 0 and self._poll.poll(2)) or []
         if not ready and timeout:
-            self._wire.now += timeout * MS
+            self._harness.now += timeout * MS
         return ready
 
 
-class Wire:
+class BalancerHarness:
     """One real balancer in virtual time, among clients, servers and a discovery played by tasks of its scheduler."""
 
     START = 1_700_000_000_000 * MS
 
     def __init__(self, *servers, limits=None, known=True, seed="5", more=None, **settings) -> None:
         self.now = self.START
-        self.lines: list[str] = []
+        self.trace: list[str] = []
         self.behaviour = {f"s{number}": act for number, act in enumerate(servers, 1)}
         self.listeners = {name: self._listener() for name in self.behaviour}
         self.ports = {name: listener.getsockname()[1] for name, listener in self.listeners.items()}
-        self.agent = self._listener()
-        self.agents = 1
-        self.index, self.watch_answer, self.watcher, self.told = 1, None, None, []
-        self.probed = None  # how servers answer probes, if unlike the ordinary way
-        entries = [self.entry(name) for name in self.behaviour]
+        self.discovery_listener = self._listener()
+        self.discovery_count = 1
+        self.index, self.watch_response, self.waiting_watch, self.discovery_requests = (
+            1,
+            None,
+            None,
+            [],
+        )
+        self.probe_handler = None  # how servers answer probes, if unlike the ordinary way
+        entries = [self.list_entry(name) for name in self.behaviour]
         self.config = {
             "listen": "127.0.0.1:0",
-            "discovery": "127.0.0.1:%d" % self.agent.getsockname()[1],
+            "discovery": "127.0.0.1:%d" % self.discovery_listener.getsockname()[1],
             "seed": seed,
             "limits": {"memory_mb": 64, "sockets": 400} | (limits or {}),
             "known": {"index": 1, "snapshot": True, "endpoints": entries if known else []},
@@ -217,33 +226,37 @@
         } | (more or {})
         self.process = BalancerProcess(self.config, lambda: self.now, VirtualPoll(self))
         self.limits, self.counters = self.process.limits, self.process.counters
-        self.seconds: list[
+        self.second_lines: list[
             str
         ] = []  # the lines that sum up a second; the traces hold what they sum up
         self.process.log_writer.write = lambda text, always=False: (
-            self.seconds.append(text) if text.startswith("second: ") else self.say(f"log: {text}")
+            self.second_lines.append(text)
+            if text.startswith("second: ")
+            else self.record(f"log: {text}")
         )
         self.process.start()
         self.spawn = self.process.scheduler.spawn
         self.wait, self.sleep = self.process.scheduler.wait, self.process.scheduler.sleep
         for name, listener in self.listeners.items():
             self.spawn(self._accept, listener, self._server, name)
-        self.spawn(self._accept, self.agent, self._discovery, "")
+        self.spawn(self._accept, self.discovery_listener, self._discovery, "")
 
     def move_discovery(self) -> None:
         """Discovery is at a new address, which the next reload tells."""
-        self.agent = self._listener()
-        self.agents += 1
-        self.spawn(self._accept, self.agent, self._discovery, f" at {self.agents}")
-        self.config["discovery"] = "127.0.0.1:%d" % self.agent.getsockname()[1]
+        self.discovery_listener = self._listener()
+        self.discovery_count += 1
+        self.spawn(
+            self._accept, self.discovery_listener, self._discovery, f" at {self.discovery_count}"
+        )
+        self.config["discovery"] = "127.0.0.1:%d" % self.discovery_listener.getsockname()[1]
 
     def reload(self, path: Path, **changes) -> None:
         path.write_text(json.dumps(self.config | changes))
         os.environ["BALANCER_CONFIG"] = str(path)
         self.spawn(self.process.reload)
 
-    def say(self, text: str) -> None:
-        self.lines.append(f"{(self.now - self.START) // MS:>6} {text}")
+    def record(self, text: str) -> None:
+        self.trace.append(f"{(self.now - self.START) // MS:>6} {text}")
 
     def run(self, ms: int) -> None:
         end = self.now + ms * MS
@@ -251,22 +264,22 @@
         self.process.scheduler.run()
         self.process.scheduler._stopped = False
 
-    def check(self, name: str) -> None:
-        Scene.check(self, name)
+    def check_trace(self, name: str) -> None:
+        PolicyHarness.check_trace(self, name)
 
-    def entry(self, name: str, status: str = "active") -> dict:
+    def list_entry(self, name: str, status: str = "active") -> dict:
         return {"name": name, "address": "127.0.0.1:%d" % self.ports[name], "status": status}
 
-    def change(self, *entries: dict) -> None:
+    def change_list(self, *entries: dict) -> None:
         """Discovery tells of these to whoever watches."""
         self.index += 1
-        self.answer({"index": self.index, "snapshot": False, "endpoints": list(entries)})
+        self.send_list({"index": self.index, "snapshot": False, "endpoints": list(entries)})
 
-    def answer(self, content: dict | bytes) -> None:
+    def send_list(self, content: dict | bytes) -> None:
         """The next answer of discovery, also to a watch that waits."""
-        self.watch_answer = content
-        if self.watcher is not None:
-            self.process.scheduler.wake(self.watcher)
+        self.watch_response = content
+        if self.waiting_watch is not None:
+            self.process.scheduler.wake(self.waiting_watch)
 
     @staticmethod
     def _listener() -> socket.socket:
@@ -283,7 +296,7 @@
                 continue
             self.spawn(serve, Stream(sock, self.limits), name)
 
-    def lines_of(self, stream: Stream):
+    def read_lines(self, stream: Stream):
         while not stream.broken:
             stream.receive()
             line = stream.read_line()
@@ -295,14 +308,14 @@
                 self.wait({stream.fd: READ})
 
     def _server(self, stream: Stream, name: str) -> None:
-        for line in self.lines_of(stream):
+        for line in self.read_lines(stream):
             if line == "STATS":
-                if self.probed is not None:
-                    self.probed(stream)
+                if self.probe_handler is not None:
+                    self.probe_handler(stream)
                 elif self.behaviour[name] != "silent":
                     stream.write(b"PONG x0=0.2,inflight=3\r\n")
                 continue
-            self.say(f"        {name} < {line}")
+            self.record(f"        {name} < {line}")
             act = self.behaviour[name]
             if callable(act):
                 act(self, stream, line)
@@ -320,27 +333,27 @@
             else:
                 stream.write(f"echo {line}\r\n".encode())
         if not stream.closed:
-            self.say(f"        {name} {'reset' if stream.broken else 'ended'}")
+            self.record(f"        {name} {'reset' if stream.broken else 'ended'}")
             stream.close()
 
     def _discovery(self, stream: Stream, name: str) -> None:
-        for line in self.lines_of(stream):
+        for line in self.read_lines(stream):
             if not line.startswith("GET"):
                 continue
-            self.told.append(((self.now - self.START) // MS, line.split()[1] + name))
+            self.discovery_requests.append(((self.now - self.START) // MS, line.split()[1] + name))
             content = {
                 "index": self.index,
                 "snapshot": True,
-                "endpoints": [self.entry(name) for name in self.behaviour],
+                "endpoints": [self.list_entry(name) for name in self.behaviour],
             }
             if "wait" in line:
                 until = self.now + int(line.split()[1].rpartition("=")[2]) * MS
-                self.watcher = self.process.scheduler.current
-                while self.watch_answer is None and self.now < until:
+                self.waiting_watch = self.process.scheduler.current
+                while self.watch_response is None and self.now < until:
                     self.wait({}, until)
-                self.watcher = None
-                content = self.watch_answer or content | {"snapshot": False, "endpoints": []}
-                self.watch_answer = None
+                self.waiting_watch = None
+                content = self.watch_response or content | {"snapshot": False, "endpoints": []}
+                self.watch_response = None
             body = content if isinstance(content, bytes) else json.dumps(content).encode()
             if not body.startswith(b"HTTP"):
                 body = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -367,9 +380,9 @@
         def hear() -> None:
             self.wait({stream.fd: WRITE})
             self.spawn(send)
-            for line in self.lines_of(stream):
-                self.say(f"{name} < {line}")
-            self.say(f"{name} {'reset' if stream.broken else 'ended'}")
+            for line in self.read_lines(stream):
+                self.record(f"{name} < {line}")
+            self.record(f"{name} {'reset' if stream.broken else 'ended'}")
             stream.close()
 
         self.spawn(hear)
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -3,7 +3,7 @@
 import sys
 from pathlib import Path
 
-from scene import Wire
+from harness import BalancerHarness
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "tools"))
 from fleet_count import count  # noqa: E402
@@ -12,16 +12,16 @@
 
 
 def test_a_second_with_trouble_is_summed_up_once_and_a_quiet_one_is_not():
-    wire = Wire("up", "busy")
-    wire.client("c1", OPEN)
-    wire.run(4000)
-    wire.behaviour["s1"] = "busy"
-    quiet = [line for line in wire.seconds if "bounced" in line]
+    harness = BalancerHarness("up", "busy")
+    harness.client("c1", OPEN)
+    harness.run(4000)
+    harness.behaviour["s1"] = "busy"
+    quiet = [line for line in harness.second_lines if "bounced" in line]
     for number in range(5):
-        wire.client(f"d{number}", OPEN)
-    wire.run(3000)
+        harness.client(f"d{number}", OPEN)
+    harness.run(3000)
     assert not quiet
-    (line,) = [line for line in wire.seconds if "bounced" in line]
+    (line,) = [line for line in harness.second_lines if "bounced" in line]
     assert line.startswith("second: logins=5 bounced=5 hand-offs=") and "failed" not in line, line
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 from random import Random
 
 import pytest
-from scene import MS, Scene, Wire
+from harness import MS, BalancerHarness, PolicyHarness
 
 from corklift.handover import (
     Handover,
@@ -126,21 +126,21 @@
 
 def test_the_cold_budget_goes_over_and_is_spent_once():
     # One balancer's part of a server's warm-up, used by one process, by two in turn, and by the one that stands by.
-    def scene():
-        made = Scene(balancers=1, cold=ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS))
-        made.auto = {1: Report(20, 0.5)}
-        made.listed(1, started_at=made.now)
+    def harness():
+        made = PolicyHarness(balancers=1, cold=ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS))
+        made.probe_answers = {1: Report(20, 0.5)}
+        made.list_servers(1, started_at=made.now)
         for _ in range(40):
             made.balancer._load_reports.record(
                 made.now, made.balancer._registry.servers[1], Report(20, 0.5)
             )
         return made
 
-    alone = scene()
+    alone = harness()
     most = 0
     while alone.login(most + 1) is not None:
         most += 1
-    first, second = scene(), scene()
+    first, second = harness(), harness()
     for number in range(most - 1):
         assert first.login(number + 1) == 1
     learned = json.loads(json.dumps(first.balancer.export_learned_state(first.now)))
@@ -152,19 +152,19 @@
 
 def test_clients_that_come_over_count_once_and_their_groups_stay_together():
     # The fleet is as full as before: each returns to room that its own old connection has left, at its group's server.
-    def scene(seed):
-        made = Scene(seed, balancers=3, grouped=True)
-        made.auto = {number: Report(14.4, 0.72) for number in (1, 2, 3, 4)}
-        made.listed(1, 2, 3, 4)
+    def harness(seed):
+        made = PolicyHarness(seed, balancers=3, grouped=True)
+        made.probe_answers = {number: Report(14.4, 0.72) for number in (1, 2, 3, 4)}
+        made.list_servers(1, 2, 3, 4)
         made.run(3000)
         return made
 
-    old, new, stranger = scene(1), scene(2), scene(2)
+    old, new, stranger = harness(1), harness(2), harness(2)
     for number in range(1, 9):
         assert old.login(number, group=77) is not None
-        old.stands(number)
+        old.open_connection(number)
         old.run(2500)
-    homes = {server for _, server in old.sent}
+    homes = {server for _, server in old.hand_offs}
     old.balancer.set_standby(True)
     new.balancer.import_learned_state(
         new.now, json.loads(json.dumps(old.balancer.export_learned_state(old.now)))
@@ -173,7 +173,7 @@
         new.now, {"servers": [], "homes": [], "rate": [0, 0], "open": [[9, 77]], "ended": []}
     )
     for number in range(1, 9):
-        old.ends(number, Outcome.CANCELLED, closed=True)
+        old.end_hand_off(number, Outcome.CANCELLED, closed=True)
     for server, load in old.balancer.export_learned_state(old.now)["ended"]:
         new.balancer.connection_ended_elsewhere(new.now, server, load)
     placed = {"new": [], "stranger": []}
@@ -202,14 +202,14 @@
 
 
 def test_both_processes_together_hold_no_more_clients_than_one():
-    wire = Wire("up", limits={"sockets": 60})
-    wire.process.relay.clients_elsewhere = wire.limits.clients - 2
+    harness = BalancerHarness("up", limits={"sockets": 60})
+    harness.process.relay.clients_elsewhere = harness.limits.clients - 2
     for number in range(4):
-        wire.client(f"c{number}", 100, "OPEN 1 7f c=plain,d=2000\r\n")
-    wire.run(1000)
+        harness.client(f"c{number}", 100, "OPEN 1 7f c=plain,d=2000\r\n")
+    harness.run(1000)
     assert sorted(
         line.split(" < ")[1].split()[0]
-        for line in wire.lines
+        for line in harness.trace
         if " < UP" in line or " < BUSY" in line
     ) == ["BUSY", "BUSY", "UP", "UP"]
 
@@ -219,7 +219,7 @@
 
     def __init__(self, port: int, number: int) -> None:
         super().__init__(daemon=True)
-        self.port, self.number, self.ends, self.goes_on = port, number, [], True
+        self.port, self.number, self.results, self.goes_on = port, number, [], True
 
     def run(self) -> None:
         tries = 0
@@ -229,7 +229,7 @@
                 end = self.once(f"c{self.number}x{tries}")
             except OSError as problem:
                 end = repr(problem)
-            self.ends.append((time.monotonic(), end))
+            self.results.append((time.monotonic(), end))
             time.sleep(0.05)
 
     def once(self, name: str) -> str:
@@ -252,7 +252,7 @@
 
 
 def test_two_upgrades_under_a_load_refuse_nobody_and_keep_what_operators_said(tmp_path):
-    world = Wire("up", "up", "up")  # its servers and discovery, in real time
+    world = BalancerHarness("up", "up", "up")  # its servers and discovery, in real time
     world.process.relay._listeners[0].close()
     config = tmp_path / "config.json"
     held = socket.create_server(("127.0.0.1", 0), backlog=256)
@@ -272,10 +272,13 @@
             "-c",
             PEERS,
             json.dumps([each.fileno() for each in world.listeners.values()]),
-            str(world.agent.fileno()),
-            json.dumps([world.entry(name) for name in world.behaviour]),
+            str(world.discovery_listener.fileno()),
+            json.dumps([world.list_entry(name) for name in world.behaviour]),
+        ],
+        pass_fds=[
+            *(each.fileno() for each in world.listeners.values()),
+            world.discovery_listener.fileno(),
         ],
-        pass_fds=[*(each.fileno() for each in world.listeners.values()), world.agent.fileno()],
         stdout=subprocess.PIPE,
         text=True,
     )
@@ -373,11 +376,11 @@
     ends = [
         end
         for client in clients
-        for at, end in client.ends
+        for at, end in client.results
         if not killed < at < killed + 0.5 and not crashed < at < crashed + 1.0
     ]
     assert set(ends) == {"UP", "moved"} and ends.count("moved") >= 4, ends.count("moved")
-    assert [end for client in clients for at, end in client.ends if at > crashed + 1.0].count(
+    assert [end for client in clients for at, end in client.results if at > crashed + 1.0].count(
         "UP"
     ) > 3
     while_out = [name for at, name in placed if both_out + 0.2 < at < back]
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 from random import Random
 
 import pytest
-from scene import MS, Scene, Wire
+from harness import MS, BalancerHarness, PolicyHarness
 
 from corklift.interface import Login, MeasurementKind, Outcome, Report, Scope
 from corklift.net.limits import ConfigError, Counters, Limits, LogWriter
@@ -29,33 +29,35 @@
 
 
 def test_a_login_is_placed_and_lines_pass_unchanged_both_ways():
-    wire = Wire("up")
-    wire.client("c1", "PING\r\n", 900, OPEN, 100, "one\r\n", 10, "two\r", 10, "\n", 10, "quit\r\n")
-    wire.run(2500)
-    wire.check("life")
+    harness = BalancerHarness("up")
+    harness.client(
+        "c1", "PING\r\n", 900, OPEN, 100, "one\r\n", 10, "two\r", 10, "\n", 10, "quit\r\n"
+    )
+    harness.run(2500)
+    harness.check_trace("life")
 
 
 def test_a_hand_off_that_fails_goes_on_and_a_refusal_is_the_last_word():
     # The outcome decides what follows: each kind of end before UP, with one server and then with a good one.
-    wire = Wire("up")
+    harness = BalancerHarness("up")
     for act in (
         "busy",
         "err",
         "reset",
         "silent",
-        lambda wire, stream, line: stream.write(b"nonsense\r\n"),
-        lambda wire, stream, line: stream.write(b"x" * 5000),
-        lambda wire, stream, line: stream.close(),
+        lambda harness, stream, line: stream.write(b"nonsense\r\n"),
+        lambda harness, stream, line: stream.write(b"x" * 5000),
+        lambda harness, stream, line: stream.close(),
     ):
-        wire.behaviour["s1"] = act
-        wire.say(f"-- {act if isinstance(act, str) else 'garbage, or an end'}")
-        wire.client("c", OPEN)
-        wire.run(5000)
-    wire.listeners["s1"].close()
-    wire.say("-- refused")
-    wire.client("c", OPEN)
-    wire.run(2500)
-    wire.check("before_up")
+        harness.behaviour["s1"] = act
+        harness.record(f"-- {act if isinstance(act, str) else 'garbage, or an end'}")
+        harness.client("c", OPEN)
+        harness.run(5000)
+    harness.listeners["s1"].close()
+    harness.record("-- refused")
+    harness.client("c", OPEN)
+    harness.run(2500)
+    harness.check_trace("before_up")
 
 
 def test_whether_the_last_byte_left_decides_if_it_may_have_run():
@@ -73,13 +75,13 @@
         ("busy", False, 3, "BUSY"),
         ("up", True, 0, "BUSY"),
     ):
-        wire = Wire(act, workloads=once)
+        harness = BalancerHarness(act, workloads=once)
         if closed:
-            wire.listeners["s1"].close()
-        wire.client("c", OPEN)
-        wire.run(3000)
-        assert len([line for line in wire.lines if "s1 < OPEN" in line]) == tries
-        assert [line.split()[-1] for line in wire.lines if "c <" in line] == [answer]
+            harness.listeners["s1"].close()
+        harness.client("c", OPEN)
+        harness.run(3000)
+        assert len([line for line in harness.trace if "s1 < OPEN" in line]) == tries
+        assert [line.split()[-1] for line in harness.trace if "c <" in line] == [answer]
 
 
 BAD = [
@@ -105,26 +107,28 @@
 
 
 def test_bad_first_lines_get_one_failing_line_or_an_end_and_a_count():
-    wire = Wire("up")
+    harness = BalancerHarness("up")
     for number, text in enumerate(BAD):
-        wire.say(f"-- {text[:40]!r}{f' and so on, {len(text)} long' if len(text) > 40 else ''}")
-        wire.client("c", text)
-        wire.run(6000)
-    wire.client("c", "OPEN 1 2 c=pl", None)  # ends early
-    wire.client("d", "OPEN 1 2 c=pl", ...)
-    wire.client("e", *[step for letter in OPEN for step in (letter, 250)])  # drips
-    wire.run(9000)
-    wire.say(wire.counters.text())
-    wire.check("bad_input")
-    assert not wire.counters["exceptions"] and len(wire.process.relay._pending) == 0
+        harness.record(
+            f"-- {text[:40]!r}{f' and so on, {len(text)} long' if len(text) > 40 else ''}"
+        )
+        harness.client("c", text)
+        harness.run(6000)
+    harness.client("c", "OPEN 1 2 c=pl", None)  # ends early
+    harness.client("d", "OPEN 1 2 c=pl", ...)
+    harness.client("e", *[step for letter in OPEN for step in (letter, 250)])  # drips
+    harness.run(9000)
+    harness.record(harness.counters.text())
+    harness.check_trace("bad_input")
+    assert not harness.counters["exceptions"] and len(harness.process.relay._pending) == 0
 
 
 def test_bad_clients_reach_neither_a_server_nor_the_module_and_soon_make_room():
     # Guards against names taken twice, which servers turn down and the module counts against them, against
     # commands by hundreds, and against a door held by those who were turned away and stay.
-    wire = Wire("up", limits={"sockets": 256, "memory_mb": 32})
-    wire.client("c1", OPEN, 9000, "still here\r\n")
-    wire.run(100)
+    harness = BalancerHarness("up", limits={"sockets": 256, "memory_mb": 32})
+    harness.client("c1", OPEN, 9000, "still here\r\n")
+    harness.run(100)
     for name, steps in (
         ("twin", ("OPEN c1 9 c=plain,d=2000\r\n",)),
         ("pair", (OPEN + "OPEN 2 2 c=plain,d=9\r\n",)),
@@ -133,49 +137,49 @@
         ("endless", ("x" * 2000, 1) * 60),
         ("mute", ()),
     ):
-        wire.say(f"-- {name}")
-        wire.client(name, *steps)
-        wire.run(3000)
-    wire.say("-- early")
-    wire.behaviour["s1"] = "silent"
-    wire.client("early", OPEN, 50, "too soon\r\n")
-    wire.run(1000)
-    wire.behaviour["s1"] = "up"
-    wire.say("-- a name of late")
-    wire.client("again", "OPEN early 9 c=plain,d=2000\r\n")
-    wire.client("anew", 10, "OPEN early 9 c=plain,d=2000\r\n")
-    wire.run(6000)
-    wire.client("last", "OPEN early 9 c=plain,d=2000\r\n", 10, None)
-    wire.run(1000)
-    wire.lines = [line for line in wire.lines if "PONG" not in line]
-    wire.say(wire.counters.text())
-    wire.check("bad_clients")
+        harness.record(f"-- {name}")
+        harness.client(name, *steps)
+        harness.run(3000)
+    harness.record("-- early")
+    harness.behaviour["s1"] = "silent"
+    harness.client("early", OPEN, 50, "too soon\r\n")
+    harness.run(1000)
+    harness.behaviour["s1"] = "up"
+    harness.record("-- a name of late")
+    harness.client("again", "OPEN early 9 c=plain,d=2000\r\n")
+    harness.client("anew", 10, "OPEN early 9 c=plain,d=2000\r\n")
+    harness.run(6000)
+    harness.client("last", "OPEN early 9 c=plain,d=2000\r\n", 10, None)
+    harness.run(1000)
+    harness.trace = [line for line in harness.trace if "PONG" not in line]
+    harness.record(harness.counters.text())
+    harness.check_trace("bad_clients")
     for number in range(300):
-        wire.client(f"bad{number}", "nonsense\r\n" if number % 2 else "x" * 4096)
-        wire.client(f"mute{number}")
-        wire.client(f"muter{number}", "PING\r\n")
+        harness.client(f"bad{number}", "nonsense\r\n" if number % 2 else "x" * 4096)
+        harness.client(f"mute{number}")
+        harness.client(f"muter{number}", "PING\r\n")
         if number % 30 == 0:
-            wire.client(f"good{number}", OPEN)
-    wire.lines.clear()
-    began = wire.now
-    wire.run(3000)
-    ups = [line for line in wire.lines if " < UP" in line]
-    assert len(ups) == 10 and (wire.START + int(ups[-1].split()[0]) * MS - began) < 250 * MS
+            harness.client(f"good{number}", OPEN)
+    harness.trace.clear()
+    began = harness.now
+    harness.run(3000)
+    ups = [line for line in harness.trace if " < UP" in line]
+    assert len(ups) == 10 and (harness.START + int(ups[-1].split()[0]) * MS - began) < 250 * MS
     assert (
-        len([line for line in wire.lines if "bad" in line or "mute" in line and "ended" in line])
+        len([line for line in harness.trace if "bad" in line or "mute" in line and "ended" in line])
         >= 900
     )
-    assert wire.counters["exceptions"] == 0 and not wire.process.relay._pending
+    assert harness.counters["exceptions"] == 0 and not harness.process.relay._pending
 
 
 def test_an_end_is_passed_on_the_same_way():
-    def reset(wire, stream, line):
+    def reset(harness, stream, line):
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.abort()
 
-    def fin(wire, stream, line):
+    def fin(harness, stream, line):
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.shutdown_write()
 
-    wire = Wire("up")
+    harness = BalancerHarness("up")
     for what, act, steps in (
         ("client ends", "up", (100, None)),
         ("client resets", "up", (100, ...)),
@@ -183,52 +187,54 @@
         ("server ends", fin, (100, "x\r\n")),
         ("client leaves before its answer", "silent", (100, None)),
     ):
-        wire.behaviour["s1"] = act
-        wire.say(f"-- {what}")
-        wire.client("c", OPEN, *steps)
-        wire.run(4000)
-    wire.check("ends")
+        harness.behaviour["s1"] = act
+        harness.record(f"-- {what}")
+        harness.client("c", OPEN, *steps)
+        harness.run(4000)
+    harness.check_trace("ends")
 
 
 def test_move_comes_between_two_lines_and_a_silent_server_is_left_in_time():
-    def drip(wire, stream, line):
+    def drip(harness, stream, line):
         stream.write(b"UP s1\r\n" if line.startswith("OPEN") else b"half a li")
 
-    wire = Wire(drip)
-    wire.client("c1", OPEN, 500, "x\r\n")
-    wire.run(1500)
-    wire.change(wire.entry("s1", "leaving"))
-    wire.run(2000)
-    wire.check("move_between_lines")
+    harness = BalancerHarness(drip)
+    harness.client("c1", OPEN, 500, "x\r\n")
+    harness.run(1500)
+    harness.change_list(harness.list_entry("s1", "leaving"))
+    harness.run(2000)
+    harness.check_trace("move_between_lines")
     # A server that falls into garbage: its client is told to come again.
-    wire = Wire(
-        lambda wire, stream, line: stream.write(
+    harness = BalancerHarness(
+        lambda harness, stream, line: stream.write(
             b"UP s1\r\n" if line.startswith("OPEN") else b"x" * 5000
         )
     )
-    wire.client("c1", OPEN, 500, "x\r\n")
-    wire.run(1500)
-    assert [line[7:] for line in wire.lines if " c1 <" in line] == ["c1 < UP s1", "c1 < MOVE"]
+    harness.client("c1", OPEN, 500, "x\r\n")
+    harness.run(1500)
+    assert [line[7:] for line in harness.trace if " c1 <" in line] == ["c1 < UP s1", "c1 < MOVE"]
     # A server that accepts and stays silent: its connections, and the probes they cause, show it within 7 s.
-    wire = Wire("up")
-    wire.client("c1", OPEN, 1000, "one\r\n")
-    wire.run(1800)
-    wire.behaviour["s1"] = "silent"
-    wire.client("c2", 100, "PING\r\n")
-    wire.run(7000)
-    moved = [line for line in wire.lines if "MOVE" in line]
+    harness = BalancerHarness("up")
+    harness.client("c1", OPEN, 1000, "one\r\n")
+    harness.run(1800)
+    harness.behaviour["s1"] = "silent"
+    harness.client("c2", 100, "PING\r\n")
+    harness.run(7000)
+    moved = [line for line in harness.trace if "MOVE" in line]
     assert len(moved) == 1 and 1800 < int(moved[0].split()[0]) < 8800
 
 
 def test_an_unanswered_line_on_a_server_that_still_answers_probes_moves_its_client_too():
-    def deaf(wire, stream, line):
+    def deaf(harness, stream, line):
         if line.startswith("OPEN"):
             stream.write(b"UP s1\r\n")
 
-    wire = Wire(deaf)
-    wire.client("c1", OPEN, 1000, "one\r\n")
-    wire.run(7800)
-    assert [line.split()[1:] for line in wire.lines if " c1 <" in line or "c1 ended" in line] == [
+    harness = BalancerHarness(deaf)
+    harness.client("c1", OPEN, 1000, "one\r\n")
+    harness.run(7800)
+    assert [
+        line.split()[1:] for line in harness.trace if " c1 <" in line or "c1 ended" in line
+    ] == [
         ["c1", "<", "UP", "s1"],
         ["c1", "<", "MOVE"],
         ["c1", "ended"],
@@ -236,95 +242,95 @@
 
 
 def test_without_room_busy_is_answered_at_once_and_lurkers_make_room():
-    wire = Wire("up", limits={"sockets": 36})
-    assert wire.limits.clients == 5 and wire.limits.waiting == 8
+    harness = BalancerHarness("up", limits={"sockets": 36})
+    assert harness.limits.clients == 5 and harness.limits.waiting == 8
     for number in range(12):
-        wire.client(f"lurker{number}")
+        harness.client(f"lurker{number}")
     for number in range(1, 9):
-        wire.client(f"c{number}", 50, OPEN, 200, "still here\r\n")
-    wire.run(1000)
+        harness.client(f"c{number}", 50, OPEN, 200, "still here\r\n")
+    harness.run(1000)
     answers = [
         line.split(" < ")[1].split()[0]
-        for line in wire.lines
+        for line in harness.trace
         if " < UP" in line or " < BUSY" in line
     ]
     assert sorted(answers) == ["BUSY"] * 3 + ["UP"] * 5
-    assert len([line for line in wire.lines if "echo still here" in line]) == 5
+    assert len([line for line in harness.trace if "echo still here" in line]) == 5
     assert (
-        wire.counters["logins bounced without room"] == 3
-        and not wire.counters["no descriptor for a client"]
+        harness.counters["logins bounced without room"] == 3
+        and not harness.counters["no descriptor for a client"]
     )
 
 
 def test_pong_comes_once_it_can_serve_and_a_standing_connection_goes_to_its_server():
-    wire = Wire("up", "up")
-    wire.client("c1", "PING\r\n")
-    wire.client("c2", "OPEN 5 7f c=plain,at=s2,g=a\r\n", 100, "x\r\n", 100, "quit\r\n")
-    wire.client("c3", "OPEN 6 7f c=plain,d=3000,at=unknown\r\n")
-    wire.run(5000)
-    wire.check("start")
+    harness = BalancerHarness("up", "up")
+    harness.client("c1", "PING\r\n")
+    harness.client("c2", "OPEN 5 7f c=plain,at=s2,g=a\r\n", 100, "x\r\n", 100, "quit\r\n")
+    harness.client("c3", "OPEN 6 7f c=plain,d=3000,at=unknown\r\n")
+    harness.run(5000)
+    harness.check_trace("start")
 
 
 def test_told_to_stop_it_serves_on_then_moves_all_and_ends_in_time():
-    wire = Wire("up")
+    harness = BalancerHarness("up")
     for number in range(1, 6):
-        wire.client(f"c{number}", OPEN)
-    wire.run(1000)
-    wire.process.leave()
-    wire.client("c6", 300, OPEN)  # still comes through the front
-    wire.client("c7", 700, OPEN)
-    began = wire.now
-    wire.process.scheduler.run()
-    assert wire.now - began < 3700 * MS
-    wire.run(1000)
-    wire.lines = [line for line in wire.lines if "s1" not in line or "UP" in line]
-    wire.check("stop")
+        harness.client(f"c{number}", OPEN)
+    harness.run(1000)
+    harness.process.leave()
+    harness.client("c6", 300, OPEN)  # still comes through the front
+    harness.client("c7", 700, OPEN)
+    began = harness.now
+    harness.process.scheduler.run()
+    assert harness.now - began < 3700 * MS
+    harness.run(1000)
+    harness.trace = [line for line in harness.trace if "s1" not in line or "UP" in line]
+    harness.check_trace("stop")
 
 
 def test_discovery_is_followed_and_the_known_list_outlives_its_troubles():
-    wire = Wire("up", "up")
-    wire.run(500)
+    harness = BalancerHarness("up", "up")
+    harness.run(500)
     for answer in (
         b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{]}",
         b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
         b"HTTP/1.1 what\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]",
     ):
-        wire.answer(answer)
-        wire.run(400)
-    wire.client("c1", OPEN)
-    wire.run(100)
-    wire.change(wire.entry("s1", "leaving"))
-    wire.run(300)
+        harness.send_list(answer)
+        harness.run(400)
+    harness.client("c1", OPEN)
+    harness.run(100)
+    harness.change_list(harness.list_entry("s1", "leaving"))
+    harness.run(300)
     for number in range(4):
-        wire.client(f"d{number}", OPEN)
-    wire.run(500)
-    wire.run(10_000)
-    wire.say(f"calls {wire.told}")
-    wire.check("discovery")
-    assert {line.split()[-1] for line in wire.lines if " d" in line and "< UP" in line} == {"s2"}
+        harness.client(f"d{number}", OPEN)
+    harness.run(500)
+    harness.run(10_000)
+    harness.record(f"calls {harness.discovery_requests}")
+    harness.check_trace("discovery")
+    assert {line.split()[-1] for line in harness.trace if " d" in line and "< UP" in line} == {"s2"}
 
 
 def test_a_refusal_of_discovery_leaves_list_and_connection_and_is_asked_anew_late_from_the_same_version():
     # Guards against dozens of balancers that keep an overbooked discovery overbooked, each with the whole list.
-    wire = Wire("up", "up")
-    wire.run(500)
-    wire.answer(b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n")
-    wire.run(8000)
-    after = [(at, path) for at, path in wire.told if at > 500]
-    assert 3000 <= after[0][0] <= 8000 and wire.counters["discovery failures"] == 1, after
-    assert not any(path == "/registry/instances" for _, path in wire.told)
-    wire.client("c1", OPEN)
-    wire.run(100)
-    assert any("c1 < UP" in line for line in wire.lines)
+    harness = BalancerHarness("up", "up")
+    harness.run(500)
+    harness.send_list(b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n")
+    harness.run(8000)
+    after = [(at, path) for at, path in harness.discovery_requests if at > 500]
+    assert 3000 <= after[0][0] <= 8000 and harness.counters["discovery failures"] == 1, after
+    assert not any(path == "/registry/instances" for _, path in harness.discovery_requests)
+    harness.client("c1", OPEN)
+    harness.run(100)
+    assert any("c1 < UP" in line for line in harness.trace)
 
 
 def test_balancers_that_start_together_ask_an_asked_discovery_one_by_one():
     firsts = []
     for seed in range(8):
-        wire = Wire("up", seed=str(seed), discovery="on_request")
-        wire.run(2500)
-        firsts.append(wire.told[0])
+        harness = BalancerHarness("up", seed=str(seed), discovery="on_request")
+        harness.run(2500)
+        firsts.append(harness.discovery_requests[0])
     assert {path for _, path in firsts} == {"/registry/instances?index=1&wait=0"}
     times = sorted(at for at, _ in firsts)
     assert times[0] < 700 and 1200 < times[-1] <= 2000 and len(set(times)) == 8, times
@@ -332,109 +338,117 @@
 
 def test_a_discovery_that_moves_before_the_first_call_is_asked_for_the_whole_list():
     # Guards against a version of the old discovery asked of the new one, and against an exception on the way.
-    wire = Wire("up", discovery="on_request")
-    wire.run(100)
-    wire.move_discovery()
-    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
-    wire.run(3000)
-    assert wire.counters["exceptions"] == 0 and wire.told[0][1] == "/registry/instances at 2", (
-        wire.told
+    harness = BalancerHarness("up", discovery="on_request")
+    harness.run(100)
+    harness.move_discovery()
+    harness.process.watch.reconfigure(
+        ("127.0.0.1", harness.discovery_listener.getsockname()[1]), harness.limits
     )
+    harness.run(3000)
+    assert (
+        harness.counters["exceptions"] == 0
+        and harness.discovery_requests[0][1] == "/registry/instances at 2"
+    ), harness.discovery_requests
 
 
 def test_a_new_configuration_moves_the_watch_at_once_and_a_bad_one_changes_nothing(tmp_path):
     # Guards against an end on SIGHUP, and against a watch that waits on at the old address.
-    wire = Wire("up", "up")
-    wire.client("c1", OPEN, 2000, "one\r\n", 5000, "two\r\n")
-    wire.run(1500)
+    harness = BalancerHarness("up", "up")
+    harness.client("c1", OPEN, 2000, "one\r\n", 5000, "two\r\n")
+    harness.run(1500)
     for number in range(3):  # also twice at once, and amid the first call there
-        wire.move_discovery()
-        wire.reload(tmp_path / "config")
-        wire.reload(tmp_path / "config")
-        wire.run(40 * number)
-    wire.run(500)
+        harness.move_discovery()
+        harness.reload(tmp_path / "config")
+        harness.reload(tmp_path / "config")
+        harness.run(40 * number)
+    harness.run(500)
     for change in (
         {"discovery": "nowhere"},
         {"limits": {"sockets": 5}},
         {"settings": {"workloads": 3}},
-        {"settings": wire.config["settings"] | {"family-info": 7}},
+        {"settings": harness.config["settings"] | {"family-info": 7}},
         {"known": None},
     ):
-        wire.reload(tmp_path / "config", **change)
-        wire.run(300)
-    wire.change(wire.entry("s1", "leaving"))
-    wire.run(500)
-    wire.client("c2", OPEN)
-    wire.run(4000)
-    wire.say(f"calls {wire.told}")
-    wire.check("reload")
+        harness.reload(tmp_path / "config", **change)
+        harness.run(300)
+    harness.change_list(harness.list_entry("s1", "leaving"))
+    harness.run(500)
+    harness.client("c2", OPEN)
+    harness.run(4000)
+    harness.record(f"calls {harness.discovery_requests}")
+    harness.check_trace("reload")
     assert (
-        wire.counters["configurations taken"] == 6 and wire.counters["configurations refused"] == 5
+        harness.counters["configurations taken"] == 6
+        and harness.counters["configurations refused"] == 5
     )
-    assert not wire.counters["exceptions"]
+    assert not harness.counters["exceptions"]
 
 
 def test_an_answer_of_discovery_that_stops_short_is_asked_for_anew_at_once():
     # Guards against logins to a server whose drain was in an answer that never became whole.
-    wire = Wire("up", "up")
-    wire.run(500)
+    harness = BalancerHarness("up", "up")
+    harness.run(500)
     body = json.dumps(
-        {"index": 2, "snapshot": False, "endpoints": [wire.entry("s1", "leaving")]}
+        {"index": 2, "snapshot": False, "endpoints": [harness.list_entry("s1", "leaving")]}
     ).encode()
-    wire.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-5]))
-    wire.run(10)
-    wire.index, wire.watch_answer = 2, json.loads(body)
-    wire.run(300)
+    harness.send_list(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-5]))
+    harness.run(10)
+    harness.index, harness.watch_response = 2, json.loads(body)
+    harness.run(300)
     for number in range(8):
-        wire.client(f"c{number}", OPEN)
-    wire.run(300)
-    assert {line.split()[-1] for line in wire.lines if "< UP" in line} == {"s2"}
-    assert wire.counters["discovery failures"] == 1
+        harness.client(f"c{number}", OPEN)
+    harness.run(300)
+    assert {line.split()[-1] for line in harness.trace if "< UP" in line} == {"s2"}
+    assert harness.counters["discovery failures"] == 1
 
 
 def test_new_settings_are_taken_and_open_connections_keep_their_workload(tmp_path):
     plain = {"name": "plain", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}
-    wire = Wire("up", localities=["a", "b"], zone=1)
-    wire.client("c1", OPEN, 3000, "x\r\n")
-    wire.run(1000)
-    settings = wire.config["settings"] | {
+    harness = BalancerHarness("up", localities=["a", "b"], zone=1)
+    harness.client("c1", OPEN, 3000, "x\r\n")
+    harness.run(1000)
+    settings = harness.config["settings"] | {
         "workloads": [
             plain | {"name": "new", "time-limit-ns": 900 * MS},
             plain | {"importance": 3},
         ],
         "localities": ["b", "a"],
         "zone": 0,
-        "permissions": wire.config["settings"]["permissions"] | {"max-hand-offs": 1},
+        "permissions": harness.config["settings"]["permissions"] | {"max-hand-offs": 1},
     }
-    wire.reload(tmp_path / "config", settings=settings)
-    wire.run(500)
-    balancer = wire.process.facade._balancer
+    harness.reload(tmp_path / "config", settings=settings)
+    harness.run(500)
+    balancer = harness.process.facade._balancer
     assert [(w.name, w.importance) for w in balancer._workloads] == [("plain", 3), ("new", 1.0)]
     assert balancer._draw._zone == 1
-    wire.behaviour["s1"] = "busy"  # one hand-off only, by the new settings
-    wire.client("c2", "OPEN 1 7f c=new,d=2000\r\n")
-    wire.run(1000)
-    wire.reload(tmp_path / "config", settings=settings | {"workloads": settings["workloads"][:1]})
-    wire.run(100)
-    wire.client("c3", OPEN)  # a workload that is no more
-    wire.behaviour["s1"] = "up"
-    wire.run(2000)
-    wire.check("reload_settings")
+    harness.behaviour["s1"] = "busy"  # one hand-off only, by the new settings
+    harness.client("c2", "OPEN 1 7f c=new,d=2000\r\n")
+    harness.run(1000)
+    harness.reload(
+        tmp_path / "config", settings=settings | {"workloads": settings["workloads"][:1]}
+    )
+    harness.run(100)
+    harness.client("c3", OPEN)  # a workload that is no more
+    harness.behaviour["s1"] = "up"
+    harness.run(2000)
+    harness.check_trace("reload_settings")
 
 
 def test_new_limits_and_a_new_address_are_taken_and_clients_stay(tmp_path):
-    wire = Wire("up")
+    harness = BalancerHarness("up")
     for number in range(20):
-        wire.client(f"c{number}", 100, OPEN, 2500, "still here\r\n")
-    wire.run(1000)
-    first = wire.process.port
-    wire.client("late", 1000, OPEN)  # connects to the old address before it is given up
-    wire.reload(tmp_path / "config", listen="127.0.0.2:0", limits={"memory_mb": 64, "sockets": 60})
-    wire.run(500)
-    assert wire.process.port != first and wire.process.relay._limits.clients < 20
-    wire.run(3000)
-    assert len([line for line in wire.lines if "echo still here" in line]) == 20
-    assert [line.split()[-1] for line in wire.lines if "late <" in line] == ["BUSY"]
+        harness.client(f"c{number}", 100, OPEN, 2500, "still here\r\n")
+    harness.run(1000)
+    first = harness.process.port
+    harness.client("late", 1000, OPEN)  # connects to the old address before it is given up
+    harness.reload(
+        tmp_path / "config", listen="127.0.0.2:0", limits={"memory_mb": 64, "sockets": 60}
+    )
+    harness.run(500)
+    assert harness.process.port != first and harness.process.relay._limits.clients < 20
+    harness.run(3000)
+    assert len([line for line in harness.trace if "echo still here" in line]) == 20
+    assert [line.split()[-1] for line in harness.trace if "late <" in line] == ["BUSY"]
 
 
 def test_probes_use_one_connection_again_and_outlive_an_idle_end_and_garbage():
@@ -445,61 +459,61 @@
         stream.write(b"PONG x0=0.2,inflight=3\r\n" if len(seen) % 3 else b"PONG x0=lots\r\n")
         stream.shutdown_write()
 
-    wire = Wire("up", "up")
-    wire.probed = once
-    wire.run(20_000)
-    assert not wire.counters["exceptions"] and len(set(seen)) == len(seen)
-    assert wire.counters["bad answers to probes (no number)"] == len(seen) // 3
+    harness = BalancerHarness("up", "up")
+    harness.probe_handler = once
+    harness.run(20_000)
+    assert not harness.counters["exceptions"] and len(set(seen)) == len(seen)
+    assert harness.counters["bad answers to probes (no number)"] == len(seen) // 3
     assert (
-        wire.counters["probes fulfilled"]
+        harness.counters["probes fulfilled"]
         == len(seen) - len(seen) // 3
-        == wire.counters["probes"] - len(seen) // 3
+        == harness.counters["probes"] - len(seen) // 3
     )
-    wire.probed = None
-    wire.run(20_000)
-    assert wire.counters["probe connections"] <= len(seen) + 2
+    harness.probe_handler = None
+    harness.run(20_000)
+    assert harness.counters["probe connections"] <= len(seen) + 2
 
 
 def test_more_servers_than_connections_for_probes_are_all_probed():
-    wire, seen = Wire(*["up"] * 12, limits={"sockets": 64}), set()
-    assert wire.limits.probes == 8
-    real = wire.process.facade.probe_finished
-    wire.process.facade.probe_finished = lambda server, outcome, *rest: (
+    harness, seen = BalancerHarness(*["up"] * 12, limits={"sockets": 64}), set()
+    assert harness.limits.probes == 8
+    real = harness.process.facade.probe_finished
+    harness.process.facade.probe_finished = lambda server, outcome, *rest: (
         outcome is Outcome.FULFILLED and seen.add(server),
         real(server, outcome, *rest),
     )
-    wire.run(4000)
+    harness.run(4000)
     assert (
         len(seen) == 12
-        and wire.counters["probes without a descriptor"] == wire.counters["exceptions"] == 0
+        and harness.counters["probes without a descriptor"] == harness.counters["exceptions"] == 0
     )
-    assert len(wire.process.probes._tasks) <= wire.limits.probes + 1
+    assert len(harness.process.probes._tasks) <= harness.limits.probes + 1
 
 
 def test_an_exception_ends_its_connection_alone():
-    wire = Wire("up")
-    wire.client("c1", OPEN, 1000, "x\r\n")
-    wire.run(500)
-    real = wire.process.facade.report_connected
-    wire.process.facade.report_connected = lambda handle: 1 / 0
-    wire.client("c2", OPEN)
-    wire.run(300)
-    wire.process.facade.report_connected = real
-    wire.run(1000)
-    assert wire.counters["exceptions"] == 1
-    assert any("c1 < echo x" in line for line in wire.lines)
-    assert [line.split()[2:] for line in wire.lines if " c2" in line and "OPEN" not in line] == [
+    harness = BalancerHarness("up")
+    harness.client("c1", OPEN, 1000, "x\r\n")
+    harness.run(500)
+    real = harness.process.facade.report_connected
+    harness.process.facade.report_connected = lambda handle: 1 / 0
+    harness.client("c2", OPEN)
+    harness.run(300)
+    harness.process.facade.report_connected = real
+    harness.run(1000)
+    assert harness.counters["exceptions"] == 1
+    assert any("c1 < echo x" in line for line in harness.trace)
+    assert [line.split()[2:] for line in harness.trace if " c2" in line and "OPEN" not in line] == [
         ["<", "FAILED"],
         ["ended"],
     ]
-    assert len(wire.process.facade._logins) == 1
+    assert len(harness.process.facade._logins) == 1
 
 
 def test_what_all_connections_live_on_outlives_an_exception():
     # Guards against a defect in one tick, probe or list that stops all later ones.
-    wire = Wire("up", "up")
-    wire.run(1000)
-    facade = wire.process.facade
+    harness = BalancerHarness("up", "up")
+    harness.run(1000)
+    facade = harness.process.facade
     for name in ("run_due_timers", "next_probe", "apply_listing"):
         real = getattr(facade, name)
 
@@ -508,26 +522,31 @@
             raise RuntimeError(name)
 
         setattr(facade, name, fails)
-        wire.change(wire.entry("s1"))
-        wire.run(3000)
-        probes = wire.counters["probes fulfilled"]
-        wire.run(2000)
-        assert wire.counters["probes fulfilled"] > probes
-    wire.change(wire.entry("s1", "leaving"))
-    wire.run(500)
-    wire.client("c1", OPEN)
-    wire.run(500)
-    assert wire.counters["exceptions"] == 3 and wire.lines[-1].endswith("c1 < UP s2")
+        harness.change_list(harness.list_entry("s1"))
+        harness.run(3000)
+        probes = harness.counters["probes fulfilled"]
+        harness.run(2000)
+        assert harness.counters["probes fulfilled"] > probes
+    harness.change_list(harness.list_entry("s1", "leaving"))
+    harness.run(500)
+    harness.client("c1", OPEN)
+    harness.run(500)
+    assert harness.counters["exceptions"] == 3 and harness.trace[-1].endswith("c1 < UP s2")
     # A new address for discovery while its watch has just failed.
     real = facade.apply_listing
     facade.apply_listing = lambda *arguments: 1 / 0
-    wire.change(wire.entry("s1"))
-    wire.run(10)
+    harness.change_list(harness.list_entry("s1"))
+    harness.run(10)
     facade.apply_listing = real
-    wire.move_discovery()
-    wire.process.watch.reconfigure(("127.0.0.1", wire.agent.getsockname()[1]), wire.limits)
-    wire.run(500)
-    assert wire.told[-1][1].endswith(" at 2") and wire.process.watch._index == wire.index
+    harness.move_discovery()
+    harness.process.watch.reconfigure(
+        ("127.0.0.1", harness.discovery_listener.getsockname()[1]), harness.limits
+    )
+    harness.run(500)
+    assert (
+        harness.discovery_requests[-1][1].endswith(" at 2")
+        and harness.process.watch._index == harness.index
+    )
 
 
 # Parts on their own
@@ -613,8 +632,8 @@
         "here"
     ) == stable_id("here")
     assert stable_id("s1") != stable_id("s2")
-    wire = Wire()
-    facade = wire.process.facade
+    harness = BalancerHarness()
+    facade = harness.process.facade
     entries = [
         {"name": name, "address": f"127.0.0.1:{port}", "status": "active"}
         for port, name in enumerate(("a-5be2a07c", "b-5be2a07c", "toy"), 1)
@@ -651,20 +670,20 @@
 
 
 def test_timers_that_are_void_do_not_pile_up_and_a_wake_up_is_not_lost():
-    wire = Wire()
-    scheduler = Scheduler(lambda: wire.now, wire.say, None)
-    scheduler._poll = wire.process.scheduler._poll
+    harness = BalancerHarness()
+    scheduler = Scheduler(lambda: harness.now, harness.record, None)
+    scheduler._poll = harness.process.scheduler._poll
     seen = []
 
     def sleeper():
         for _ in range(5000):
-            scheduler.wait({}, wire.now + 3600_000 * MS)
+            scheduler.wait({}, harness.now + 3600_000 * MS)
             seen.append(1)
         scheduler.stop()
 
     task = scheduler.spawn(sleeper)
     scheduler.spawn(
-        lambda: [(scheduler.wake(task), scheduler.wait({}, wire.now)) for _ in range(6000)]
+        lambda: [(scheduler.wake(task), scheduler.wait({}, harness.now)) for _ in range(6000)]
     )
     scheduler.run()
     assert len(seen) == 5000 and len(scheduler._timers) < 2500
@@ -792,52 +811,52 @@
 
 def test_a_line_that_brings_nothing_back_has_its_server_probed_at_once():
     # Guards against a silent server that is found only by its next ordinary probe, up to 2 s later.
-    scene = Scene()
-    scene.listed(1, 2)
-    scene.auto = {1: Report(5, 0.2), 2: Report(5, 0.2)}
-    scene.run(4000)
-    scene.balancer.connection_resumed(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
-    scene.auto[2] = Outcome.TIMED_OUT
-    server = scene.balancer._registry.servers[2]
-    while scene.balancer._load_reports.is_recent(scene.now, server):
-        scene.run(10)
-    asked = len(scene.asked)
-    scene.balancer.measurement_received(
-        scene.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS
+    harness = PolicyHarness()
+    harness.list_servers(1, 2)
+    harness.probe_answers = {1: Report(5, 0.2), 2: Report(5, 0.2)}
+    harness.run(4000)
+    harness.balancer.connection_resumed(harness.now, Login(9, 0, 0, 0, 0, None, 0), 2)
+    harness.probe_answers[2] = Outcome.TIMED_OUT
+    server = harness.balancer._registry.servers[2]
+    while harness.balancer._load_reports.is_recent(harness.now, server):
+        harness.run(10)
+    asked = len(harness.pending_probes)
+    harness.balancer.measurement_received(
+        harness.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS
     )  # a note alone does not
-    assert len(scene.asked) == asked
-    scene.balancer.message_unanswered(scene.now, 2)
-    scene.balancer.message_unanswered(scene.now, 2)  # one answer at a time is waited for
-    assert scene.asked[asked:] == [2]
+    assert len(harness.pending_probes) == asked
+    harness.balancer.message_unanswered(harness.now, 2)
+    harness.balancer.message_unanswered(harness.now, 2)  # one answer at a time is waited for
+    assert harness.pending_probes[asked:] == [2]
 
 
 def test_a_balancer_without_logins_yet_probes_all():
     # Guards against a start on sockets with one count: no login yet tells nothing of their rate.
-    scene, asked = Scene(probe_price=0.01, balancers=2), set()
-    scene.probe = lambda server: (asked.add(server), scene.asked.append(server))
-    scene.listed(1, 2, 3)
-    scene.run(1000)
+    harness, asked = PolicyHarness(probe_price=0.01, balancers=2), set()
+    harness.probe = lambda server: (asked.add(server), harness.pending_probes.append(server))
+    harness.list_servers(1, 2, 3)
+    harness.run(1000)
     assert asked == {1, 2, 3}
     # What stood at the start tells the rate as soon as it is up: here it pays for probes of some only.
-    scene.balancer.connection_resumed(scene.now, Login(9, 0, 0, 0, 0, None, 0), 2)
-    scene.run(150)
-    assert scene.lines == ["  1058 log: probing some of 3 servers"]
+    harness.balancer.connection_resumed(harness.now, Login(9, 0, 0, 0, 0, None, 0), 2)
+    harness.run(150)
+    assert harness.trace == ["  1058 log: probing some of 3 servers"]
 
 
 @pytest.mark.parametrize("told", [b"PONG x0=0,inflight=0\r\n", b"PONG x0=0,inflight=13\r\n"])
 def test_reports_of_nothing_count_only_once_what_stood_has_come_up(told):
     # Guards against a start that takes servers for empty or idle, though connections there are only coming up.
-    wire, taken = Wire("up", "up"), []
-    wire.probed = lambda stream: stream.write(told)
-    real = wire.process.facade._balancer.probe_answered
-    wire.process.facade._balancer.probe_answered = lambda *told: (
+    harness, taken = BalancerHarness("up", "up"), []
+    harness.probe_handler = lambda stream: stream.write(told)
+    real = harness.process.facade._balancer.probe_answered
+    harness.process.facade._balancer.probe_answered = lambda *told: (
         taken.append((told[0], told[-1])),
         real(*told),
     )
-    wire.client("c1", 1500, "OPEN 5 7f c=plain,at=s2\r\n")
-    wire.run(6000)
+    harness.client("c1", 1500, "OPEN 5 7f c=plain,at=s2\r\n")
+    harness.run(6000)
     known = [at for at, report in taken if report is not None]
-    assert taken and known and min(known) >= wire.START + 3000 * MS
+    assert taken and known and min(known) >= harness.START + 3000 * MS
 
 
 def test_a_task_that_ends_leaves_the_wait_of_the_task_that_spawned_it_alone():
