--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -216,7 +216,7 @@
                 if " < OPEN" in line and "s1" in line or " < OPEN" in line and "s2" in line
             ]
         )
-        harness.process.leave()
+        harness.process.request_stop()
         harness.process.scheduler.run()
         assert harness.process.relay.in_flight == 0 and not harness.counters["exceptions"]
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -276,7 +276,7 @@
     for number in range(1, 6):
         harness.client(f"c{number}", OPEN)
     harness.run(1000)
-    harness.process.leave()
+    harness.process.request_stop()
     harness.client("c6", 300, OPEN)  # still comes through the front
     harness.client("c7", 700, OPEN)
     began = harness.now
