--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,11 +17,11 @@
 from fleet import CONFIG, Fleet, settle
 from loop import wait_for
 
-from corklift.control.config import BadConfig, parse
+from corklift.control.config import ControlConfigError, parse_config
 from corklift.control.service import ADS, LRS
-from corklift.control.status import fetch, rows
-from corklift.control.views import Kind
-from corklift.control.weights import WHOLE, Settings, Weights
+from corklift.control.status import fetch_status, status_rows
+from corklift.control.subscriptions import ResourceKind
+from corklift.control.weights import TOTAL_WEIGHT, WeightPublisher, WeightSettings
 from corklift.net.limits import MS, SECOND
 from corklift.rpc.core import RpcLimits
 from corklift.standins.proxy import CDS, EDS, Habits
@@ -40,7 +40,7 @@
             fleet.holds(proxy, *ALL)
         # a busy server gets less, and what proxies placed counts before a probe tells of it
         fleet.do(lambda: setattr(fleet.servers["s1"], "open", 60))
-        wait_for(lambda: all(fleet.weights(p).get("s1", 0) < WHOLE / 20 for p in proxies))
+        wait_for(lambda: all(fleet.weights(p).get("s1", 0) < TOTAL_WEIGHT / 20 for p in proxies))
         for number in range(40):
             fleet.do(lambda: fleet.scheduler.spawn(proxies[number % 4].place, "plain", 60 * SECOND))
         wait_for(lambda: len(fleet.placed) == 40)
@@ -71,8 +71,8 @@
         wait_for(lambda: refusing.held.refused)
 
         def refused():
-            answer = fetch(("127.0.0.1", service.port), node=refusing.node)
-            return [row for row in rows(answer) if row["refused"]]
+            answer = fetch_status(("127.0.0.1", service.port), node=refusing.node)
+            return [row for row in status_rows(answer) if row["refused"]]
 
         (row,) = wait_for(refused)
         assert (
@@ -95,7 +95,7 @@
             fleet.holds(proxy, *ALL)
         for round_ in range(3):
             fleet.do(
-                lambda: [proxy.channel.drop() for proxy in proxies]
+                lambda: [proxy.channel.abort_connection() for proxy in proxies]
             )  # lost as the update goes out
             fleet.mark("s1", "leaving")
             for proxy in proxies:
@@ -109,13 +109,14 @@
             def spoil(proxy=proxy):
                 proxy.held.versions = dict.fromkeys(proxy.held.versions, "never issued")
                 proxy.held.resources[EDS] = {"plain": ("never issued", b""), "gone": ("5", b"")}
-                proxy.channel.drop()
+                proxy.channel.abort_connection()
 
             fleet.do(spoil)
             fleet.holds(proxy, *ALL)
         wait_for(
             lambda: all(
-                not service.program.views.behind(n) for n in list(service.program.views.streams)
+                not service.program.subscriptions.outdated_kinds(n)
+                for n in list(service.program.subscriptions.streams)
             )
         )
 
@@ -160,8 +161,10 @@
         twins = [fleet.proxy(service, node="twin") for _ in range(3)]
         for twin in twins:
             fleet.holds(twin, *ALL)
-        answer = fetch(("127.0.0.1", service.port), node="twin")
-        assert len(answer.config) == 3 and all(row["view"] == "synced" for row in rows(answer))
+        answer = fetch_status(("127.0.0.1", service.port), node="twin")
+        assert len(answer.config) == 3 and all(
+            row["view"] == "synced" for row in status_rows(answer)
+        )
         fleet.mark("s3", "leaving")
         for twin in twins:
             fleet.holds(twin, "s1", "s2")
@@ -200,7 +203,7 @@
             client.send_data(1, b"\0" + len(content).to_bytes(4, "big") + content)
             sock.sendall(client.data_to_send())
             shut.append((sock, client))
-        wait_for(lambda: len(service.program.views.streams) == 3)
+        wait_for(lambda: len(service.program.subscriptions.streams) == 3)
         for _ in range(4):  # a byte now and then is no reading
             for sock, client in shut[1:]:
                 client.increment_flow_control_window(1, stream_id=1)
@@ -209,7 +212,7 @@
             wait_for(lambda: "s1" not in fleet.weights(good), 0.5)
             fleet.mark("s1", "active")
             fleet.holds(good, *ALL)
-        wait_for(lambda: len(service.program.views.streams) == 1)
+        wait_for(lambda: len(service.program.subscriptions.streams) == 1)
         assert service.program.counters["calls stalled"] == 2 and good.connected
         for sock, _ in shut:
             sock.close()
@@ -250,7 +253,7 @@
         proxy = fleet.proxy(service)
         settle(1.0)
         assert (
-            proxy.connected is False and not service.program.views.known
+            proxy.connected is False and not service.program.subscriptions.has_snapshot
         )  # no empty view before the list is known
         fleet.discovery.silent = False
         fleet.holds(proxy, *ALL)
@@ -268,7 +271,7 @@
             fleet.proxy(
                 service,
                 Habits(incremental=n % 2 == 1, reports=False),
-                limits=RpcLimits(ping_after=0, back_off=400 * MS, ring=8192),
+                limits=RpcLimits(ping_after=0, initial_backoff=400 * MS, ring=8192),
             )
             for n in range(200)
         ]
@@ -289,9 +292,12 @@
             settle(0.05)
         fleet.discovery.silent = False
         wait_for(lambda: all("s1" not in fleet.weights(p) for p in proxies), 10)
-        wait_for(lambda: len(anew.program.views.streams) == 200)
+        wait_for(lambda: len(anew.program.subscriptions.streams) == 200)
         wait_for(
-            lambda: all(not anew.program.views.behind(n) for n in list(anew.program.views.streams))
+            lambda: all(
+                not anew.program.subscriptions.outdated_kinds(n)
+                for n in list(anew.program.subscriptions.streams)
+            )
         )
         assert all(view for view in views) and all(len(fleet.weights(p)) == 2 for p in proxies)
         assert fleet.counters["connects"] <= 200 * 6  # spread, not hammered
@@ -321,8 +327,8 @@
             fleet.holds(proxies[1], "s2", "s3")
             wait_for(
                 lambda: (
-                    [one.program.views.version(k) for k in Kind]
-                    == [two.program.views.version(k) for k in Kind]
+                    [one.program.subscriptions.current_version(k) for k in ResourceKind]
+                    == [two.program.subscriptions.current_version(k) for k in ResourceKind]
                 )
             )
             # a proxy that goes from one to the other is owed nothing
@@ -334,7 +340,7 @@
                 held.resources,
                 held.names,
             )
-            wait_for(lambda: len(two.program.views.streams) == 2)
+            wait_for(lambda: len(two.program.subscriptions.streams) == 2)
             settle(0.3)
             assert two.program.counters["response bytes"] <= sent + 3000
 
@@ -426,7 +432,7 @@
         )
         wait_for(lambda: set(fleet.weights(proxy)) == {"s1", "s2"}, 0.5)
         fleet.holds(proxy, *ALL)
-        assert fleet.weights(proxy)["s3"] < WHOLE / 5  # cold: no more than it bears
+        assert fleet.weights(proxy)["s3"] < TOTAL_WEIGHT / 5  # cold: no more than it bears
 
 
 def test_a_load_report_without_measure_ends_its_stream_and_unknown_servers_count_for_nothing():
@@ -484,8 +490,8 @@
         fleet.list_all()
         # Told once and then held: hundreds of calls a second would move the weights while they are measured.
         service = fleet.service("", "[weights]\nevery_ms = 60000")
-        wait_for(lambda: service.program.views.known)
-        assert len(set(service.program.weights.told["plain"].weights.values())) == 3
+        wait_for(lambda: service.program.subscriptions.has_snapshot)
+        assert len(set(service.program.weights.published["plain"].weights.values())) == 3
         client = subprocess.Popen(
             [
                 sys.executable,
@@ -500,9 +506,12 @@
         try:
             wait_for(lambda: len(fleet.placed) > 400, 20)
             took = Counter(placed.server for placed in fleet.placed)
-            weights = service.program.weights.told["plain"].weights
+            weights = service.program.weights.published["plain"].weights
             share = (
-                sum(abs(took[name] / sum(took.values()) - weights[name] / WHOLE) for name in ALL)
+                sum(
+                    abs(took[name] / sum(took.values()) - weights[name] / TOTAL_WEIGHT)
+                    for name in ALL
+                )
                 / 2
             )
             assert share < 0.1 and took["s3"] < took["s2"] < took["s1"]
@@ -545,32 +554,37 @@
                 "[report]",
                 '[[listeners]]\nname = "door"\nroutes = [{ workload = "plain" }]\n[report]',
             ),
-            "listeners has a name twice",
+            "listeners has a duplicate name",
         ),
     ],
 )
 def test_a_bad_configuration_is_refused_by_its_key(change, key):
-    assert parse(GOOD.encode()).workloads
-    with pytest.raises(BadConfig) as problem:
-        parse(GOOD.replace(*change).encode())
+    assert parse_config(GOOD.encode()).workloads
+    with pytest.raises(ControlConfigError) as problem:
+        parse_config(GOOD.replace(*change).encode())
     assert key in str(problem.value)
 
 
 def test_weights_are_told_in_turn_where_they_matter_and_never_hold_a_drain():
-    weights = Weights(Settings(every=SECOND, dead_band=0.05))
-    assert weights.due(0, "w") and weights.weighed(0, "w", {"a": 0.5, "b": 0.5}, "ab")
-    assert not weights.due(SECOND - 1, "w") and weights.due(SECOND, "w")
-    assert not weights.weighed(SECOND, "w", {"a": 0.53, "b": 0.47}, "ab")  # within the dead band
-    assert weights.weighed(SECOND, "w", {"a": 0.6, "b": 0.4}, "ab")
-    assert weights.weighed(2 * SECOND, "w", {"a": 0.96, "b": 0.04}, "ab")
-    assert weights.weighed(
+    weights = WeightPublisher(WeightSettings(interval=SECOND, dead_band=0.05))
+    assert weights.may_publish(0, "w") and weights.publish(0, "w", {"a": 0.5, "b": 0.5}, "ab")
+    assert not weights.may_publish(SECOND - 1, "w") and weights.may_publish(SECOND, "w")
+    assert not weights.publish(SECOND, "w", {"a": 0.53, "b": 0.47}, "ab")  # within the dead band
+    assert weights.publish(SECOND, "w", {"a": 0.6, "b": 0.4}, "ab")
+    assert weights.publish(2 * SECOND, "w", {"a": 0.96, "b": 0.04}, "ab")
+    assert weights.publish(
         3 * SECOND, "w", {"a": 0.99, "b": 0.01}, "ab"
     )  # little of the draw, much of its own
-    assert weights.left(["b"]) == ["w"] and weights.told["w"].weights.keys() == {"a"}
-    assert weights.left(["b"]) == []
-    assert weights.weighed(4 * SECOND, "w", {"a": 0.7}, "a") and weights.told["w"].refused == 3000
-    assert weights.weighed(5 * SECOND, "w", {}, "ab") and weights.told["w"].refused == WHOLE
-    assert weights.weighed(6 * SECOND, "w", {}, "") and weights.told["w"] == ({}, 0)
+    assert weights.remove_servers(["b"]) == ["w"] and weights.published["w"].weights.keys() == {"a"}
+    assert weights.remove_servers(["b"]) == []
+    assert (
+        weights.publish(4 * SECOND, "w", {"a": 0.7}, "a") and weights.published["w"].dropped == 3000
+    )
+    assert (
+        weights.publish(5 * SECOND, "w", {}, "ab")
+        and weights.published["w"].dropped == TOTAL_WEIGHT
+    )
+    assert weights.publish(6 * SECOND, "w", {}, "") and weights.published["w"] == ({}, 0)
 
 
 def started(path):
