--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,7 @@
-"""A Host that prints what the decisions do, one short line each; and a real balancer among played peers."""
+"""Two test harnesses in virtual time: for the Balancer alone, and for a whole balancer process.
+
+Both record a trace that can be compared with a reviewed one in `tests/traces`.
+"""
 
 from __future__ import annotations
 
@@ -30,6 +33,8 @@
 
 
 class PolicyHarness:
+    """A host of one `Balancer` that records each of its actions as a line of the trace."""
+
     def __init__(self, seed: int = 7, **settings) -> None:
         self.now = 1_000 * MS
         self.trace: list[str] = []
@@ -115,7 +120,7 @@
         )
 
     def run(self, ms: int) -> None:
-        """Lets time pass: due timers fire, and probes get the answer held for their server in `auto`."""
+        """Advances time: fires due timers, and answers probes from `probe_answers`."""
         end = self.now + ms * MS
         while True:
             due = min(self.timers, default=None)
@@ -124,6 +129,7 @@
             self.timers.remove(due)
             self.now = max(self.now, due[0])
             self.balancer.timer_due(self.now, due[1])
+            # A server without an entry in `probe_answers` stays silent.
             while self.pending_probes:
                 server = self.pending_probes.pop(0)
                 answer = self.probe_answers.get(server)
@@ -134,11 +140,11 @@
         self.now = end
 
     def login(self, number: int, **fields) -> int | None:
-        """A login arrives; returns the server that it was handed to."""
-        plain = dict(
+        """Delivers a login; returns the server that it was handed to."""
+        defaults = dict(
             workload=0, tenant=0, subject=0, time_limit_at=self.now + 3200 * MS, cost=None, group=0
         )
-        self.balancer.login_arrived(self.now, Login(login=number, **(plain | fields)))
+        self.balancer.login_arrived(self.now, Login(login=number, **(defaults | fields)))
         return self.hand_offs[-1][1] if self.hand_offs and self.hand_offs[-1][0] == number else None
 
     def end_hand_off(
@@ -153,18 +159,21 @@
         self.balancer.hand_off_started(self.now, number, attempt, server, MS)
 
     def check_trace(self, name: str) -> None:
-        """The trace must equal the one kept; a missing trace is written down and fails, to be read first."""
+        """Compares the trace with the reviewed one.
+
+        If there is none yet, writes it and fails, so that it is reviewed before the next run.
+        """
         text = "\n".join(self.trace) + "\n"
-        kept = TRACES / f"{name}.txt"
-        if not kept.exists():
-            kept.parent.mkdir(exist_ok=True)
-            kept.write_text(text)
-            raise AssertionError(f"new trace {kept.name}: read it, then run again")
-        assert text == kept.read_text()
+        reviewed = TRACES / f"{name}.txt"
+        if not reviewed.exists():
+            reviewed.parent.mkdir(exist_ok=True)
+            reviewed.write_text(text)
+            raise AssertionError(f"new trace {reviewed.name}: review it, then run again")
+        assert text == reviewed.read_text()
 
 
 class VirtualPoll:
-    """Polls real sockets; when none is ready, time jumps to the next timer instead of passing."""
+    """Polls real sockets; if none is ready, advances the virtual time to the next timer."""
 
     def __init__(self, harness: BalancerHarness) -> None:
         self._harness, self._poll = harness, select.poll()
@@ -178,25 +187,31 @@
 
 
 class BalancerHarness:
-    """One real balancer in virtual time, among clients, servers and a discovery played by tasks of its scheduler."""
+    """A balancer process in virtual time, on loopback sockets.
+
+    Its clients, the servers and discovery are tasks of its own scheduler. The trace records each
+    line that clients and servers receive, and the log. `servers` gives each server's behaviour.
+    """
 
     START = 1_700_000_000_000 * MS
 
-    def __init__(self, *servers, limits=None, known=True, seed="5", more=None, **settings) -> None:
+    def __init__(
+        self, *servers, limits=None, known=True, seed="5", extra_config=None, **settings
+    ) -> None:
         self.now = self.START
         self.trace: list[str] = []
-        self.behaviour = {f"s{number}": act for number, act in enumerate(servers, 1)}
+        self.behaviour = {f"s{number}": behaviour for number, behaviour in enumerate(servers, 1)}
         self.listeners = {name: self._listener() for name in self.behaviour}
         self.ports = {name: listener.getsockname()[1] for name, listener in self.listeners.items()}
         self.discovery_listener = self._listener()
         self.discovery_count = 1
-        self.index, self.watch_response, self.waiting_watch, self.discovery_requests = (
+        self.list_version, self.watch_response, self.waiting_watch, self.discovery_requests = (
             1,
             None,
             None,
             [],
         )
-        self.probe_handler = None  # how servers answer probes, if unlike the ordinary way
+        self.probe_handler = None  # replaces the usual answer to probes
         entries = [self.list_entry(name) for name in self.behaviour]
         self.config = {
             "listen": "127.0.0.1:0",
@@ -223,12 +238,11 @@
                 },
             }
             | settings,
-        } | (more or {})
+        } | (extra_config or {})
         self.process = BalancerProcess(self.config, lambda: self.now, VirtualPoll(self))
         self.limits, self.counters = self.process.limits, self.process.counters
-        self.second_lines: list[
-            str
-        ] = []  # the lines that sum up a second; the traces hold what they sum up
+        # The log lines that summarise a second; left out of the trace, which has the events.
+        self.second_lines: list[str] = []
         self.process.log_writer.write = lambda text, always=False: (
             self.second_lines.append(text)
             if text.startswith("second: ")
@@ -242,7 +256,7 @@
         self.spawn(self._accept, self.discovery_listener, self._discovery, "")
 
     def move_discovery(self) -> None:
-        """Discovery is at a new address, which the next reload tells."""
+        """Starts a discovery at a new address and puts that into the configuration to reload."""
         self.discovery_listener = self._listener()
         self.discovery_count += 1
         self.spawn(
@@ -251,11 +265,13 @@
         self.config["discovery"] = "127.0.0.1:%d" % self.discovery_listener.getsockname()[1]
 
     def reload(self, path: Path, **changes) -> None:
+        """Writes the configuration with the changes to the path, and reloads it."""
         path.write_text(json.dumps(self.config | changes))
         os.environ["BALANCER_CONFIG"] = str(path)
         self.spawn(self.process.reload)
 
     def record(self, text: str) -> None:
+        """Adds a line to the trace, with the virtual time in ms since the start."""
         self.trace.append(f"{(self.now - self.START) // MS:>6} {text}")
 
     def run(self, ms: int) -> None:
@@ -271,12 +287,12 @@
         return {"name": name, "address": "127.0.0.1:%d" % self.ports[name], "status": status}
 
     def change_list(self, *entries: dict) -> None:
-        """Discovery tells of these to whoever watches."""
-        self.index += 1
-        self.send_list({"index": self.index, "snapshot": False, "endpoints": list(entries)})
+        """Changes entries of the server list and sends the change to the watch."""
+        self.list_version += 1
+        self.send_list({"index": self.list_version, "snapshot": False, "endpoints": list(entries)})
 
     def send_list(self, content: dict | bytes) -> None:
-        """The next answer of discovery, also to a watch that waits."""
+        """Sets the next response of discovery to a watch, and wakes one that waits."""
         self.watch_response = content
         if self.waiting_watch is not None:
             self.process.scheduler.wake(self.waiting_watch)
@@ -316,16 +332,17 @@
                     stream.write(b"PONG x0=0.2,inflight=3\r\n")
                 continue
             self.record(f"        {name} < {line}")
-            act = self.behaviour[name]
-            if callable(act):
-                act(self, stream, line)
-            elif act == "silent":
+            behaviour = self.behaviour[name]
+            if callable(behaviour):
+                behaviour(self, stream, line)
+            elif behaviour == "silent":
                 continue
-            elif act == "reset":
+            elif behaviour == "reset":
                 return stream.abort()
             elif line.startswith("OPEN"):
                 stream.write(
-                    {"up": b"UP " + name.encode(), "busy": b"BUSY", "err": b"ERR"}[act] + b"\r\n"
+                    {"up": b"UP " + name.encode(), "busy": b"BUSY", "err": b"ERR"}[behaviour]
+                    + b"\r\n"
                 )
             elif line == "quit":
                 stream.write(b"BYE\r\n")
@@ -342,7 +359,7 @@
                 continue
             self.discovery_requests.append(((self.now - self.START) // MS, line.split()[1] + name))
             content = {
-                "index": self.index,
+                "index": self.list_version,
                 "snapshot": True,
                 "endpoints": [self.list_entry(name) for name in self.behaviour],
             }
@@ -360,9 +377,11 @@
             stream.write(body)
 
     def client(self, name: str, *steps) -> None:
-        """A client that sends text, or waits so many ms; `None` ends it, `...` resets it. Prints what it gets.
+        """Starts a client and records each line that it receives.
 
-        Where it opens as 1, it bears its own name there, as no two clients may bear the same at once.
+        A step is text to send, a number of ms to wait, `None` to close the sending side, or `...`
+        to reset the connection. In `OPEN 1`, the 1 is replaced by the client's name, because the names
+        of open connections must differ.
         """
         stream = Stream.connect(("127.0.0.1", self.process.port), self.limits)
 
@@ -377,7 +396,7 @@
                 elif not stream.broken and not stream.closed:
                     stream.write(step.replace("OPEN 1 ", f"OPEN {name} ").encode())
 
-        def hear() -> None:
+        def receive() -> None:
             self.wait({stream.fd: WRITE})
             self.spawn(send)
             for line in self.read_lines(stream):
@@ -385,4 +404,4 @@
             self.record(f"{name} {'reset' if stream.broken else 'ended'}")
             stream.close()
 
-        self.spawn(hear)
+        self.spawn(receive)
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -27,7 +27,7 @@
     """A balancer that operators may call; `call` keeps status and body of an answer and when it came."""
 
     def __init__(self, *servers, **settings):
-        super().__init__(*servers, more={"admin_addr": "127.0.0.1:0"}, **settings)
+        super().__init__(*servers, extra_config={"admin_addr": "127.0.0.1:0"}, **settings)
         self.answers = {}
 
     def call(self, name, *steps):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -393,7 +393,7 @@
     ).encode()
     harness.send_list(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body[:-5]))
     harness.run(10)
-    harness.index, harness.watch_response = 2, json.loads(body)
+    harness.list_version, harness.watch_response = 2, json.loads(body)
     harness.run(300)
     for number in range(8):
         harness.client(f"c{number}", OPEN)
@@ -545,7 +545,7 @@
     harness.run(500)
     assert (
         harness.discovery_requests[-1][1].endswith(" at 2")
-        and harness.process.watch._index == harness.index
+        and harness.process.watch._index == harness.list_version
     )
 
 
