--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -75,7 +75,7 @@
         arguments: dict[str, Any],
         report_names: dict[str, str],
         measurement: tuple[MeasurementKind, int] | None,
-        zone_names: list[str],
+        localities: list[str],
         machine_types: list[str],
         settle_time: int,
         log: Callable[[str], None],
@@ -93,7 +93,7 @@
         # All workloads since the start: connections may belong to one that a reload has removed.
         self._all_workloads: list[Workload] = []
         arguments = self._prepare_arguments(
-            arguments, report_names, measurement, zone_names, machine_types
+            arguments, report_names, measurement, localities, machine_types
         )
         self._logins: dict[int, LoginHandle] = {}
         self._connection_count = 0  # logins that have become connections
@@ -132,7 +132,7 @@
         arguments: dict[str, Any],
         report_names: dict[str, str],
         measurement: tuple[MeasurementKind, int] | None,
-        zone_names: list[str],
+        localities: list[str],
         machine_types: list[str],
     ) -> None:
         """Applies the settings of a new configuration.
@@ -142,7 +142,7 @@
         self._balancer.settings_changed(
             self._scheduler.now(),
             **self._prepare_arguments(
-                arguments, report_names, measurement, zone_names, machine_types
+                arguments, report_names, measurement, localities, machine_types
             ),
         )
 
@@ -151,7 +151,7 @@
         arguments: dict[str, Any],
         report_names: dict[str, str],
         measurement: tuple[MeasurementKind, int] | None,
-        zone_names: list[str],
+        localities: list[str],
         machine_types: list[str],
     ) -> dict[str, Any]:
         """Returns the arguments for the Balancer, with stable indices.
@@ -165,7 +165,7 @@
             arguments["grouped"],
         )
         for known_indices, names in (
-            (self._zones, zone_names),
+            (self._zones, localities),
             (self._machine_types, machine_types),
         ):
             for name in names:
@@ -178,7 +178,7 @@
         zone = arguments["zone"]
         self._arguments = arguments | {
             "workloads": list(self._all_workloads),
-            "zone": self._zones[zone_names[zone]] if zone < len(zone_names) else zone,
+            "zone": self._zones[localities[zone]] if zone < len(localities) else zone,
         }
         return (
             self._arguments
