--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,7 @@
-"""The real balancer on loopback sockets in virtual time; the traces kept in tests/traces are read by people."""
+"""Tests of the network code: a balancer process on loopback sockets in virtual time, and its parts.
+
+Some compare a trace with a reviewed one in `tests/traces`.
+"""
 
 import json
 import os
@@ -23,12 +26,12 @@
     stable_id,
 )
 from corklift.net.scheduler import Scheduler
-from corklift.net.stream import LineTooLongError, RingBuffer
+from corklift.net.stream import RingBuffer
 
 OPEN = "OPEN 1 7f c=plain,d=2000,x=9\r\n"
 
 
-def test_a_login_is_placed_and_lines_pass_unchanged_both_ways():
+def test_login_is_placed_and_lines_are_forwarded_unchanged():
     harness = BalancerHarness("up")
     harness.client(
         "c1", "PING\r\n", 900, OPEN, 100, "one\r\n", 10, "two\r", 10, "\n", 10, "quit\r\n"
@@ -37,10 +40,10 @@
     harness.check_trace("life")
 
 
-def test_a_hand_off_that_fails_goes_on_and_a_refusal_is_the_last_word():
-    # The outcome decides what follows: each kind of end before UP, with one server and then with a good one.
+def test_failed_hand_off_is_retried_until_a_final_rejection():
+    # Each way in which a server can end a hand-off before UP, and a server that refuses connects.
     harness = BalancerHarness("up")
-    for act in (
+    for behaviour in (
         "busy",
         "err",
         "reset",
@@ -49,8 +52,8 @@
         lambda harness, stream, line: stream.write(b"x" * 5000),
         lambda harness, stream, line: stream.close(),
     ):
-        harness.behaviour["s1"] = act
-        harness.record(f"-- {act if isinstance(act, str) else 'garbage, or an end'}")
+        harness.behaviour["s1"] = behaviour
+        harness.record(f"-- {behaviour if isinstance(behaviour, str) else 'garbage, or an end'}")
         harness.client("c", OPEN)
         harness.run(5000)
     harness.listeners["s1"].close()
@@ -60,8 +63,8 @@
     harness.check_trace("before_up")
 
 
-def test_whether_the_last_byte_left_decides_if_it_may_have_run():
-    # A once-only login may follow a refused connect, but nothing that may have run.
+def test_once_only_login_is_retried_only_if_its_last_byte_was_not_sent():
+    # A once-only login may be retried after a refused connect, but not if it may have run.
     once = [
         {
             "name": "plain",
@@ -70,21 +73,21 @@
             "time-limit-ns": 3200 * MS,
         }
     ]
-    for act, closed, tries, answer in (
+    for behaviour, closed, attempts, answer in (
         ("reset", False, 1, "FAILED"),
         ("busy", False, 3, "BUSY"),
         ("up", True, 0, "BUSY"),
     ):
-        harness = BalancerHarness(act, workloads=once)
+        harness = BalancerHarness(behaviour, workloads=once)
         if closed:
             harness.listeners["s1"].close()
         harness.client("c", OPEN)
         harness.run(3000)
-        assert len([line for line in harness.trace if "s1 < OPEN" in line]) == tries
+        assert len([line for line in harness.trace if "s1 < OPEN" in line]) == attempts
         assert [line.split()[-1] for line in harness.trace if "c <" in line] == [answer]
 
 
-BAD = [
+BAD_FIRST_LINES = [
     "",
     "\r\n",
     "GET / HTTP/1.1\r\n",
@@ -106,26 +109,27 @@
 ]
 
 
-def test_bad_first_lines_get_one_failing_line_or_an_end_and_a_count():
+def test_bad_first_lines_are_rejected_and_counted():
     harness = BalancerHarness("up")
-    for number, text in enumerate(BAD):
+    for number, text in enumerate(BAD_FIRST_LINES):
         harness.record(
             f"-- {text[:40]!r}{f' and so on, {len(text)} long' if len(text) > 40 else ''}"
         )
         harness.client("c", text)
         harness.run(6000)
-    harness.client("c", "OPEN 1 2 c=pl", None)  # ends early
+    harness.client("c", "OPEN 1 2 c=pl", None)  # closes early
     harness.client("d", "OPEN 1 2 c=pl", ...)
-    harness.client("e", *[step for letter in OPEN for step in (letter, 250)])  # drips
+    harness.client("e", *[step for letter in OPEN for step in (letter, 250)])  # sends slowly
     harness.run(9000)
     harness.record(harness.counters.text())
     harness.check_trace("bad_input")
     assert not harness.counters["exceptions"] and len(harness.process.relay._pending) == 0
 
 
-def test_bad_clients_reach_neither_a_server_nor_the_module_and_soon_make_room():
-    # Guards against names taken twice, which servers turn down and the module counts against them, against
-    # commands by hundreds, and against a door held by those who were turned away and stay.
+def test_bad_clients_reach_no_server_and_are_disconnected_soon():
+    # Misbehaving clients use a name twice, pipeline commands, send slowly, endlessly or nothing, or
+    # stay after a rejection. Servers reject duplicate names, which would count against the servers;
+    # hundreds of such clients would use up the descriptors.
     harness = BalancerHarness("up", limits={"sockets": 256, "memory_mb": 32})
     harness.client("c1", OPEN, 9000, "still here\r\n")
     harness.run(100)
@@ -172,7 +176,7 @@
     assert harness.counters["exceptions"] == 0 and not harness.process.relay._pending
 
 
-def test_an_end_is_passed_on_the_same_way():
+def test_close_and_reset_are_forwarded():
     def reset(harness, stream, line):
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.abort()
 
@@ -180,21 +184,21 @@
         stream.write(b"UP s\r\n") if line.startswith("OPEN") else stream.shutdown_write()
 
     harness = BalancerHarness("up")
-    for what, act, steps in (
+    for what, behaviour, steps in (
         ("client ends", "up", (100, None)),
         ("client resets", "up", (100, ...)),
         ("server resets", reset, (100, "x\r\n")),
         ("server ends", fin, (100, "x\r\n")),
         ("client leaves before its answer", "silent", (100, None)),
     ):
-        harness.behaviour["s1"] = act
+        harness.behaviour["s1"] = behaviour
         harness.record(f"-- {what}")
         harness.client("c", OPEN, *steps)
         harness.run(4000)
     harness.check_trace("ends")
 
 
-def test_move_comes_between_two_lines_and_a_silent_server_is_left_in_time():
+def test_move_is_sent_between_lines_and_unresponsive_servers_are_left():
     def drip(harness, stream, line):
         stream.write(b"UP s1\r\n" if line.startswith("OPEN") else b"half a li")
 
@@ -204,7 +208,7 @@
     harness.change_list(harness.list_entry("s1", "leaving"))
     harness.run(2000)
     harness.check_trace("move_between_lines")
-    # A server that falls into garbage: its client is told to come again.
+    # A server that sends garbage: the client is told to log in again.
     harness = BalancerHarness(
         lambda harness, stream, line: stream.write(
             b"UP s1\r\n" if line.startswith("OPEN") else b"x" * 5000
@@ -213,7 +217,8 @@
     harness.client("c1", OPEN, 500, "x\r\n")
     harness.run(1500)
     assert [line[7:] for line in harness.trace if " c1 <" in line] == ["c1 < UP s1", "c1 < MOVE"]
-    # A server that accepts and stays silent: its connections, and the probes they cause, show it within 7 s.
+    # A server that accepts and never answers: its connections, and the probes that they cause,
+    # reveal it within 7 s.
     harness = BalancerHarness("up")
     harness.client("c1", OPEN, 1000, "one\r\n")
     harness.run(1800)
@@ -224,7 +229,7 @@
     assert len(moved) == 1 and 1800 < int(moved[0].split()[0]) < 8800
 
 
-def test_an_unanswered_line_on_a_server_that_still_answers_probes_moves_its_client_too():
+def test_unanswered_line_moves_the_client_although_probes_are_answered():
     def deaf(harness, stream, line):
         if line.startswith("OPEN"):
             stream.write(b"UP s1\r\n")
@@ -241,7 +246,7 @@
     ]
 
 
-def test_without_room_busy_is_answered_at_once_and_lurkers_make_room():
+def test_full_balancer_answers_busy_and_disconnects_idle_clients():
     harness = BalancerHarness("up", limits={"sockets": 36})
     assert harness.limits.clients == 5 and harness.limits.waiting == 8
     for number in range(12):
@@ -262,7 +267,7 @@
     )
 
 
-def test_pong_comes_once_it_can_serve_and_a_standing_connection_goes_to_its_server():
+def test_ping_is_answered_when_ready_and_connections_are_restored_at_their_server():
     harness = BalancerHarness("up", "up")
     harness.client("c1", "PING\r\n")
     harness.client("c2", "OPEN 5 7f c=plain,at=s2,g=a\r\n", 100, "x\r\n", 100, "quit\r\n")
@@ -271,13 +276,13 @@
     harness.check_trace("start")
 
 
-def test_told_to_stop_it_serves_on_then_moves_all_and_ends_in_time():
+def test_shutdown_accepts_briefly_then_moves_all_clients_in_time():
     harness = BalancerHarness("up")
     for number in range(1, 6):
         harness.client(f"c{number}", OPEN)
     harness.run(1000)
     harness.process.request_stop()
-    harness.client("c6", 300, OPEN)  # still comes through the front
+    harness.client("c6", 300, OPEN)  # arrives while logins are still accepted
     harness.client("c7", 700, OPEN)
     began = harness.now
     harness.process.scheduler.run()
@@ -287,7 +292,7 @@
     harness.check_trace("stop")
 
 
-def test_discovery_is_followed_and_the_known_list_outlives_its_troubles():
+def test_known_list_stays_in_force_while_discovery_is_faulty():
     harness = BalancerHarness("up", "up")
     harness.run(500)
     for answer in (
@@ -311,8 +316,8 @@
     assert {line.split()[-1] for line in harness.trace if " d" in line and "< UP" in line} == {"s2"}
 
 
-def test_a_refusal_of_discovery_leaves_list_and_connection_and_is_asked_anew_late_from_the_same_version():
-    # Guards against dozens of balancers that keep an overbooked discovery overbooked, each with the whole list.
+def test_overloaded_discovery_is_asked_late_and_for_changes_only():
+    # Dozens of balancers that request the full list at once would keep discovery overloaded.
     harness = BalancerHarness("up", "up")
     harness.run(500)
     harness.send_list(b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n")
@@ -325,7 +330,7 @@
     assert any("c1 < UP" in line for line in harness.trace)
 
 
-def test_balancers_that_start_together_ask_an_asked_discovery_one_by_one():
+def test_balancers_that_start_together_spread_their_first_calls():
     firsts = []
     for seed in range(8):
         harness = BalancerHarness("up", seed=str(seed), discovery="on_request")
@@ -336,8 +341,8 @@
     assert times[0] < 700 and 1200 < times[-1] <= 2000 and len(set(times)) == 8, times
 
 
-def test_a_discovery_that_moves_before_the_first_call_is_asked_for_the_whole_list():
-    # Guards against a version of the old discovery asked of the new one, and against an exception on the way.
+def test_full_list_is_requested_if_discovery_moves_before_the_first_call():
+    # A version number of the old discovery means nothing to the new one.
     harness = BalancerHarness("up", discovery="on_request")
     harness.run(100)
     harness.move_discovery()
@@ -351,12 +356,12 @@
     ), harness.discovery_requests
 
 
-def test_a_new_configuration_moves_the_watch_at_once_and_a_bad_one_changes_nothing(tmp_path):
-    # Guards against an end on SIGHUP, and against a watch that waits on at the old address.
+def test_reload_moves_the_watch_and_a_bad_configuration_changes_nothing(tmp_path):
+    # SIGHUP must not end the process, and the watch must not keep waiting at the old address.
     harness = BalancerHarness("up", "up")
     harness.client("c1", OPEN, 2000, "one\r\n", 5000, "two\r\n")
     harness.run(1500)
-    for number in range(3):  # also twice at once, and amid the first call there
+    for number in range(3):  # two reloads at once, also during the first call to the new address
         harness.move_discovery()
         harness.reload(tmp_path / "config")
         harness.reload(tmp_path / "config")
@@ -384,8 +389,8 @@
     assert not harness.counters["exceptions"]
 
 
-def test_an_answer_of_discovery_that_stops_short_is_asked_for_anew_at_once():
-    # Guards against logins to a server whose drain was in an answer that never became whole.
+def test_stalled_discovery_response_is_requested_again_at_once():
+    # The incomplete response has a drain; no login may go to that server meanwhile.
     harness = BalancerHarness("up", "up")
     harness.run(500)
     body = json.dumps(
@@ -402,7 +407,7 @@
     assert harness.counters["discovery failures"] == 1
 
 
-def test_new_settings_are_taken_and_open_connections_keep_their_workload(tmp_path):
+def test_reload_applies_settings_and_connections_keep_their_workload(tmp_path):
     plain = {"name": "plain", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}
     harness = BalancerHarness("up", localities=["a", "b"], zone=1)
     harness.client("c1", OPEN, 3000, "x\r\n")
@@ -421,26 +426,26 @@
     balancer = harness.process.facade._balancer
     assert [(w.name, w.importance) for w in balancer._workloads] == [("plain", 3), ("new", 1.0)]
     assert balancer._draw._zone == 1
-    harness.behaviour["s1"] = "busy"  # one hand-off only, by the new settings
+    harness.behaviour["s1"] = "busy"  # the new settings permit one hand-off only
     harness.client("c2", "OPEN 1 7f c=new,d=2000\r\n")
     harness.run(1000)
     harness.reload(
         tmp_path / "config", settings=settings | {"workloads": settings["workloads"][:1]}
     )
     harness.run(100)
-    harness.client("c3", OPEN)  # a workload that is no more
+    harness.client("c3", OPEN)  # a workload that the reload has removed
     harness.behaviour["s1"] = "up"
     harness.run(2000)
     harness.check_trace("reload_settings")
 
 
-def test_new_limits_and_a_new_address_are_taken_and_clients_stay(tmp_path):
+def test_reload_applies_limits_and_address_and_clients_stay(tmp_path):
     harness = BalancerHarness("up")
     for number in range(20):
         harness.client(f"c{number}", 100, OPEN, 2500, "still here\r\n")
     harness.run(1000)
     first = harness.process.port
-    harness.client("late", 1000, OPEN)  # connects to the old address before it is given up
+    harness.client("late", 1000, OPEN)  # connects to the old address before the reload
     harness.reload(
         tmp_path / "config", listen="127.0.0.2:0", limits={"memory_mb": 64, "sockets": 60}
     )
@@ -451,10 +456,10 @@
     assert [line.split()[-1] for line in harness.trace if "late <" in line] == ["BUSY"]
 
 
-def test_probes_use_one_connection_again_and_outlive_an_idle_end_and_garbage():
+def test_probe_connection_is_reused_and_replaced_after_close_or_garbage():
     seen = []
 
-    def once(stream):  # answers one probe, each third with garbage, then ends the connection
+    def once(stream):  # answers one probe, every third one with garbage, and closes
         seen.append(stream)
         stream.write(b"PONG x0=0.2,inflight=3\r\n" if len(seen) % 3 else b"PONG x0=lots\r\n")
         stream.shutdown_write()
@@ -474,7 +479,7 @@
     assert harness.counters["probe connections"] <= len(seen) + 2
 
 
-def test_more_servers_than_connections_for_probes_are_all_probed():
+def test_all_servers_are_probed_with_fewer_connections_than_servers():
     harness, seen = BalancerHarness(*["up"] * 12, limits={"sockets": 64}), set()
     assert harness.limits.probes == 8
     real = harness.process.facade.probe_finished
@@ -490,7 +495,7 @@
     assert len(harness.process.probes._tasks) <= harness.limits.probes + 1
 
 
-def test_an_exception_ends_its_connection_alone():
+def test_exception_ends_only_its_connection():
     harness = BalancerHarness("up")
     harness.client("c1", OPEN, 1000, "x\r\n")
     harness.run(500)
@@ -509,8 +514,8 @@
     assert len(harness.process.facade._logins) == 1
 
 
-def test_what_all_connections_live_on_outlives_an_exception():
-    # Guards against a defect in one tick, probe or list that stops all later ones.
+def test_background_tasks_survive_exceptions():
+    # An exception in one timer, probe or list update must not stop all later ones.
     harness = BalancerHarness("up", "up")
     harness.run(1000)
     facade = harness.process.facade
@@ -532,7 +537,7 @@
     harness.client("c1", OPEN)
     harness.run(500)
     assert harness.counters["exceptions"] == 3 and harness.trace[-1].endswith("c1 < UP s2")
-    # A new address for discovery while its watch has just failed.
+    # Discovery moves just after the watch has failed.
     real = facade.apply_listing
     facade.apply_listing = lambda *arguments: 1 / 0
     harness.change_list(harness.list_entry("s1"))
@@ -549,10 +554,10 @@
     )
 
 
-# Parts on their own
+# Single components
 
 
-def test_a_ring_holds_its_bytes_in_order_whatever_the_sizes():
+def test_ring_buffer_keeps_the_order_of_bytes():
     rng = Random(3)
     ring, model = RingBuffer(50), b""
     for step in range(3000):
@@ -565,9 +570,9 @@
         model = model[number:]
 
 
-def test_an_answer_of_discovery_is_read_alike_in_any_split():
+def test_http_response_is_parsed_independently_of_its_split():
     body = b'{"index":3,"snapshot":true,"endpoints":[]}'
-    answers = [
+    responses = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body,
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n10;x=1\r\n"
         + body[:16]
@@ -577,18 +582,18 @@
         b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 42\r\n\r\n" + body,
     ]
     rng = Random(1)
-    for whole in answers:
+    for response_bytes in responses:
         for _ in range(50):
-            answer, at = HttpResponse(1000), 0
-            while not answer.done:
+            response, offset = HttpResponse(1000), 0
+            while not response.done:
                 step = rng.randrange(1, 9)
-                answer.feed(whole[at : at + step])
-                at += step
-            assert answer.json() == json.loads(body) and answer.keep_alive
-    answer = HttpResponse(1000)
-    answer.feed(b"HTTP/1.0 200 OK\r\n\r\n" + body)
-    answer.connection_closed()
-    assert answer.json()["index"] == 3 and not answer.keep_alive
+                response.feed(response_bytes[offset : offset + step])
+                offset += step
+            assert response.json() == json.loads(body) and response.keep_alive
+    response = HttpResponse(1000)
+    response.feed(b"HTTP/1.0 200 OK\r\n\r\n" + body)
+    response.connection_closed()
+    assert response.json()["index"] == 3 and not response.keep_alive
     for bad in (
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n",
@@ -605,16 +610,16 @@
         cut.connection_closed()
 
 
-def test_a_first_line_goes_on_unchanged_but_for_the_time_left():
+def test_login_request_is_forwarded_with_the_remaining_time_only_changed():
     line = b"OPEN 9b1f dd=5 c=plain,pd=1,d=2000,g=5c\r\n"
-    first = parse_login_request(line)
-    assert (first.workload, first.max_wait, first.subject, first.group) == (
+    request = parse_login_request(line)
+    assert (request.workload, request.max_wait, request.subject, request.group) == (
         "plain",
         2000 * MS,
         "dd=5",
         "5c",
     )
-    assert first.with_time_limit(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
+    assert request.with_time_limit(1234 * MS + 5) == b"OPEN 9b1f dd=5 c=plain,pd=1,d=1234,g=5c\r\n"
     assert (
         parse_login_request(b"OPEN 1 2 d=7,c=a,again=1\r\n").with_time_limit(MS)
         == b"OPEN 1 2 d=1,c=a,again=1\r\n"
@@ -627,7 +632,7 @@
     )
 
 
-def test_names_give_the_same_number_everywhere_and_two_names_never_the_same():
+def test_server_ids_are_stable_and_unique():
     assert stable_id("s-5be2a07c") == stable_id("5be2a07c") == 0x5BE2A07C and stable_id(
         "here"
     ) == stable_id("here")
@@ -642,13 +647,13 @@
         facade.apply_listing(
             Scope.FULL, parse_listing({"index": 1, "snapshot": True, "endpoints": entries})
         )
-    places = [facade.find_server(entry["name"]) for entry in entries]
-    assert [target.address[1] for target in places] == [1, 2, 3] and len(
-        {target.server for target in places}
+    targets = [facade.find_server(entry["name"]) for entry in entries]
+    assert [target.address[1] for target in targets] == [1, 2, 3] and len(
+        {target.server for target in targets}
     ) == 3
 
 
-def test_a_list_that_can_not_be_read_takes_no_server_away():
+def test_unreadable_list_entries_remove_no_server():
     good = {"name": "s1", "address": "127.0.0.1:1", "status": "active", "since_ms": 5}
     for change in (
         {"address": "here"},
@@ -669,7 +674,7 @@
     )
 
 
-def test_timers_that_are_void_do_not_pile_up_and_a_wake_up_is_not_lost():
+def test_void_timers_are_purged_and_wake_ups_are_not_lost():
     harness = BalancerHarness()
     scheduler = Scheduler(lambda: harness.now, harness.record, None)
     scheduler._poll = harness.process.scheduler._poll
@@ -689,7 +694,7 @@
     assert len(seen) == 5000 and len(scheduler._timers) < 2500
 
 
-def test_a_log_flood_is_dropped_and_counted(capsys):
+def test_log_lines_beyond_the_rate_are_dropped_and_counted(capsys):
     now = [0]
     counters = Counters()
     limits = Limits.from_deployment(
@@ -708,7 +713,7 @@
     assert lines[-1] == f"corklift: later ({1000 - limits.printed} lines before this were dropped)"
 
 
-def test_limits_leave_room_for_probes_and_refuse_what_serves_nobody():
+def test_limits_reserve_probe_descriptors_and_reject_impossible_values():
     for sockets, memory in ((36, 64), (1024, 192), (20000, 192), (400, 16)):
         limits = Limits.from_deployment(
             {"sockets": sockets, "memory_mb": memory}, 200 * MS, 12, 3200 * MS, 10_000 * MS, False
@@ -731,7 +736,7 @@
             )
 
 
-def balancer(tmp_path, config, wait=None) -> subprocess.CompletedProcess:
+def run_balancer(tmp_path, config, interact=None) -> subprocess.CompletedProcess:
     path = tmp_path / "config.json"
     path.write_text(config if isinstance(config, str) else json.dumps(config))
     process = subprocess.Popen(
@@ -741,8 +746,8 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    if wait:
-        wait(process)
+    if interact:
+        interact(process)
     return process.wait(timeout=20), process.stderr.read()
 
 
@@ -782,13 +787,13 @@
         ({"settings": CONFIG["settings"] | {"rules": {"cold-from": "x"}}}, "cold-from"),
     ],
 )
-def test_bad_settings_end_it_with_a_line_that_names_the_key(tmp_path, change, key):
-    code, said = balancer(tmp_path, change if isinstance(change, str) else CONFIG | change)
-    assert code not in (0, None) and key in said and said.count("\n") == 1
+def test_bad_settings_exit_with_a_line_that_names_the_key(tmp_path, change, key):
+    code, stderr = run_balancer(tmp_path, change if isinstance(change, str) else CONFIG | change)
+    assert code not in (0, None) and key in stderr and stderr.count("\n") == 1
 
 
-def test_signals_print_the_counters_and_end_it(tmp_path):
-    def signals(process):
+def test_signals_print_the_counters_and_stop_the_process(tmp_path):
+    def send_signals(process):
         assert process.stderr.readline().startswith("corklift: discovery: Gone")
         for _ in range(3):
             process.send_signal(signal.SIGHUP)
@@ -798,19 +803,19 @@
             line = process.stderr.readline()
         process.send_signal(signal.SIGTERM)
 
-    code, said = balancer(tmp_path, CONFIG, signals)
+    code, stderr = run_balancer(tmp_path, CONFIG, send_signals)
     assert (
         code == 0
-        and "told to stop" in said
-        and said.splitlines()[-1].startswith("corklift: counters: ")
+        and "told to stop" in stderr
+        and stderr.splitlines()[-1].startswith("corklift: counters: ")
     )
 
 
-# Decisions that sockets asked for
+# Decisions that the network code depends on
 
 
-def test_a_line_that_brings_nothing_back_has_its_server_probed_at_once():
-    # Guards against a silent server that is found only by its next ordinary probe, up to 2 s later.
+def test_unanswered_line_causes_an_immediate_probe():
+    # Otherwise only the next regular probe, up to 2 s later, would reveal an unresponsive server.
     harness = PolicyHarness()
     harness.list_servers(1, 2)
     harness.probe_answers = {1: Report(5, 0.2), 2: Report(5, 0.2)}
@@ -820,46 +825,45 @@
     server = harness.balancer._registry.servers[2]
     while harness.balancer._load_reports.is_recent(harness.now, server):
         harness.run(10)
-    asked = len(harness.pending_probes)
-    harness.balancer.measurement_received(
-        harness.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS
-    )  # a note alone does not
-    assert len(harness.pending_probes) == asked
+    probe_count = len(harness.pending_probes)
+    # A measurement alone causes no probe.
+    harness.balancer.measurement_received(harness.now, 9, 0, 2, MeasurementKind.DELAY, 400 * MS)
+    assert len(harness.pending_probes) == probe_count
     harness.balancer.message_unanswered(harness.now, 2)
-    harness.balancer.message_unanswered(harness.now, 2)  # one answer at a time is waited for
-    assert harness.pending_probes[asked:] == [2]
+    harness.balancer.message_unanswered(harness.now, 2)  # at most one probe at a time
+    assert harness.pending_probes[probe_count:] == [2]
 
 
-def test_a_balancer_without_logins_yet_probes_all():
-    # Guards against a start on sockets with one count: no login yet tells nothing of their rate.
-    harness, asked = PolicyHarness(probe_price=0.01, balancers=2), set()
-    harness.probe = lambda server: (asked.add(server), harness.pending_probes.append(server))
+def test_balancer_without_logins_probes_all_servers():
+    # Without logins their rate is unknown; probing a single server would leave the others unknown.
+    harness, probed = PolicyHarness(probe_price=0.01, balancers=2), set()
+    harness.probe = lambda server: (probed.add(server), harness.pending_probes.append(server))
     harness.list_servers(1, 2, 3)
     harness.run(1000)
-    assert asked == {1, 2, 3}
-    # What stood at the start tells the rate as soon as it is up: here it pays for probes of some only.
+    assert probed == {1, 2, 3}
+    # Restored connections give a first rate, which justifies probes of some servers only.
     harness.balancer.connection_resumed(harness.now, Login(9, 0, 0, 0, 0, None, 0), 2)
     harness.run(150)
     assert harness.trace == ["  1058 log: probing some of 3 servers"]
 
 
-@pytest.mark.parametrize("told", [b"PONG x0=0,inflight=0\r\n", b"PONG x0=0,inflight=13\r\n"])
-def test_reports_of_nothing_count_only_once_what_stood_has_come_up(told):
-    # Guards against a start that takes servers for empty or idle, though connections there are only coming up.
-    harness, taken = BalancerHarness("up", "up"), []
-    harness.probe_handler = lambda stream: stream.write(told)
+@pytest.mark.parametrize("report", [b"PONG x0=0,inflight=0\r\n", b"PONG x0=0,inflight=13\r\n"])
+def test_zero_reports_are_ignored_until_connections_are_restored(report):
+    # After a start, servers would look empty or idle while their connections are being restored.
+    harness, reports = BalancerHarness("up", "up"), []
+    harness.probe_handler = lambda stream: stream.write(report)
     real = harness.process.facade._balancer.probe_answered
-    harness.process.facade._balancer.probe_answered = lambda *told: (
-        taken.append((told[0], told[-1])),
-        real(*told),
+    harness.process.facade._balancer.probe_answered = lambda *arguments: (
+        reports.append((arguments[0], arguments[-1])),
+        real(*arguments),
     )
     harness.client("c1", 1500, "OPEN 5 7f c=plain,at=s2\r\n")
     harness.run(6000)
-    known = [at for at, report in taken if report is not None]
-    assert taken and known and min(known) >= harness.START + 3000 * MS
+    accepted_at = [at for at, result in reports if result is not None]
+    assert reports and accepted_at and min(accepted_at) >= harness.START + 3000 * MS
 
 
-def test_a_task_that_ends_leaves_the_wait_of_the_task_that_spawned_it_alone():
+def test_end_of_a_task_does_not_wake_its_parent():
     now, seen, problems = [0], [], []
 
     class Poll:
