--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,4 @@
-"""Operators' calls: the parser in any split, the desk's answers, a door that others can't hold, and the figures' truth."""
+"""Tests of the operators' HTTP endpoint, of operator overrides and of reloads."""
 
 import json
 from random import Random
@@ -14,23 +14,27 @@
 OPEN = "OPEN 1 7f c=plain,d=2000,x=9\r\n"
 
 
-def post(path, content, head=""):
+def format_post(path, content, head=""):
     body = content if isinstance(content, str) else json.dumps(content)
     return f"POST {path} HTTP/1.1\r\nHost: x\r\n{head}Content-Length: {len(body)}\r\n\r\n{body}"
 
 
-def get(path, method="GET"):
+def format_get(path, method="GET"):
     return f"{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-class Operated(BalancerHarness):
-    """A balancer that operators may call; `call` keeps status and body of an answer and when it came."""
+class AdminHarness(BalancerHarness):
+    """A balancer with an operators' endpoint.
+
+    `answers` has the status, body and time in ms of each response, by the name of the call.
+    """
 
     def __init__(self, *servers, **settings):
         super().__init__(*servers, extra_config={"admin_addr": "127.0.0.1:0"}, **settings)
         self.answers = {}
 
     def call(self, name, *steps):
+        """Starts a request; a step is text to send or a number of ms to wait."""
         stream = Stream.connect(("127.0.0.1", self.process.admin_port), self.limits)
 
         def run():
@@ -40,13 +44,13 @@
                     self.sleep(step * MS)
                 elif not stream.broken:
                     stream.write(step.encode())
-            got = b""
+            received = b""
             while not stream.peer_closed and not stream.broken:
                 self.wait({stream.fd: READ})
                 stream.receive()
-                got += stream.receive_buffer.read(len(stream.receive_buffer))
+                received += stream.receive_buffer.read(len(stream.receive_buffer))
             stream.close()
-            head, _, body = got.partition(b"\r\n\r\n")
+            head, _, body = received.partition(b"\r\n\r\n")
             self.answers[name] = (
                 int(head.split()[1]) if head else 0,
                 body.decode(),
@@ -56,37 +60,39 @@
         self.spawn(run)
 
     def ask(self, text, ms=50):
+        """Sends a request and returns the status and body of its response."""
         self.call("ask", text)
         self.run(ms)
         return self.answers.pop("ask")[:2]
 
-    def figures(self):
-        status, text = self.ask(get("/admin/stats"))
+    def stats(self):
+        status, text = self.ask(format_get("/admin/stats"))
         assert status == 200
         return {
             line.split(":")[0]: int(line.split(":")[1].split("|")[0]) for line in text.splitlines()
         }
 
 
-def test_a_call_is_read_alike_in_any_split():
-    whole = [
-        post("/admin/cordon", {"member": "s1"}).encode(),
-        get("/admin/stats?x=1").encode(),
-        b'POST /admin/cordon HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{"mem\r\nb\r\nber": "s1"}\r\n0\r\n\r\n',
+def test_request_is_parsed_independently_of_its_split():
+    requests = [
+        format_post("/admin/cordon", {"member": "s1"}).encode(),
+        format_get("/admin/stats?x=1").encode(),
+        b"POST /admin/cordon HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+        b'5\r\n{"mem\r\nb\r\nber": "s1"}\r\n0\r\n\r\n',
     ]
     rng, seen = Random(1), set()
-    for content in whole:
+    for content in requests:
         for _ in range(50):
-            call, at = HttpRequest(1000), 0
-            while not call.done:
+            request, offset = HttpRequest(1000), 0
+            while not request.done:
                 step = rng.randrange(1, 9)
-                call.feed(content[at : at + step])
-                at += step
+                request.feed(content[offset : offset + step])
+                offset += step
             seen.add(
                 (
-                    call.method,
-                    call.path,
-                    json.dumps(call.json_object()) if call.method == "POST" else "",
+                    request.method,
+                    request.path,
+                    json.dumps(request.json_object()) if request.method == "POST" else "",
                 )
             )
     assert seen == {("POST", "/admin/cordon", '{"member": "s1"}'), ("GET", "/admin/stats", "")}
@@ -101,62 +107,64 @@
             HttpRequest(1000).feed(bad)
 
 
-def test_each_call_has_its_answer_and_one_that_is_wrong_changes_nothing():
-    harness = Operated("up", "up")
-    assert harness.ask(get("/admin/health"))[0] == 503  # no list and no count has come
+def test_each_request_is_answered_and_bad_ones_change_nothing():
+    harness = AdminHarness("up", "up")
+    assert harness.ask(format_get("/admin/health"))[0] == 503  # neither a list nor a count yet
     harness.run(2000)
-    assert harness.ask(get("/admin/health"))[0] == 200
+    assert harness.ask(format_get("/admin/health"))[0] == 200
     for text, status in (
-        (get("/admin"), 404),
-        (get("/admin/cordon"), 405),
-        (get("/admin/health", "POST"), 405),
-        (post("/admin/cordon", "{"), 400),
-        (post("/admin/cordon", {"member": 3}), 400),
-        (post("/admin/cordon", ["s1"]), 400),
-        (post("/admin/cordon", {"member": "nobody"}), 404),
-        (post("/admin/uncordon", {"member": "nobody"}), 404),
+        (format_get("/admin"), 404),
+        (format_get("/admin/cordon"), 405),
+        (format_get("/admin/health", "POST"), 405),
+        (format_post("/admin/cordon", "{"), 400),
+        (format_post("/admin/cordon", {"member": 3}), 400),
+        (format_post("/admin/cordon", ["s1"]), 400),
+        (format_post("/admin/cordon", {"member": "nobody"}), 404),
+        (format_post("/admin/uncordon", {"member": "nobody"}), 404),
         (OPEN + "\r\n", 400),
         (
-            post("/admin/cordon", "", "Content-Length: 20000\r\n").replace(
+            format_post("/admin/cordon", "", "Content-Length: 20000\r\n").replace(
                 "Content-Length: 0\r\n", ""
             ),
             413,
         ),
         ("PING\r\n\r\n", 400),
-        (post("/admin/cordon", {"member": "s1"}), 200),
-        (post("/admin/uncordon", {"member": "s2"}), 200),
+        (format_post("/admin/cordon", {"member": "s1"}), 200),
+        (format_post("/admin/uncordon", {"member": "s2"}), 200),
     ):
         assert harness.ask(text)[0] == status, text
-    assert harness.figures()["app.servers_excluded"] == 1
-    harness.client("c1", get("/admin/health"))  # and clients' door does not know calls
+    assert harness.stats()["app.servers_excluded"] == 1
+    harness.client("c1", format_get("/admin/health"))  # clients' sockets serve no HTTP
     harness.run(100)
     assert [line[7:] for line in harness.trace if " c1" in line] == ["c1 < ERR", "c1 ended"]
 
 
-def test_callers_who_hold_their_connection_delay_nobody_and_lose_it():
-    harness = Operated("up", limits={"sockets": 256})
+def test_idle_operator_connections_are_closed_and_delay_no_other():
+    harness = AdminHarness("up", limits={"sockets": 256})
     for number in range(60):
         harness.call(
             f"mute{number}",
-            *([post("/admin/cordon", {"member": "s1"})[:40]] if number % 2 else []),
+            *([format_post("/admin/cordon", {"member": "s1"})[:40]] if number % 2 else []),
             4000,
         )
     harness.call(
         "hesitant",
-        post("/admin/cordon", "", "Expect: 100-continue\r\n").replace("Length: 0", "Length: 15"),
+        format_post("/admin/cordon", "", "Expect: 100-continue\r\n").replace(
+            "Length: 0", "Length: 15"
+        ),
         100,
         '{"member":"s1"}',
     )
     harness.run(2000)
-    began = harness.now
+    started_at = harness.now
     for number in range(20):
-        harness.call(f"good{number}", get("/admin/health"))
+        harness.call(f"good{number}", format_get("/admin/health"))
         harness.run(20)
     assert all(harness.answers[f"good{number}"][0] == 200 for number in range(20))
     assert (
         max(harness.answers[f"good{number}"][2] for number in range(20)) * MS
         + harness.START
-        - began
+        - started_at
         < 500 * MS
     )
     harness.run(8000)
@@ -168,10 +176,14 @@
     )
 
 
-def test_the_figures_are_those_of_what_happened_however_connections_end():
-    # Random histories: each kind of server, clients that leave at any step, a crowd beyond what can be held.
+def test_statistics_match_the_events_however_connections_end():
+    # Random histories: every server behaviour, clients that leave at any step, and more clients
+    # than the balancer can serve.
     for seed in range(4):
-        rng, harness = Random(seed), Operated("up", "up", limits={"sockets": 90, "memory_mb": 64})
+        rng, harness = (
+            Random(seed),
+            AdminHarness("up", "up", limits={"sockets": 90, "memory_mb": 64}),
+        )
         harness.run(2000)
         for number in range(70):
             harness.behaviour["s1"] = rng.choice(["up", "busy", "err", "reset", "silent"])
@@ -192,13 +204,12 @@
                 *end,
             )
             harness.run(rng.randrange(150))
-            held = len(
-                harness.process.relay._active_names
-            )  # with those whose end is still seen out
-            assert held - 6 <= harness.process.relay.in_flight <= held
+            # Includes clients whose connections are just being closed.
+            client_count = len(harness.process.relay._active_names)
+            assert client_count - 6 <= harness.process.relay.in_flight <= client_count
         harness.run(4000)
-        got, said = (
-            harness.figures(),
+        stats, answers = (
+            harness.stats(),
             [
                 line.split(" < ")[1].split()[0]
                 for line in harness.trace
@@ -206,10 +217,10 @@
             ],
         )
         left = harness.counters["logins left by their client"]
-        assert got["app.served.plain"] - said.count("UP") in range(left + 3)
-        assert 0 <= got["app.refused.plain"] - said.count("BUSY") <= 2
-        assert -left <= got["app.failed.plain"] - said.count("FAILED") <= 2
-        assert got["app.attempts"] == len(
+        assert stats["app.served.plain"] - answers.count("UP") in range(left + 3)
+        assert 0 <= stats["app.refused.plain"] - answers.count("BUSY") <= 2
+        assert -left <= stats["app.failed.plain"] - answers.count("FAILED") <= 2
+        assert stats["app.attempts"] == len(
             [
                 line
                 for line in harness.trace
@@ -221,15 +232,15 @@
         assert harness.process.relay.in_flight == 0 and not harness.counters["exceptions"]
 
 
-def test_a_server_taken_out_gets_nothing_until_it_is_put_back_whatever_the_list_says():
-    harness = Operated("up", "up")
+def test_server_out_of_service_gets_no_logins_whatever_the_list_says():
+    harness = AdminHarness("up", "up")
     harness.run(2000)
     for number in range(6):
         harness.client(f"c{number}", OPEN)
     harness.run(200)
     assert {line.split()[-1] for line in harness.trace if "< UP" in line} == {"s1", "s2"}
-    assert harness.ask(post("/admin/cordon", {"member": "s1"}))[0] == 200
-    assert harness.ask(post("/admin/cordon", {"member": "s1"}))[0] == 200
+    assert harness.ask(format_post("/admin/cordon", {"member": "s1"}))[0] == 200
+    assert harness.ask(format_post("/admin/cordon", {"member": "s1"}))[0] == 200
     harness.run(300)
     assert any("< MOVE" in line for line in harness.trace)
     harness.trace.clear()
@@ -237,7 +248,7 @@
     for change in ("leaving", "active", "left", "active"):
         harness.change_list(harness.list_entry("s1", change))
         harness.run(1500)
-        assert len(probes) == 1  # it is not probed either
+        assert len(probes) == 1  # s1 is not probed either
         for number in range(4):
             harness.client(f"{change}{number}", OPEN)
         harness.run(300)
@@ -245,10 +256,9 @@
     harness.run(100)
     assert {line.split()[-1] for line in harness.trace if "< UP" in line} == {"s2"}
     assert (
-        harness.figures()["app.servers_known"] == 1
-        and harness.figures()["app.servers_excluded"] == 0
+        harness.stats()["app.servers_known"] == 1 and harness.stats()["app.servers_excluded"] == 0
     )
-    assert harness.ask(post("/admin/uncordon", {"member": "s1"}))[0] == 200
+    assert harness.ask(format_post("/admin/uncordon", {"member": "s1"}))[0] == 200
     harness.change_list(harness.list_entry("s1"))
     harness.run(1500)
     assert (
@@ -260,15 +270,15 @@
         harness.run(300)
     assert {line.split()[-1] for line in harness.trace if "< UP" in line} == {"s1", "s2"}
     for name in ("s1", "s2"):
-        assert harness.ask(post("/admin/cordon", {"member": name}))[0] == 200
+        assert harness.ask(format_post("/admin/cordon", {"member": name}))[0] == 200
     harness.trace.clear()
     harness.client("last", OPEN)
     harness.run(50)
     assert [line.split()[-1] for line in harness.trace if " last < " in line] == ["BUSY"]
 
 
-def test_a_hand_off_on_its_way_is_not_written_to_a_server_taken_out_meanwhile():
-    harness = Operated("up")
+def test_hand_off_is_not_sent_to_a_server_taken_out_of_service_during_the_connect():
+    harness = AdminHarness("up")
     harness.run(2000)
     real = harness.process.facade.accepts_logins
     harness.process.facade.accepts_logins = lambda server: (
@@ -282,8 +292,9 @@
     assert harness.counters["hand-offs not sent"] == 1 and not harness.counters["hand-offs written"]
 
 
-def test_clients_of_a_server_taken_out_move_one_by_one_within_a_second():
-    # Guards against a flood at the others where no server forces it: all at once when discovery says so, evenly by hand.
+def test_clients_of_a_server_taken_out_of_service_move_evenly_within_a_second():
+    # A drain by discovery moves all clients at once. An operator's override is not urgent, so the
+    # moves are spread to spare the other servers a flood.
     harness = PolicyHarness()
     harness.list_servers(1)
     for number in range(1, 6):
@@ -297,7 +308,7 @@
     assert [at - moves[0] for at in moves] == [0, 200, 400, 600, 800]
 
 
-def test_a_server_put_back_is_cold_by_the_start_that_is_known_or_else_by_its_return():
+def test_restored_server_is_cold_since_its_known_start_or_else_its_return():
     for restart, listed_late, cold_for in (
         (None, False, 9000),
         (500, False, 7500),
@@ -331,10 +342,10 @@
         assert balancer.known_and_excluded_servers(harness.now) == (2, 0)
 
 
-def test_a_file_that_lacks_a_key_or_holds_an_impossible_value_changes_nothing_and_is_counted(
+def test_configuration_with_a_missing_key_or_bad_value_is_rejected_and_counted(
     tmp_path,
 ):
-    harness = Operated("up", "up")
+    harness = AdminHarness("up", "up")
     settings, file = harness.config["settings"], tmp_path / "config"
     plain = settings["workloads"][0]
     new = settings | {"workloads": [plain, plain | {"name": "new", "effect": "side_effect"}]}
@@ -347,12 +358,12 @@
 
     harness.reload(file, settings=new)
     harness.run(100)
-    before = harness.figures()
+    before = harness.stats()
     assert before["app.reloads_ok"] == 1 and before["app.served.new"] == 0
-    whole = json.dumps(harness.config | {"settings": new})
+    config_text = json.dumps(harness.config | {"settings": new})
     for bad in (
         "",
-        whole[:-9],
+        config_text[:-9],
         *(
             json.dumps(harness.config | {"settings": settings | change})
             for change in (
@@ -391,7 +402,7 @@
             )
         )
     after, refused = (
-        harness.figures(),
+        harness.stats(),
         2 + len(plain) + len(harness.config) - 1 + len(settings) + 12,
     )
     assert (
@@ -407,22 +418,22 @@
         7,
     ):
         reload(json.dumps(harness.config | {"settings": new | {"goal": goal}}))
-    assert harness.figures()["app.reloads_failed"] == refused + 5
+    assert harness.stats()["app.reloads_failed"] == refused + 5
     reload(
         json.dumps(
             harness.config | {"settings": new | {"goal": {"nines-part": 0.2, "top-nines": 3}}}
         )
     )
-    assert harness.figures()["app.reloads_ok"] == 2
-    harness.client("c1", "OPEN 1 7f c=new,d=2000\r\n")  # the settings before stay in force
+    assert harness.stats()["app.reloads_ok"] == 2
+    harness.client("c1", "OPEN 1 7f c=new,d=2000\r\n")  # the earlier settings stay in force
     harness.run(100)
     assert any("c1 < UP" in line for line in harness.trace)
 
 
-def test_a_login_under_way_keeps_its_workload_and_fewer_hand_offs_bind_at_once(tmp_path):
-    # A once-only login stays once-only, a repeatable one repeatable, though the class changes under it; one whose class
-    # vanished is answered at once.
-    harness = Operated("busy", limits={"memory_mb": 64, "sockets": 400})
+def test_reload_keeps_the_workload_of_pending_logins_and_limits_hand_offs_at_once(tmp_path):
+    # A pending login keeps the effect that its workload had on arrival, although the reload changes
+    # it. A new login with a removed workload is rejected at once.
+    harness = AdminHarness("busy", limits={"memory_mb": 64, "sockets": 400})
     settings = harness.config["settings"]
     plain = settings["workloads"][0] | {"effect": "pure"}
     once = plain | {"name": "once", "effect": "side_effect"}
@@ -460,4 +471,4 @@
         ["few", "<", "BUSY"],
     ]
     assert len([line for line in harness.trace if "s1 < OPEN" in line]) == 1
-    assert harness.figures()["app.failed.once"] == 2
+    assert harness.stats()["app.failed.once"] == 2
