--- a/tests/harness.py
+++ b/tests/harness.py
@@ -40,7 +40,8 @@
         self.trace: list[str] = []
         self.hand_offs: list[tuple[int, int]] = []
         self.timers: list[tuple[int, int]] = []
-        self.probe_answers: dict[int, Report | Outcome] = {}
+        # The automatic answer to each probe of a server; a failed probe is given by its outcome.
+        self.auto: dict[int, Report | Outcome] = {}
         self.pending_probes: list[int] = []
         defaults = dict(
             zone=0,
@@ -120,7 +121,7 @@
         )
 
     def run(self, ms: int) -> None:
-        """Advances time: fires due timers, and answers probes from `probe_answers`."""
+        """Advances time: fires due timers, and answers probes from `auto`."""
         end = self.now + ms * MS
         while True:
             due = min(self.timers, default=None)
@@ -129,10 +130,10 @@
             self.timers.remove(due)
             self.now = max(self.now, due[0])
             self.balancer.timer_due(self.now, due[1])
-            # A server without an entry in `probe_answers` stays silent.
+            # A server without an entry in `auto` stays silent.
             while self.pending_probes:
                 server = self.pending_probes.pop(0)
-                answer = self.probe_answers.get(server)
+                answer = self.auto.get(server)
                 if isinstance(answer, Report):
                     self.balancer.probe_answered(self.now, server, MS, Outcome.FULFILLED, answer)
                 elif answer is not None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -319,7 +319,7 @@
             workloads=[Workload("plain", 1.0, 800 * MS, 3200 * MS)],
         )
         harness.list_servers(1, 2)
-        harness.probe_answers = {1: Report(5, 0.2), 2: Report(5, 0.2)}
+        harness.auto = {1: Report(5, 0.2), 2: Report(5, 0.2)}
         harness.run(3000)
         harness.balancer.take_out_of_service(harness.now, 1)
         assert harness.login(1) == 2
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -26,7 +26,7 @@
     """A scene with servers 1, 2, ... that report these counts, after 1.5 s."""
     harness = PolicyHarness(**settings)
     harness.list_servers(*range(1, len(counts) + 1))
-    harness.probe_answers = {server: Report(count=n) for server, n in enumerate(counts, 1)}
+    harness.auto = {server: Report(count=n) for server, n in enumerate(counts, 1)}
     harness.run(1500)
     return harness
 
@@ -52,7 +52,7 @@
     assert {harness.login(n) for n in range(1, 30)} == {1, 2}
     harness = harness_with_counts(0, 9)
     # Server 1 answers without a report, so its count ages.
-    harness.probe_answers[1] = Outcome.FULL
+    harness.auto[1] = Outcome.FULL
     harness.run(4500)
     assert {harness.login(n) for n in range(1, 30)} == {2}
 
@@ -134,9 +134,9 @@
     held = next(n for n in range(1, 50) if harness.login(n) == 2)
     harness.open_connection(held)
     harness.trace.clear()
-    harness.probe_answers[2] = Outcome.TIMED_OUT
+    harness.auto[2] = Outcome.TIMED_OUT
     harness.run(4000)
-    harness.probe_answers[2] = Report(count=0)
+    harness.auto[2] = Report(count=0)
     harness.run(2000)
     assert [harness.login(n) for n in range(100, 140)].count(2) <= 2
     harness.trace = [line for line in harness.trace if "hand off" not in line]
@@ -147,7 +147,7 @@
     harness = PolicyHarness()
     harness.list_servers(1)
     harness.list_servers(2, scope=Scope.DELTA, started_at=harness.now)
-    harness.probe_answers = {1: Report(60, 0.6), 2: Report(0, 0.0)}
+    harness.auto = {1: Report(60, 0.6), 2: Report(0, 0.0)}
     harness.run(1500)
     sent = [harness.login(n) for n in range(1, 60)]
     assert 1 <= sent.count(2) <= 8
@@ -159,7 +159,7 @@
     for number in range(1, 21):
         harness.login(number)
         harness.open_connection(number)
-    harness.probe_answers = {1: Report(10, 1.2), 2: Report(10, 1.1)}
+    harness.auto = {1: Report(10, 1.2), 2: Report(10, 1.1)}
     harness.trace.clear()
     harness.run(3000)
     assert harness.login(99) is None
@@ -184,7 +184,7 @@
             harness.now, Login(number, 0, 0, 0, 0, None, group), 3 - number % 3
         )
     assert {harness.login(n, group=77) for n in range(1, 10)} == {3}
-    harness.probe_answers = {1: Report(5, 0.2), 2: Report(5, 0.2), 3: Report(5, 0.9)}
+    harness.auto = {1: Report(5, 0.2), 2: Report(5, 0.2), 3: Report(5, 0.9)}
     harness.run(1500)
     assert 3 not in {harness.login(n, group=77) for n in range(20, 30)}
 
@@ -194,19 +194,19 @@
     harness = harness_with_counts(0, 0)
     held = next(n for n in range(1, 50) if harness.login(n) == 2)
     harness.open_connection(held)
-    harness.probe_answers = {1: Report(5, 0.5), 2: Report(9, 0.9)}
+    harness.auto = {1: Report(5, 0.5), 2: Report(9, 0.9)}
     harness.run(1000)
     harness.trace.clear()
-    harness.probe_answers[2] = Outcome.TIMED_OUT
+    harness.auto[2] = Outcome.TIMED_OUT
     harness.run(1500)
-    harness.probe_answers[2] = Report(9, 0.8)
+    harness.auto[2] = Report(9, 0.8)
     harness.run(1000)
     assert not [line for line in harness.trace if "move" in line or "just started" in line]
 
 
 def test_servers_at_low_utilisation_are_probed_half_as_often():
     harness = harness_with_counts(1, 1)
-    harness.probe_answers = {1: Report(5, 0.2), 2: Report(9, 0.8)}
+    harness.auto = {1: Report(5, 0.2), 2: Report(9, 0.8)}
     harness.run(3000)
     asked, probe = Counter(), harness.probe
     harness.probe = lambda server: (asked.update([server]), probe(server))
@@ -219,7 +219,7 @@
         harness = PolicyHarness(crossing_price=price)
         harness.list_servers(1, zone=0)
         harness.list_servers(2, scope=Scope.DELTA, zone=1)
-        harness.probe_answers = {1: Report(90, 0.3), 2: Report(60, 0.2)}
+        harness.auto = {1: Report(90, 0.3), 2: Report(60, 0.2)}
         harness.run(1500)
         assert {harness.login(n) for n in range(1, 12)} == places
 
@@ -227,7 +227,7 @@
 def test_capacity_is_reserved_for_logins_of_higher_importance():
     workloads = [Workload("a", 5.0, 800 * MS, 3200 * MS), Workload("b", 1.0, 800 * MS, 3200 * MS)]
     harness = harness_with_counts(0, workloads=workloads, per_work=True)
-    harness.probe_answers[1] = Report(80, 0.8)
+    harness.auto[1] = Report(80, 0.8)
     harness.run(1000)
     assert harness.login(1, workload=1) is None
     assert harness.login(2, workload=0) == 1
@@ -301,7 +301,7 @@
     """A scene with one of many balancers, where each probe has a price."""
     harness = PolicyHarness(balancers=balancers, probe_price=0.002, **settings)
     harness.list_servers(*range(1, servers + 1))
-    harness.probe_answers = {server: answer for server in range(1, servers + 1)}
+    harness.auto = {server: answer for server in range(1, servers + 1)}
     harness.run(10)
     return harness
 
@@ -328,7 +328,7 @@
         harness.balancer.connection_resumed(
             harness.now, Login(number, 0, 0, 0, 0, None, 0), 1 + number % 12
         )
-    harness.probe_answers = {server: Report(5, 0.4) for server in range(1, 13)}
+    harness.auto = {server: Report(5, 0.4) for server in range(1, 13)}
     asked, probe = set(), harness.probe
     harness.probe = lambda server: (asked.add(server), probe(server))
     harness.run(2000)
@@ -352,12 +352,12 @@
     harness.login(1, group=77)
     harness.run(300)
     home = harness.hand_offs[-1][1]
-    harness.probe_answers[home] = Report(30, 0.95)
+    harness.auto[home] = Report(30, 0.95)
     harness.run(2000)
     harness.login(2, group=77)
     harness.run(300)
     assert harness.hand_offs[-1][0] == 2 and harness.hand_offs[-1][1] != home
-    harness.probe_answers = {server: Report(30, 0.95) for server in harness.probe_answers}
+    harness.auto = {server: Report(30, 0.95) for server in harness.auto}
     harness.run(2000)
     harness.login(3, group=77)
     harness.run(1000)
@@ -383,7 +383,7 @@
 def test_a_fleet_that_shrinks_while_a_login_waits(left):
     harness = scene_of_many_balancers(30)
     # No server answers yet.
-    harness.probe_answers = {}
+    harness.auto = {}
     harness.login(1)
     harness.list_servers(*range(1, left + 1))
     harness.run(3000)
@@ -396,13 +396,13 @@
 def test_a_list_that_grows_tenfold_is_used_and_a_dropped_login_is_not_sent():
     harness = scene_of_many_balancers(3, balancers=40)
     harness.list_servers(*range(1, 31))
-    harness.probe_answers = {server: Report(1, 0.1) for server in range(1, 31)}
+    harness.auto = {server: Report(1, 0.1) for server in range(1, 31)}
     harness.run(4000)
     for number in range(1, 40):
         harness.login(number)
     harness.run(500)
     assert len({server for _, server in harness.hand_offs}) > 3
-    harness.probe_answers, harness.hand_offs = {}, []
+    harness.auto, harness.hand_offs = {}, []
     harness.run(3000)
     harness.login(99)
     harness.balancer.login_dropped(harness.now, 99)
@@ -418,7 +418,7 @@
         harness = PolicyHarness(seed=seed, balancers=300, probe_price=0.002)
         harness.list_servers(1, 2)
         harness.list_servers(2, scope=Scope.DELTA, started_at=harness.now)
-        harness.probe_answers = {1: Report(20, 0.6), 2: Report(0, 0.0)}
+        harness.auto = {1: Report(20, 0.6), 2: Report(0, 0.0)}
         harness.run(100)
         harness.login(1, came_back=True)
         harness.run(400)
@@ -429,7 +429,7 @@
 def test_a_server_that_drains_while_a_login_waits_for_its_answer_gets_no_login():
     # Guards against sending to a server that was chosen before the list reported its drain.
     harness = scene_of_many_balancers(2, grouped=True)
-    harness.probe_answers = {}
+    harness.auto = {}
     harness.login(1, group=77)
     harness.list_servers(1, scope=Scope.DELTA, status=Status.DRAINING)
     harness.run(2000)
@@ -441,7 +441,7 @@
     # expensive.
     harness = PolicyHarness(probe_price=0.0023)
     harness.list_servers(1, 2, 3, 4, 5)
-    harness.probe_answers = {server: Report(5, 0.2) for server in range(1, 6)}
+    harness.auto = {server: Report(5, 0.2) for server in range(1, 6)}
     for number in range(1, 30):
         harness.login(number, came_back=True)
         harness.run(100)
@@ -459,7 +459,7 @@
     # and they are no additional load. Clients whose connections were cut here are assumed to return
     # to all balancers, and in a full fleet all load is counted as usual.
     harness = harness_with_counts(20, 20, 20)
-    harness.probe_answers = {server: Report(20, pressure) for server in (1, 2, 3)}
+    harness.auto = {server: Report(20, pressure) for server in (1, 2, 3)}
     harness.run(3000)
     if own:
         for number in range(100, 120):
@@ -477,7 +477,7 @@
 def test_clients_of_a_server_that_drains_are_expected_at_all_balancers():
     # Guards against a flood at all balancers that each attributes to another one.
     harness = harness_with_counts(20, 20, 20, 20)
-    harness.probe_answers = {server: Report(20, 0.5) for server in (1, 2, 3, 4)}
+    harness.auto = {server: Report(20, 0.5) for server in (1, 2, 3, 4)}
     harness.run(3000)
     harness.list_servers(4, scope=Scope.DELTA, status=Status.DRAINING)
     harness.trace.clear()
@@ -493,7 +493,7 @@
     harness.balancer.servers_listed(
         harness.now, Scope.FULL, 1, [ListedServer(n, 0, n, 0, Status.READY, 1.0, 0) for n in (1, 2)]
     )
-    harness.probe_answers = {1: Report(2, 0.1), 2: Report(24, 0.6)}
+    harness.auto = {1: Report(2, 0.1), 2: Report(24, 0.6)}
     harness.run(2500)
     placed = [harness.login(number, came_back=True) for number in range(1, 80)]
     assert 10 < placed.count(1) < 40 and placed[-1] is None
@@ -530,7 +530,7 @@
             workloads=[Workload("plain", 1.0, 800 * MS, 3200 * MS, message_limit=100 * MS)]
         )
         harness.list_servers(1, 2, 3, 4)
-        harness.probe_answers = {server: Report(10, pressure) for server in (1, 2, 3, 4)}
+        harness.auto = {server: Report(10, pressure) for server in (1, 2, 3, 4)}
         for server in (1, 2, 3, 4):
             harness.balancer.connection_resumed(
                 harness.now, Login(server, 0, 0, 0, 0, None, 0), server
@@ -556,7 +556,7 @@
         workloads=[Workload("plain", 1.0, 800 * MS, 3200 * MS, message_limit=100 * MS)]
     )
     harness.list_servers(1, 2)
-    harness.probe_answers = {server: Report(10, 0.4) for server in (1, 2)}
+    harness.auto = {server: Report(10, 0.4) for server in (1, 2)}
     for login in range(1, 7):
         harness.balancer.connection_resumed(
             harness.now, Login(login, 0, 0, 0, 0, None, 0), 1 + login % 2
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Several processes of one balancer: the rule of who takes clients, its files, and two real upgrades under a load."""
+"""Tests of the handover between processes of one balancer: rules, files, and real upgrades."""
 
 import json
 import os
@@ -30,43 +30,49 @@
 from corklift.service import open_inherited_socket
 
 
-def test_never_do_two_serve_and_the_latest_that_lives_does_in_the_end():
-    # Each process looks, decides and tells, in any order with the others' looks, deaths and starts between.
+def test_at_most_one_process_serves_and_finally_the_latest_does():
+    # Processes poll, advance and write their state in random order, and start, stop and crash at
+    # random.
     for seed in range(300):
-        rng, told, places, seen = Random(seed), {}, {}, {}
+        rng, written, processes, polled = Random(seed), {}, {}, {}
         for _ in range(120):
-            act = rng.random()
-            if act < 0.06 and len(places) < 4:
-                number = 1 + max(told, default=0)
-                places[number] = Handover(number)
-                told[number] = ProcessState(number, Stage.STARTING, 0, {}, {})
-            elif act < 0.09 and places:
-                del places[rng.choice(list(places))]
-            elif act < 0.12 and places:
-                rng.choice(list(places.values())).leave()
-            elif places:
-                number = rng.choice(list(places))
-                place = places[number]
-                if number in seen:  # tells what it decided by its last look
-                    if place.advance(
-                        seen.pop(number), rng.random() < 0.98 or place.stage is not Stage.STARTING
+            action = rng.random()
+            if action < 0.06 and len(processes) < 4:
+                number = 1 + max(written, default=0)
+                processes[number] = Handover(number)
+                written[number] = ProcessState(number, Stage.STARTING, 0, {}, {})
+            elif action < 0.09 and processes:
+                del processes[rng.choice(list(processes))]
+            elif action < 0.12 and processes:
+                rng.choice(list(processes.values())).leave()
+            elif processes:
+                number = rng.choice(list(processes))
+                process = processes[number]
+                if number in polled:  # advances by its last poll and writes its state
+                    if process.advance(
+                        polled.pop(number),
+                        rng.random() < 0.98 or process.stage is not Stage.STARTING,
                     ):
-                        told[number] = told[number]._replace(stage=place.stage)
+                        written[number] = written[number]._replace(stage=process.stage)
                 else:
-                    told[number] = told[number]._replace(stage=place.stage)
-                    seen[number] = [told[at] for at in places if at != number]
-            serving = [number for number, place in places.items() if place.stage is Stage.SERVING]
+                    written[number] = written[number]._replace(stage=process.stage)
+                    polled[number] = [written[at] for at in processes if at != number]
+            serving = [
+                number for number, process in processes.items() if process.stage is Stage.SERVING
+            ]
             assert len(serving) <= 1, (seed, serving)
         for _ in range(4):
-            for number, place in places.items():
-                while place.advance([told[at] for at in places if at != number], True):
-                    told[number] = told[number]._replace(stage=place.stage)
-                told[number] = told[number]._replace(stage=place.stage)
-        staying = [number for number, place in places.items() if place.stage is not Stage.LEAVING]
-        assert [n for n, p in places.items() if p.stage is Stage.SERVING] == staying[-1:], seed
+            for number, process in processes.items():
+                while process.advance([written[at] for at in processes if at != number], True):
+                    written[number] = written[number]._replace(stage=process.stage)
+                written[number] = written[number]._replace(stage=process.stage)
+        staying = [
+            number for number, process in processes.items() if process.stage is not Stage.LEAVING
+        ]
+        assert [n for n, p in processes.items() if p.stage is Stage.SERVING] == staying[-1:], seed
 
 
-def test_the_last_word_of_a_server_holds_in_whatever_order_it_is_heard():
+def test_latest_override_of_a_server_wins_in_any_order():
     old, new = Handover(1), Handover(2)
     old.record_override("s1", True)
     old.record_override("s2", True)
@@ -76,9 +82,8 @@
     }
     new.record_override("s1", False)
     early = ProcessState(1, Stage.SERVING, 0, dict(old.overrides), {})
-    assert new.merge_overrides([early]) == {} and new.servers_out_of_service() == {
-        "s2"
-    }  # heard again, it changes nothing
+    # Merging the same state again changes nothing.
+    assert new.merge_overrides([early]) == {} and new.servers_out_of_service() == {"s2"}
     assert old.merge_overrides([ProcessState(2, Stage.SERVING, 0, dict(new.overrides), {})]) == {
         "s1": False
     }
@@ -88,78 +93,80 @@
     ) == {"s1": True}
 
 
-def test_what_is_not_whole_is_left_out_and_told(tmp_path):
-    life = ProcessState(
+def test_unreadable_state_files_are_logged_and_ignored(tmp_path):
+    state = ProcessState(
         1, Stage.SERVING, 3, {"s1": OperatorOverride(1, 1, True)}, {"homes": [[1, 2]]}
     )
-    whole = encode(life)
-    assert decode(whole) == life
+    content = encode(state)
+    assert decode(content) == state
     for bad in (
         b"",
-        b"corklift 2" + whole[10:],
-        whole[:-3],
-        whole.replace(b"s1", b"s2"),
+        b"corklift 2" + content[10:],
+        content[:-3],
+        content.replace(b"s1", b"s2"),
         b"\xff" * 50,
     ):
         with pytest.raises(UnreadableStateError):
             decode(bad)
-    said = []
+    log_lines = []
     for number in (3, 7):
         (tmp_path / f"{number}.life").write_bytes(
-            whole if number == 3 else encode(life._replace(generation=7))[:-1]
+            content if number == 3 else encode(state._replace(generation=7))[:-1]
         )
-    files = HandoverFiles(str(tmp_path), said.append)
+    files = HandoverFiles(str(tmp_path), log_lines.append)
     assert (
         files.generation == 8
         and files.read_others() == ([], [])
         and files.read_others() == ([], [])
     )
-    assert len(said) == 2 and "7.life" in said[1]
-    files.write_state(life._replace(generation=8))
-    other = HandoverFiles(str(tmp_path), said.append)
-    assert other.read_others() == ([life._replace(generation=8)], [])
-    os.close(files._lock)  # as when its process has ended
-    assert other.read_others() == ([], [life._replace(generation=8)])
+    assert len(log_lines) == 2 and "7.life" in log_lines[1]
+    files.write_state(state._replace(generation=8))
+    other = HandoverFiles(str(tmp_path), log_lines.append)
+    assert other.read_others() == ([state._replace(generation=8)], [])
+    os.close(files._lock)  # as at the end of its process
+    assert other.read_others() == ([], [state._replace(generation=8)])
     other.remove_files(other.read_others()[1])
     assert other.read_others() == ([], []) and other.has_changed() and not other.has_changed()
 
 
-def test_the_cold_budget_goes_over_and_is_spent_once():
-    # One balancer's part of a server's warm-up, used by one process, by two in turn, and by the one that stands by.
-    def harness():
-        made = PolicyHarness(balancers=1, cold=ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS))
-        made.probe_answers = {1: Report(20, 0.5)}
-        made.list_servers(1, started_at=made.now)
+def test_cold_budget_is_handed_over_and_spent_once():
+    # Two processes of a balancer together place as many logins on a cold server as a single
+    # process, and one on standby places none.
+    def make_harness():
+        harness = PolicyHarness(balancers=1, cold=ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS))
+        harness.auto = {1: Report(20, 0.5)}
+        harness.list_servers(1, started_at=harness.now)
         for _ in range(40):
-            made.balancer._load_reports.record(
-                made.now, made.balancer._registry.servers[1], Report(20, 0.5)
+            harness.balancer._load_reports.record(
+                harness.now, harness.balancer._registry.servers[1], Report(20, 0.5)
             )
-        return made
-
-    alone = harness()
-    most = 0
-    while alone.login(most + 1) is not None:
-        most += 1
-    first, second = harness(), harness()
-    for number in range(most - 1):
+        return harness
+
+    single = make_harness()
+    budget = 0
+    while single.login(budget + 1) is not None:
+        budget += 1
+    first, second = make_harness(), make_harness()
+    for number in range(budget - 1):
         assert first.login(number + 1) == 1
     learned = json.loads(json.dumps(first.balancer.export_learned_state(first.now)))
     first.balancer.set_standby(True)
     second.balancer.import_learned_state(second.now, learned)
     assert first.login(900) is None
-    assert [second.login(number) for number in (901, 902)] == [1, None] and most > 2
+    assert [second.login(number) for number in (901, 902)] == [1, None] and budget > 2
 
 
-def test_clients_that_come_over_count_once_and_their_groups_stay_together():
-    # The fleet is as full as before: each returns to room that its own old connection has left, at its group's server.
-    def harness(seed):
-        made = PolicyHarness(seed, balancers=3, grouped=True)
-        made.probe_answers = {number: Report(14.4, 0.72) for number in (1, 2, 3, 4)}
-        made.list_servers(1, 2, 3, 4)
-        made.run(3000)
-        return made
+def test_returning_clients_count_once_and_their_groups_stay_together():
+    # The fleet is full. A returning client takes the capacity that its own earlier connection has
+    # freed, at the server of its group.
+    def make_harness(seed):
+        harness = PolicyHarness(seed, balancers=3, grouped=True)
+        harness.auto = {number: Report(14.4, 0.72) for number in (1, 2, 3, 4)}
+        harness.list_servers(1, 2, 3, 4)
+        harness.run(3000)
+        return harness
 
-    old, new, stranger = harness(1), harness(2), harness(2)
+    old, new, stranger = make_harness(1), make_harness(2), make_harness(2)
     for number in range(1, 9):
         assert old.login(number, group=77) is not None
         old.open_connection(number)
@@ -190,18 +197,18 @@
     )
 
 
-def test_a_value_that_is_no_listening_socket_is_named():
+def test_inherited_descriptor_that_is_no_listening_socket_is_rejected():
     plain = socket.socket()
     read_end, write_end = os.pipe()
     for text in ("x", "-1", "99999", str(read_end), str(plain.fileno())):
         with pytest.raises(ConfigError, match="BALANCER_LISTEN_FD"):
             open_inherited_socket(text)
-    plain.getsockname()  # and what is no such socket is left as it was
+    plain.getsockname()  # the other socket is not closed
     os.close(read_end)
     os.close(write_end)
 
 
-def test_both_processes_together_hold_no_more_clients_than_one():
+def test_client_limit_includes_the_clients_of_other_processes():
     harness = BalancerHarness("up", limits={"sockets": 60})
     harness.process.relay.clients_elsewhere = harness.limits.clients - 2
     for number in range(4):
@@ -214,33 +221,32 @@
     ) == ["BUSY", "BUSY", "UP", "UP"]
 
 
-class Served(threading.Thread):
-    """A client: opens, keeps its connection for a while and sends lines; comes again when it is moved."""
+class LoadClient(threading.Thread):
+    """A client that logs in, sends lines for a while, and logs in again when it is moved."""
 
     def __init__(self, port: int, number: int) -> None:
         super().__init__(daemon=True)
-        self.port, self.number, self.results, self.goes_on = port, number, [], True
+        self.port, self.number, self.results, self.is_running = port, number, [], True
 
     def run(self) -> None:
-        tries = 0
-        while self.goes_on:
-            tries += 1
+        attempts = 0
+        while self.is_running:
+            attempts += 1
             try:
-                end = self.once(f"c{self.number}x{tries}")
+                result = self.log_in(f"c{self.number}x{attempts}")
             except OSError as problem:
-                end = repr(problem)
-            self.results.append((time.monotonic(), end))
+                result = repr(problem)
+            self.results.append((time.monotonic(), result))
             time.sleep(0.05)
 
-    def once(self, name: str) -> str:
+    def log_in(self, name: str) -> str:
         with socket.create_connection(("127.0.0.1", self.port), 5) as sock:
             sock.sendall(f"OPEN {name} 7f c=plain,d=3000\r\n".encode())
             lines = sock.makefile("rb")
             first = lines.readline().decode().strip()
-            until = time.monotonic() + (
-                0.4 if self.number % 3 else 8.0
-            )  # these last until they are moved
-            while first.startswith("UP") and self.goes_on and time.monotonic() < until:
+            # A third of the clients stay until they are moved.
+            until = time.monotonic() + (0.4 if self.number % 3 else 8.0)
+            while first.startswith("UP") and self.is_running and time.monotonic() < until:
                 sock.sendall(b"line\r\n")
                 answer = lines.readline()
                 if answer == b"MOVE\r\n":
@@ -251,18 +257,20 @@
             return first.split()[0] if first else "unread"
 
 
-def test_two_upgrades_under_a_load_refuse_nobody_and_keep_what_operators_said(tmp_path):
-    world = BalancerHarness("up", "up", "up")  # its servers and discovery, in real time
-    world.process.relay._listeners[0].close()
+def test_two_upgrades_under_load_reject_no_login_and_keep_overrides(tmp_path):
+    harness = BalancerHarness(
+        "up", "up", "up"
+    )  # for its sockets; a script serves them in real time
+    harness.process.relay._listeners[0].close()
     config = tmp_path / "config.json"
-    held = socket.create_server(("127.0.0.1", 0), backlog=256)
+    listener = socket.create_server(("127.0.0.1", 0), backlog=256)
     told, stop = [], threading.Event()
     config.write_text(
         json.dumps(
-            world.config
+            harness.config
             | {
-                "listen": "127.0.0.1:%d" % held.getsockname()[1],
-                "settings": world.config["settings"] | {"rules": {"ramp-time-ns": 300 * MS}},
+                "listen": "127.0.0.1:%d" % listener.getsockname()[1],
+                "settings": harness.config["settings"] | {"rules": {"ramp-time-ns": 300 * MS}},
             }
         )
     )
@@ -270,14 +278,14 @@
         [
             sys.executable,
             "-c",
-            PEERS,
-            json.dumps([each.fileno() for each in world.listeners.values()]),
-            str(world.discovery_listener.fileno()),
-            json.dumps([world.list_entry(name) for name in world.behaviour]),
+            PEERS_SCRIPT,
+            json.dumps([peer.fileno() for peer in harness.listeners.values()]),
+            str(harness.discovery_listener.fileno()),
+            json.dumps([harness.list_entry(name) for name in harness.behaviour]),
         ],
         pass_fds=[
-            *(each.fileno() for each in world.listeners.values()),
-            world.discovery_listener.fileno(),
+            *(peer.fileno() for peer in harness.listeners.values()),
+            harness.discovery_listener.fileno(),
         ],
         stdout=subprocess.PIPE,
         text=True,
@@ -297,13 +305,13 @@
             "BALANCER_CONFIG": str(config),
             "TMPDIR": str(tmp_path),
             "BALANCER_NAME": "n1",
-            "BALANCER_LISTEN_FD": str(held.fileno()),
+            "BALANCER_LISTEN_FD": str(listener.fileno()),
             "BALANCER_ADMIN_ADDR": f"127.0.0.1:{admin}",
         }
         process = subprocess.Popen(
             [sys.executable, "-m", "corklift"],
             env=env,
-            pass_fds=[held.fileno()],
+            pass_fds=[listener.fileno()],
             cwd=Path(__file__).parent.parent,
             stderr=subprocess.PIPE,
             text=True,
@@ -316,7 +324,7 @@
             except OSError:
                 pass
             time.sleep(0.02)
-        raise AssertionError("it does not serve within 6 s")
+        raise AssertionError("the process does not serve within 6 s")
 
     def call(admin, method, what, member=None):
         connection = HTTPConnection("127.0.0.1", admin, timeout=1)
@@ -333,39 +341,40 @@
             ports.append(free.getsockname()[1])
     processes, clients = (
         [start(ports[0])],
-        [Served(held.getsockname()[1], number) for number in range(12)],
+        [LoadClient(listener.getsockname()[1], number) for number in range(12)],
     )
     try:
         for client in clients:
             client.start()
         time.sleep(0.8)
-        assert call(ports[0], "POST", "cordon", "s1") == 200  # before
+        assert call(ports[0], "POST", "cordon", "s1") == 200  # before the upgrade
         processes.append(start(ports[1]))
-        assert call(ports[0], "POST", "cordon", "s2") == 200  # during, at the old one
-        both_out = time.monotonic()
+        assert call(ports[0], "POST", "cordon", "s2") == 200  # during it, at the old process
+        both_out_at = time.monotonic()
         processes[0].send_signal(signal.SIGTERM)
         assert processes[0].wait(5) == 0
-        assert call(ports[1], "POST", "uncordon", "s1") == 200  # between
+        assert call(ports[1], "POST", "uncordon", "s1") == 200  # between the upgrades
         processes.append(start(ports[2]))
-        late = start(ports[3])  # a second upgrade right after the first, and that one taken back
-        killed = time.monotonic()
-        late.kill()
-        late.wait()
+        # An upgrade right after the other one that fails: the new process is killed.
+        cancelled_upgrade = start(ports[3])
+        killed_at = time.monotonic()
+        cancelled_upgrade.kill()
+        cancelled_upgrade.wait()
         time.sleep(0.5)
         assert call(ports[2], "GET", "health") == 200
         processes[1].send_signal(signal.SIGTERM)
         assert processes[1].wait(5) == 0
         time.sleep(0.3)
-        back = time.monotonic()
+        restored_at = time.monotonic()
         assert call(ports[2], "POST", "uncordon", "s2") == 200
         time.sleep(1.0)
-        crashed = time.monotonic()  # the old one, while the new one gets ready
+        crashed_at = time.monotonic()  # the old process dies while the new one is starting
         threading.Timer(0.2, processes[2].kill).start()
         processes.append(start(ports[3]))
         time.sleep(1.0)
     finally:
         for client in clients:
-            client.goes_on = False
+            client.is_running = False
         for process in processes:
             process.terminate()
         for process in processes:
@@ -373,24 +382,25 @@
             assert "exception" not in process.stderr.read()
         peers.terminate()
         peers.wait(5)
-    ends = [
+    results = [
         end
         for client in clients
         for at, end in client.results
-        if not killed < at < killed + 0.5 and not crashed < at < crashed + 1.0
+        if not killed_at < at < killed_at + 0.5 and not crashed_at < at < crashed_at + 1.0
     ]
-    assert set(ends) == {"UP", "moved"} and ends.count("moved") >= 4, ends.count("moved")
-    assert [end for client in clients for at, end in client.results if at > crashed + 1.0].count(
+    assert set(results) == {"UP", "moved"} and results.count("moved") >= 4, results.count("moved")
+    assert [end for client in clients for at, end in client.results if at > crashed_at + 1.0].count(
         "UP"
     ) > 3
-    while_out = [name for at, name in placed if both_out + 0.2 < at < back]
-    assert while_out and "s2" not in while_out and "s1" in while_out
-    assert "s2" in [name for at, name in placed if at > back]
+    placed_while_out = [name for at, name in placed if both_out_at + 0.2 < at < restored_at]
+    assert placed_while_out and "s2" not in placed_while_out and "s1" in placed_while_out
+    assert "s2" in [name for at, name in placed if at > restored_at]
 
 
-PEERS = """
+PEERS_SCRIPT = """
 import json, socket, sys, threading, time
-fds, agent, entries = json.loads(sys.argv[1]), int(sys.argv[2]), json.loads(sys.argv[3])
+server_fds, discovery_fd = json.loads(sys.argv[1]), int(sys.argv[2])
+entries = json.loads(sys.argv[3])
 def serve(sock, name):
     lines = sock.makefile("rb")
     for line in lines:
@@ -408,26 +418,27 @@
             if b"wait" in line:
                 time.sleep(int(line.split()[1].rpartition(b"=")[2]) / 1000)
             body = json.dumps({"index": 1, "snapshot": True, "endpoints": entries}).encode()
-            sock.sendall(b"HTTP/1.1 200 OK\\r\\nContent-Length: %d\\r\\n\\r\\n%b" % (len(body), body))
-def accept(fd, act, name):
-    door = socket.socket(fileno=fd)
-    door.setblocking(True)
+            head = b"HTTP/1.1 200 OK\\r\\nContent-Length: %d\\r\\n\\r\\n" % len(body)
+            sock.sendall(head + body)
+def accept(fd, serve_connection, name):
+    listener = socket.socket(fileno=fd)
+    listener.setblocking(True)
     while True:
-        sock = door.accept()[0]
-        threading.Thread(target=guarded, args=(act, sock, name), daemon=True).start()
-def guarded(act, sock, name):
+        sock = listener.accept()[0]
+        threading.Thread(target=guarded, args=(serve_connection, sock, name), daemon=True).start()
+def guarded(serve_connection, sock, name):
     try:
-        act(sock, name)
+        serve_connection(sock, name)
     except OSError:
         pass
     sock.close()
-for number, fd in enumerate(fds, 1):
+for number, fd in enumerate(server_fds, 1):
     threading.Thread(target=accept, args=(fd, serve, f"s{number}"), daemon=True).start()
-accept(agent, discover, "")
+accept(discovery_fd, discover, "")
 """
 
 
-def test_clients_are_taken_from_an_inherited_socket_where_there_is_no_folder_to_meet_in(tmp_path):
+def test_clients_are_accepted_from_an_inherited_socket_without_a_state_directory(tmp_path):
     config = json.loads((Path(__file__).parents[1] / "examples/config.json").read_text())
     config.pop("admin_addr")
     path = tmp_path / "config.json"
@@ -444,7 +455,7 @@
         try:
             with socket.create_connection(door.getsockname(), 20) as client:
                 client.sendall(b"OPEN x y z\r\n")
-                assert client.recv(100)  # an answer, whichever
+                assert client.recv(100)  # any answer
         finally:
             process.kill()
             process.wait()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -818,10 +818,10 @@
     # Otherwise only the next regular probe, up to 2 s later, would reveal an unresponsive server.
     harness = PolicyHarness()
     harness.list_servers(1, 2)
-    harness.probe_answers = {1: Report(5, 0.2), 2: Report(5, 0.2)}
+    harness.auto = {1: Report(5, 0.2), 2: Report(5, 0.2)}
     harness.run(4000)
     harness.balancer.connection_resumed(harness.now, Login(9, 0, 0, 0, 0, None, 0), 2)
-    harness.probe_answers[2] = Outcome.TIMED_OUT
+    harness.auto[2] = Outcome.TIMED_OUT
     server = harness.balancer._registry.servers[2]
     while harness.balancer._load_reports.is_recent(harness.now, server):
         harness.run(10)
