--- a/tests/harness.py
+++ b/tests/harness.py
@@ -381,8 +381,8 @@
         """Starts a client and records each line that it receives.
 
         A step is text to send, a number of ms to wait, `None` to close the sending side, or `...`
-        to reset the connection. In `OPEN 1`, the 1 is replaced by the client's name, because the names
-        of open connections must differ.
+        to reset the connection. In `OPEN 1`, the 1 is replaced by the client's name, because the
+        names of open connections must differ.
         """
         stream = Stream.connect(("127.0.0.1", self.process.port), self.limits)
 
