--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -612,7 +612,10 @@
             self._update_count()
 
     def _merge_own_record(self, now: int, record: MemberRecord) -> None:
-        """Handles a record of this member's own name: refutes it, or checks which process is live."""
+        """Handles a record of this member's own name.
+
+        Refutes it if it is about this process, and otherwise checks which process is live.
+        """
         own = self.own_record
         if record.instance_id == own.instance_id:
             if (
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -274,7 +274,7 @@
         self._restarted_at: dict[str, int] = {}
         # By server: the assumed time of its start, and the time of its first reply to a probe.
         self._assumed_start: dict[str, int] = {}
-        self._first_answer_at: dict[str, int] = {}
+        self._first_reply_at: dict[str, int] = {}
         self.admission: AdmissionControl | None = None
         self._replications: dict[int, _Replication] = {}
         # By request id: replication id, peer.
@@ -757,7 +757,7 @@
         return min(1 + self.config.copies, fleet // 2 + 1)
 
     def _update_replication(self, now: int, replication_id: int) -> None:
-        """Ends a replication once enough disks store the fact, or all peers replied, or in time."""
+        """Ends a replication if enough disks store the fact, all peers replied, or it timed out."""
         replication = self._replications.get(replication_id)
         if replication is None:
             return
@@ -837,7 +837,7 @@
         listed = {server.name for server in servers}
         for known in (
             self._assumed_start,
-            self._first_answer_at,
+            self._first_reply_at,
             self._connections,
             self._restarted_at,
             self.known_start_times,
@@ -866,9 +866,9 @@
         previous = self._connections.get(name, 0.0)
         if connections is not None:
             self._connections[name] = connections
-        if name not in self._first_answer_at:
-            self._first_answer_at[name] = max(now, self._assumed_start.get(name, now))
-            if self._assume_cold and self._first_answer_at[name] > self._assumed_start.get(
+        if name not in self._first_reply_at:
+            self._first_reply_at[name] = max(now, self._assumed_start.get(name, now))
+            if self._assume_cold and self._first_reply_at[name] > self._assumed_start.get(
                 name, now
             ):
                 self._host.reapply_list()  # it started later than assumed
@@ -900,8 +900,7 @@
         """Returns the time at which a server is considered to have started.
 
         After a loss of power this is its first reply to a probe, because the store and an old list
-        are outdated; the start time that a peer knows which lived through the outage takes
-        precedence.
+        are outdated. A start time known to a peer that lived through the outage takes precedence.
 
         Args:
             now: current time, in ns.
@@ -915,7 +914,7 @@
         return (
             max(
                 listed_start,
-                self._first_answer_at.get(
+                self._first_reply_at.get(
                     name,
                     self._assumed_start.setdefault(name, now + self.config.period // PROBE_SPREAD),
                 ),
@@ -1018,7 +1017,7 @@
     def _cold_since(self, now: int, name: str) -> int | None:
         """Returns since when a server has been warming up; None: it is not assumed to be cold."""
         since = (
-            self._first_answer_at.get(name, self._assumed_start.get(name))
+            self._first_reply_at.get(name, self._assumed_start.get(name))
             if self._assume_cold
             else self.known_start_times.get(name)
         )
