--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -17,8 +17,8 @@
 from corklift.net.limits import MS
 from corklift.rpc.core import RpcLimits
 from corklift.standins.discovery import Discovery
-from corklift.standins.proxy import Habits, Proxy
-from corklift.standins.transcriber import Placed, Transcriber
+from corklift.standins.proxy import Proxy, ProxyBehaviour
+from corklift.standins.transcriber import Placement, Transcriber
 
 CONFIG = """
 listen = "127.0.0.1:0"
@@ -72,7 +72,7 @@
 
     def __init__(self, servers: int = 3, size: float = 100.0, ramp: int = 0) -> None:
         super().__init__()
-        self.placed: list[Placed] = []
+        self.placed: list[Placement] = []
         self.discovery = Discovery(self.scheduler)
         self.discovery_port = self.discovery.listen()
         self.servers = {
@@ -98,9 +98,9 @@
         super().__exit__(*error)
 
     def _start(self) -> None:
-        self.scheduler.spawn(self.discovery.keep_answering)
+        self.scheduler.spawn(self.discovery.accept_loop)
         for server in self.servers.values():
-            self.scheduler.spawn(server.keep_accepting)
+            self.scheduler.spawn(server.accept_loop)
 
     def list_all(self, **options: Any) -> None:
         self.do(
@@ -113,7 +113,7 @@
     def mark(self, name: str, status: str) -> None:
         def mark() -> None:
             self.marked_at[name] = self.scheduler.now()
-            self.discovery.mark(name, status)
+            self.discovery.set_status(name, status)
 
         self.do(mark)
 
@@ -131,7 +131,7 @@
     def proxy(
         self,
         service: ServiceThread | int,
-        habits: Habits = Habits(),
+        behaviour: ProxyBehaviour = ProxyBehaviour(),
         node: str = "",
         limits: RpcLimits = RpcLimits(ping_after=0, initial_backoff=100 * MS, ring=8192),
     ) -> Proxy:
@@ -142,7 +142,7 @@
             ("127.0.0.1", port),
             node or f"p{len(self.proxies)}",
             Random(len(self.proxies)),
-            habits,
+            behaviour,
             limits,
         )
         self.proxies.append(proxy)
@@ -151,10 +151,10 @@
 
     def weights(self, proxy: Proxy, cluster: str = "plain") -> dict[str, int] | None:
         """Returns the weights by which the proxy draws, by server; None before its first list."""
-        servers = proxy.held.servers(cluster)
+        servers = proxy.state.assignment(cluster)
         if servers is None:
             return None
-        sums = (0, *servers.sums)
+        sums = (0, *servers.cumulative_weights)
         return {name: sums[index + 1] - sums[index] for index, name in enumerate(servers.names)}
 
     def wait_for_servers(self, proxy: Proxy, *names: str) -> None:
