--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -16,7 +16,7 @@
 from corklift.lab.experiment import Run, load, play
 from corklift.lab.faults import FAULTS
 from corklift.lab.fleet import Fleet
-from corklift.lab.scenario import Balancers, Scenario, Servers, Trouble, WorkloadTable
+from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 
 EXAMPLES = Path(__file__).resolve().parents[1] / "examples" / "lab"
 COUNTED = ("module", "inverse counts")
@@ -35,11 +35,11 @@
         ),
     ],
     troubles=[
-        Trouble(kind="drain", at_s=8.0, part=0.3, for_s=4.0),
-        Trouble(kind="vanish", at_s=18.0, part=0.2, for_s=3.0),
-        Trouble(kind="fast errors", at_s=24.0, part=0.2, for_s=3.0),
-        Trouble(kind="slow", at_s=27.0, part=0.3, factor=30.0, for_s=4.0),
-        Trouble(kind="surge", at_s=30.0, factor=4.0, for_s=3.0),
+        Disruption(kind="drain", at_s=8.0, part=0.3, for_s=4.0),
+        Disruption(kind="vanish", at_s=18.0, part=0.2, for_s=3.0),
+        Disruption(kind="fast errors", at_s=24.0, part=0.2, for_s=3.0),
+        Disruption(kind="slow", at_s=27.0, part=0.3, factor=30.0, for_s=4.0),
+        Disruption(kind="surge", at_s=30.0, factor=4.0, for_s=3.0),
     ],
 )
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.report import arguments, tell
-from corklift.lab.counted import Way, fallen
+from corklift.lab.counted import CountSource, fallen
 from corklift.lab.peer_days import Day, Found
 from corklift.lab.peers import Net, Shape
 from corklift.membership.core import MembershipConfig
@@ -167,7 +167,7 @@
 
 def guards(given: tuple[str, int, int, int]) -> tuple[str, int, float]:
     name, seed, told, balancers = given
-    way: Way = (
+    way: CountSource = (
         "heard" if name == "heard" else "followed" if name.startswith("followed") else "settings"
     )
     return (name, *fallen(seed, way, told, balancers))
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -292,11 +292,11 @@
 
 def _load_experiment(path: str) -> Any:
     from corklift.lab.experiment import load
-    from corklift.lab.scenario import BadScenario
+    from corklift.lab.scenario import ScenarioError
 
     try:
         return load(path)
-    except BadScenario as problem:
+    except ScenarioError as problem:
         raise click.ClickException(f"{path}: {problem}") from None
     except OSError as problem:
         raise click.ClickException(str(problem)) from None
--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -10,13 +10,13 @@
 from typing import Any, Literal
 
 from corklift.lab.clock import MS, SECOND
-from corklift.lab.fleet import RETRY_MOST, Fleet, Seat
+from corklift.lab.fleet import RETRY_MOST, EmulatedBalancer, Fleet
 from corklift.lab.peers import Net, Shape
-from corklift.lab.scenario import Balancers, Scenario, Servers, Trouble, WorkloadTable
+from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 from corklift.policy import Balancer
 
 STEP = 100 * MS  # at which the two worlds are brought together
-Way = Literal["settings", "followed", "heard"]
+CountSource = Literal["settings", "followed", "heard"]
 
 
 def hard_day(balancers: int, seconds: float) -> Scenario:
@@ -29,16 +29,16 @@
         balancers=Balancers(number=balancers),
         workloads=[WorkloadTable(name="plain", rate=90.0, hold_s=8.0)],
         troubles=[
-            Trouble(kind="balancer killed", at_s=6.0, for_s=6.0, part=0.33),
-            Trouble(kind="zone loss", at_s=13.0, for_s=3.0),
-            Trouble(kind="release", at_s=22.0, for_s=8.0, part=0.5),
+            Disruption(kind="balancer killed", at_s=6.0, for_s=6.0, part=0.33),
+            Disruption(kind="zone loss", at_s=13.0, for_s=3.0),
+            Disruption(kind="release", at_s=22.0, for_s=8.0, part=0.5),
         ],
     )
 
 
-class Counted(Fleet):
+class CountedFleet(Fleet):
     def __init__(
-        self, scenario: Scenario, seed: int, way: Way, told: int, cut_s: tuple[float, float]
+        self, scenario: Scenario, seed: int, way: CountSource, told: int, cut_s: tuple[float, float]
     ) -> None:
         """`told`: the settings' count; `cut_s`: from when to when a third of the balancers can't reach the others' calls."""
         self.way, self.told = way, told
@@ -52,7 +52,7 @@
         self.members.start()
         self.clock.after(STEP, self._together)
 
-    def make(self, seat: Seat) -> Any:
+    def make(self, seat: EmulatedBalancer) -> Any:
         given = self.scenario
         self._wanted[seat.number] = settings = dict(
             zone=seat.zone,
@@ -117,9 +117,9 @@
 
 
 def fallen(
-    seed: int, way: Way, told: int, balancers: int, seconds: float = 34.0
+    seed: int, way: CountSource, told: int, balancers: int, seconds: float = 34.0
 ) -> tuple[int, float]:
     """Servers that were pushed over, and what clients got."""
-    fleet = Counted(hard_day(balancers, seconds), seed, way, told, (10.0, 30.0))
+    fleet = CountedFleet(hard_day(balancers, seconds), seed, way, told, (10.0, 30.0))
     fleet.run()
     return fleet.rules.broken[4], fleet.service
--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -9,13 +9,13 @@
 from typing import Any
 
 from corklift.interface import Outcome, Status
-from corklift.lab.fleet import Seat
+from corklift.lab.fleet import EmulatedBalancer
 
 
 class _Wrapped:
     """A policy with some of its methods changed."""
 
-    def __init__(self, seat: Seat, policy: Any) -> None:
+    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
         self.seat, self.policy = seat, policy
 
     def __getattr__(self, name: str) -> Any:
@@ -92,7 +92,7 @@
 class LateAnswer(_Wrapped):
     """A refusal is sat on until after the time limit."""
 
-    def __init__(self, seat: Seat, policy: Any) -> None:
+    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
         super().__init__(seat, policy)
         bounce = seat.bounce
 
@@ -109,7 +109,7 @@
 class TaggedAnywhere(_Wrapped):
     """A tagged login's repeat goes where it is not recognised."""
 
-    def __init__(self, seat: Seat, policy: Any) -> None:
+    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
         super().__init__(seat, policy)
         retry_policy = getattr(policy, "_retry_policy", None)
         if retry_policy is not None:
@@ -117,7 +117,7 @@
 
 
 # The fault, and the check that must find it.
-FAULTS: dict[str, tuple[Callable[[Seat, Any], Any], str]] = {
+FAULTS: dict[str, tuple[Callable[[EmulatedBalancer, Any], Any], str]] = {
     "an answer twice": (AnswerTwice, "rule 1"),
     "a lost answer": (AnswerLost, "rule 1"),
     "an answer after its time": (LateAnswer, "rule 1"),
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -16,7 +16,7 @@
 from corklift.lab.clock import MS, SECOND, Clock
 from corklift.lab.policies import POLICIES
 from corklift.lab.rules import Rules
-from corklift.lab.scenario import Scenario, Trouble
+from corklift.lab.scenario import Disruption, Scenario
 
 SAMPLE = 500 * MS  # between two looks at the fleet
 SLACK = 30 * MS  # after a time limit, for an answer on its way
@@ -26,17 +26,19 @@
 SPLIT = 3.0  # times the servers that a group's load needs: beyond it groups are not kept together
 LOST_MOVES = 3 * SECOND  # over which a planned restart moves its clients
 
-Spoil = Callable[["Seat", Any], Any]  # a deliberate fault: wraps the policy that a seat drives
+FaultInjector = Callable[
+    ["EmulatedBalancer", Any], Any
+]  # a deliberate fault: wraps the policy that a seat drives
 
 
-class Box:
+class EmulatedServer:
     """A server as it is."""
 
     def __init__(self, number: int, zone: int, cell: int, size: float) -> None:
         self.number, self.zone, self.cell, self.size = number, zone, cell, size
         self.status = Status.READY
         self.started_at = 0
-        self.conns: dict[int, Conn] = {}
+        self.conns: dict[int, EmulatedConnection] = {}
         self.pending = 0
         self.cost = 0.0  # of its connections
         self.wave = 1.0  # by which their load wanders
@@ -61,7 +63,7 @@
         return self.cost * self.wave * self.slow / (self.size * self.share(now, scenario))
 
 
-class Wish:
+class Arrival:
     """What a client wants: a connection, through however many logins."""
 
     __slots__ = (
@@ -103,11 +105,17 @@
         )
 
 
-class Conn:
+class EmulatedConnection:
     __slots__ = ("number", "box", "seat", "login", "wish", "ends_at")
 
     def __init__(
-        self, number: int, box: Box, seat: Seat, login: int, wish: Wish, ends_at: int
+        self,
+        number: int,
+        box: EmulatedServer,
+        seat: EmulatedBalancer,
+        login: int,
+        wish: Arrival,
+        ends_at: int,
     ) -> None:
         self.number, self.box, self.seat, self.login, self.wish, self.ends_at = (
             number,
@@ -119,27 +127,27 @@
         )
 
 
-class Way:
+class EmulatedLogin:
     """A login at a balancer, until its connection ends."""
 
     __slots__ = ("login", "wish", "attempts", "settled", "conn", "opened")
 
-    def __init__(self, login: Login, wish: Wish) -> None:
+    def __init__(self, login: Login, wish: Arrival) -> None:
         self.login, self.wish = login, wish
-        self.attempts: list[tuple[Box, int]] = []
+        self.attempts: list[tuple[EmulatedServer, int]] = []
         self.settled: set[int] = set()  # attempts whose end was told
-        self.conn: Conn | None = None
+        self.conn: EmulatedConnection | None = None
         self.opened = False  # its balancer knows of the connection
 
 
-class Seat:
+class EmulatedBalancer:
     """One balancer's surroundings: the host that it acts on."""
 
     def __init__(self, fleet: Fleet, number: int, zone: int) -> None:
         self.fleet, self.number, self.zone = fleet, number, zone
         self.turn = 0  # of its life: what was meant for an earlier one is void
         self.alive = False
-        self.ways: dict[int, Way] = {}
+        self.ways: dict[int, EmulatedLogin] = {}
         self.policy: Any = None
         self.known: dict[int, ListedServer] = {}
         self.probed_at: dict[int, int] = {}
@@ -174,7 +182,7 @@
             now, Scope.FULL if whole else Scope.DELTA, self.revision, tuple(lines)
         )
 
-    def arrive(self, wish: Wish) -> None:
+    def arrive(self, wish: Arrival) -> None:
         fleet, now = self.fleet, self.fleet.clock.now
         number = fleet.next_login()
         workload = fleet.workloads[wish.workload]
@@ -188,7 +196,7 @@
             wish.group,
             came_back=wish.came_back,
         )
-        self.ways[number] = Way(login, wish)
+        self.ways[number] = EmulatedLogin(login, wish)
         fleet.rules.arrived(now, self.number, login, workload)
         self.policy.login_arrived(now, login)
 
@@ -264,7 +272,7 @@
 
 class Fleet:
     def __init__(
-        self, scenario: Scenario, policy: str, seed: int, spoil: Spoil | None = None
+        self, scenario: Scenario, policy: str, seed: int, spoil: FaultInjector | None = None
     ) -> None:
         self.scenario, self.policy_name, self.seed, self.spoil = scenario, policy, seed, spoil
         self.rng = Random(seed)  # what happens: the same for each policy as far as their acts allow
@@ -292,12 +300,15 @@
         factors = [given.spread ** (self.rng.random() - 0.5) for _ in range(given.number)]
         mean = sum(factors) / len(factors)
         self.boxes = {
-            at + 1: Box(at + 1, at % given.zones, at % given.cells, given.size * factor / mean)
+            at + 1: EmulatedServer(
+                at + 1, at % given.zones, at % given.cells, given.size * factor / mean
+            )
             for at, factor in enumerate(factors)
         }
         self.cells = {box.number: (box.zone, box.cell) for box in self.boxes.values()}
         self.seats = [
-            Seat(self, at, at % given.zones) for at in range(self.scenario.balancers.number)
+            EmulatedBalancer(self, at, at % given.zones)
+            for at in range(self.scenario.balancers.number)
         ]
         for seat in self.seats:
             seat.start()
@@ -312,7 +323,7 @@
         for trouble in self.scenario.troubles:
             self.clock.after(int(trouble.at_s * SECOND), self._trouble, trouble)
 
-    def make(self, seat: Seat) -> Any:
+    def make(self, seat: EmulatedBalancer) -> Any:
         """A fresh policy for this seat."""
         given = self.scenario
         rng = Random(f"{self.seed}/{seat.number}/{seat.turn}")
@@ -406,7 +417,7 @@
         return [self._line(box) for box in self.boxes.values()]
 
     @staticmethod
-    def _line(box: Box) -> ListedServer:
+    def _line(box: EmulatedServer) -> ListedServer:
         return ListedServer(box.number, box.zone, 0, box.cell, box.status, 1.0, box.started_at)
 
     def next_login(self) -> int:
@@ -442,12 +453,12 @@
     def _standing(self, workload: int) -> None:
         self._come(self._wish(workload, False))
 
-    def _wish(self, workload: int, counts: bool) -> Wish:
+    def _wish(self, workload: int, counts: bool) -> Arrival:
         given = self.scenario.workloads[workload]
         sigma = 0.0 if given.cost_spread <= 1 else given.cost_spread**0.5 - 1
         cost = self.rng.lognormvariate(-sigma * sigma / 2, sigma) if sigma else 1.0
         group = 1 + int(given.groups * self.rng.random() ** 2) if given.groups else 0
-        return Wish(
+        return Arrival(
             workload,
             self.clock.now,
             cost,
@@ -457,7 +468,7 @@
             counts,
         )
 
-    def _come(self, wish: Wish) -> None:
+    def _come(self, wish: Arrival) -> None:
         """The front: a client gets any balancer that is up."""
         alive = [seat for seat in self.seats if seat.alive]
         wish.tries += 1
@@ -466,14 +477,14 @@
             return
         self.rng.choice(alive).arrive(wish)
 
-    def _come_again(self, wish: Wish) -> None:
+    def _come_again(self, wish: Arrival) -> None:
         given = self.scenario.workloads[wish.workload]
         if wish.tries < given.tries:
             self._come(wish)
         else:
             self._met(wish, 0.0)
 
-    def refused(self, wish: Wish, retry_in: int, how: str) -> None:
+    def refused(self, wish: Arrival, retry_in: int, how: str) -> None:
         given = self.scenario.workloads[wish.workload]
         if how == "terminated":
             self._met(wish, 0.0)
@@ -486,7 +497,7 @@
             wait = 20 * MS
         self.clock.after(wait, self._come_again, wish)
 
-    def _met(self, wish: Wish, quality: float) -> None:
+    def _met(self, wish: Arrival, quality: float) -> None:
         """A wish has its answer, for what that is worth."""
         if wish.done:
             return
@@ -501,7 +512,14 @@
 
     # Hand-offs
 
-    def deliver(self, seat: Seat, way: Way, box: Box, attempt: int, cut_at: int) -> None:
+    def deliver(
+        self,
+        seat: EmulatedBalancer,
+        way: EmulatedLogin,
+        box: EmulatedServer,
+        attempt: int,
+        cut_at: int,
+    ) -> None:
         now, clock, turn = self.clock.now, self.clock, seat.turn
         there = self.delay(seat.zone, box.zone)
         connect_by = min(cut_at, now + int(self.scenario.balancers.connect_ms * MS))
@@ -546,11 +564,17 @@
         clock.at(done, self._set_up, seat, turn, way, box, attempt, there)
 
     @staticmethod
-    def _given_up(box: Box) -> None:
+    def _given_up(box: EmulatedServer) -> None:
         box.pending = max(0, box.pending - 1)
 
     def _failed(
-        self, seat: Seat, turn: int, way: Way, box: Box, attempt: int, outcome: Outcome
+        self,
+        seat: EmulatedBalancer,
+        turn: int,
+        way: EmulatedLogin,
+        box: EmulatedServer,
+        attempt: int,
+        outcome: Outcome,
     ) -> None:
         number = way.login.login
         if (
@@ -568,7 +592,15 @@
             now, number, False, box.number, outcome, attempt, now - way.attempts[attempt][1], None
         )
 
-    def _set_up(self, seat: Seat, turn: int, way: Way, box: Box, attempt: int, back: int) -> None:
+    def _set_up(
+        self,
+        seat: EmulatedBalancer,
+        turn: int,
+        way: EmulatedLogin,
+        box: EmulatedServer,
+        attempt: int,
+        back: int,
+    ) -> None:
         box.pending = max(0, box.pending - 1)
         number = way.login.login
         if (
@@ -586,13 +618,22 @@
             self.clock.after(back, self._failed, seat, turn, way, box, attempt, Outcome.BROKEN)
             return
         self._conns += 1
-        conn = way.conn = Conn(self._conns, box, seat, number, way.wish, now + way.wish.hold)
+        conn = way.conn = EmulatedConnection(
+            self._conns, box, seat, number, way.wish, now + way.wish.hold
+        )
         box.conns[conn.number] = conn
         box.cost += way.wish.cost
         self.clock.at(conn.ends_at, self._over, conn)
         self.clock.after(back, self._opened, seat, turn, way, box, attempt)
 
-    def _opened(self, seat: Seat, turn: int, way: Way, box: Box, attempt: int) -> None:
+    def _opened(
+        self,
+        seat: EmulatedBalancer,
+        turn: int,
+        way: EmulatedLogin,
+        box: EmulatedServer,
+        attempt: int,
+    ) -> None:
         number, now = way.login.login, self.clock.now
         if (
             seat.turn != turn
@@ -617,7 +658,7 @@
             now, number, attempt, box.number, now - way.attempts[attempt][1]
         )
 
-    def _bears(self, box: Box, cost: float) -> bool:
+    def _bears(self, box: EmulatedServer, cost: float) -> bool:
         """Whether a server that warms up bears one more set-up. It works them off at the multiple of the rate at which it
         warms (size over ramp, by its share); when a span's worth of them is queued it falls over."""
         now, given = self.clock.now, self.scenario.servers
@@ -641,11 +682,11 @@
 
     # Connections
 
-    def _over(self, conn: Conn) -> None:
+    def _over(self, conn: EmulatedConnection) -> None:
         if conn.number in conn.box.conns:
             self.end(conn, Outcome.FULFILLED, again=False)
 
-    def end(self, conn: Conn, outcome: Outcome, again: bool) -> None:
+    def end(self, conn: EmulatedConnection, outcome: Outcome, again: bool) -> None:
         """A connection ends; its client comes back where it was not done."""
         box, seat, now = conn.box, conn.seat, self.clock.now
         if box.conns.pop(conn.number, None) is None:
@@ -684,7 +725,7 @@
                 )
         if again and conn.ends_at > now:
             wish = conn.wish
-            back = Wish(
+            back = Arrival(
                 wish.workload,
                 now,
                 wish.cost,
@@ -697,7 +738,13 @@
             self.clock.after(int(self.rng.uniform(20, 400) * MS), self._come, back)
 
     def _tell_end(
-        self, seat: Seat, turn: int, login: int, box: Box, outcome: Outcome, attempt: int
+        self,
+        seat: EmulatedBalancer,
+        turn: int,
+        login: int,
+        box: EmulatedServer,
+        outcome: Outcome,
+        attempt: int,
     ) -> None:
         if seat.alive and seat.turn == turn:
             seat.policy.hand_off_ended(
@@ -706,7 +753,7 @@
 
     # Probes
 
-    def probe(self, seat: Seat, server: int) -> None:
+    def probe(self, seat: EmulatedBalancer, server: int) -> None:
         now, turn, box = self.clock.now, seat.turn, self.boxes.get(server)
         wait = int(self.scenario.balancers.connect_ms * 1.25 * MS)
         self.tally["probes"] += 1
@@ -732,7 +779,7 @@
             now,
         )
 
-    def _report(self, box: Box) -> Report:
+    def _report(self, box: EmulatedServer) -> Report:
         """What it tells is as old as reports are here, and noisy."""
         at = self.clock.now - int(self.scenario.reports.lag_ms * MS)
         count, pressure = len(box.conns), box.pressure(self.clock.now, self.scenario)
@@ -745,7 +792,7 @@
 
     def _probed(
         self,
-        seat: Seat,
+        seat: EmulatedBalancer,
         turn: int,
         server: int,
         outcome: Outcome,
@@ -759,14 +806,14 @@
 
     # The list
 
-    def _list_changed(self, box: Box) -> None:
+    def _list_changed(self, box: EmulatedServer) -> None:
         """Each balancer hears of it after a lag of its own, unless the list is silent."""
         line = self._line(box)
         for seat in self.seats:
             wait = int(self.scenario.lists.lag_ms * MS * self.rng.uniform(0.2, 1.8))
             self.clock.after(wait, self._list_comes, seat, seat.turn, line)
 
-    def _list_comes(self, seat: Seat, turn: int, line: ListedServer) -> None:
+    def _list_comes(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
         if self._mute_list:
             self.clock.after(250 * MS, self._list_comes, seat, turn, line)
         elif seat.alive and seat.turn == turn:
@@ -777,26 +824,26 @@
 
     # Servers stop and start
 
-    def _stop(self, box: Box) -> None:
+    def _stop(self, box: EmulatedServer) -> None:
         box.up = False
         for conn in list(box.conns.values()):
             self.end(conn, Outcome.BROKEN, again=True)
         box.cost, box.pending = 0.0, 0
 
-    def _start(self, box: Box) -> None:
+    def _start(self, box: EmulatedServer) -> None:
         box.up, box.started_at, box.status = True, self.clock.now, Status.READY
         box.queued = 0.0
         box.past.clear()
         self._list_changed(box)
 
-    def _drain(self, box: Box, back_after: int) -> None:
+    def _drain(self, box: EmulatedServer, back_after: int) -> None:
         if box.status is not Status.READY or not box.up:
             return
         box.status = Status.DRAINING
         self._list_changed(box)
         self.clock.after(back_after, self._drained, box)
 
-    def _drained(self, box: Box) -> None:
+    def _drained(self, box: EmulatedServer) -> None:
         box.status = Status.GONE
         self._list_changed(box)
         self._stop(box)
@@ -804,21 +851,21 @@
 
     # Troubles
 
-    def _some(self, part: float) -> list[Box]:
+    def _some(self, part: float) -> list[EmulatedServer]:
         ready = [box for box in self.boxes.values() if box.up and box.status is Status.READY]
         return self.rng.sample(ready, min(len(ready), max(1, round(part * len(ready)))))
 
-    def _trouble(self, given: Trouble) -> None:
+    def _trouble(self, given: Disruption) -> None:
         self.rules.step(self.clock.now, f"trouble: {given.kind}")
         self.clock.note("trouble " + given.kind)
         span = int(given.for_s * SECOND)
         getattr(self, "_" + given.kind.replace(" ", "_") + "_comes")(given, span)
 
-    def _drain_comes(self, given: Trouble, span: int) -> None:
+    def _drain_comes(self, given: Disruption, span: int) -> None:
         for box in self._some(given.part):
             self._drain(box, span)
 
-    def _release_comes(self, given: Trouble, span: int) -> None:
+    def _release_comes(self, given: Disruption, span: int) -> None:
         """One after the other, over the span."""
         boxes = self._some(given.part)
         for at, box in enumerate(boxes):
@@ -829,40 +876,40 @@
                 min(3 * SECOND, span // len(boxes) + SECOND),
             )
 
-    def _vanish_comes(self, given: Trouble, span: int) -> None:
+    def _vanish_comes(self, given: Disruption, span: int) -> None:
         for box in self._some(given.part):
             self._stop(box)
             self.clock.after(span, self._start, box)
 
-    def _silent_server_comes(self, given: Trouble, span: int) -> None:
+    def _silent_server_comes(self, given: Disruption, span: int) -> None:
         for box in self._some(given.part):
             box.silent = True
             self.clock.after(span, setattr, box, "silent", False)
 
-    def _slow_comes(self, given: Trouble, span: int) -> None:
+    def _slow_comes(self, given: Disruption, span: int) -> None:
         for box in self._some(given.part):
             box.slow = given.factor
             self.clock.after(span, setattr, box, "slow", 1.0)
 
-    def _fast_errors_comes(self, given: Trouble, span: int) -> None:
+    def _fast_errors_comes(self, given: Disruption, span: int) -> None:
         for box in self._some(given.part):
             box.errs = True
             self.clock.after(span, setattr, box, "errs", False)
 
-    def _zone_loss_comes(self, given: Trouble, span: int) -> None:
+    def _zone_loss_comes(self, given: Disruption, span: int) -> None:
         zone = self.rng.randrange(self.scenario.servers.zones)
         for box in self.boxes.values():
             if box.zone == zone and box.up:
                 self._stop(box)
                 self.clock.after(span, self._start, box)
 
-    def _balancer_killed_comes(self, given: Trouble, span: int) -> None:
+    def _balancer_killed_comes(self, given: Disruption, span: int) -> None:
         alive = [seat for seat in self.seats if seat.alive]
         for seat in self.rng.sample(alive, min(len(alive), max(1, round(given.part * len(alive))))):
             self._kill(seat)
             self.clock.after(span, seat.start)
 
-    def _kill(self, seat: Seat) -> None:
+    def _kill(self, seat: EmulatedBalancer) -> None:
         seat.alive = False
         for number, way in list(seat.ways.items()):
             self.rules.left(self.clock.now, seat.number, number)
@@ -873,7 +920,7 @@
                 self.clock.after(int(self.rng.uniform(20, 400) * MS), self._come_again, way.wish)
         seat.ways = {}
 
-    def _balancer_restart_comes(self, given: Trouble, span: int) -> None:
+    def _balancer_restart_comes(self, given: Disruption, span: int) -> None:
         """Planned: clients are moved first, over some seconds."""
         alive = [seat for seat in self.seats if seat.alive]
         for seat in self.rng.sample(alive, min(len(alive), max(1, round(given.part * len(alive))))):
@@ -882,25 +929,25 @@
             self.clock.after(LOST_MOVES, self._kill, seat)
             self.clock.after(LOST_MOVES + span, seat.start)
 
-    def _client_drop_comes(self, given: Trouble, span: int) -> None:
+    def _client_drop_comes(self, given: Disruption, span: int) -> None:
         """A carrier's link breaks: a part of all connections ends at once, and their clients come back."""
         conns = [conn for box in self.boxes.values() for conn in box.conns.values()]
         for conn in self.rng.sample(conns, round(given.part * len(conns))):
             self.end(conn, Outcome.BROKEN, again=True)
 
-    def _list_silent_comes(self, given: Trouble, span: int) -> None:
+    def _list_silent_comes(self, given: Disruption, span: int) -> None:
         self._mute_list = True
         self.clock.after(span, setattr, self, "_mute_list", False)
 
-    def _partition_comes(self, given: Trouble, span: int) -> None:
+    def _partition_comes(self, given: Disruption, span: int) -> None:
         self._cut_zones = {self.rng.randrange(self.scenario.servers.zones)}
         self.clock.after(span, setattr, self, "_cut_zones", set())
 
-    def _loss_comes(self, given: Trouble, span: int) -> None:
+    def _loss_comes(self, given: Disruption, span: int) -> None:
         self._extra_loss = given.part
         self.clock.after(span, setattr, self, "_extra_loss", 0.0)
 
-    def _surge_comes(self, given: Trouble, span: int) -> None:
+    def _surge_comes(self, given: Disruption, span: int) -> None:
         self._surge = given.factor
         self.clock.after(span, setattr, self, "_surge", 1.0)
 
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -11,7 +11,7 @@
 
 from corklift.interface import ListedServer, Login, Outcome, Scope, Status
 from corklift.lab.clock import MS, SECOND
-from corklift.lab.fleet import RETRY_MOST, Fleet, Seat, Way, Wish
+from corklift.lab.fleet import RETRY_MOST, Arrival, EmulatedBalancer, EmulatedLogin, Fleet
 from corklift.lab.policies import POLICIES
 from corklift.lab.scenario import Balancers, Scenario, Servers, WorkloadTable
 from corklift.recovery.core import Recovery, RecoveryConfig, RecoveryPhase
@@ -108,7 +108,7 @@
             core.server_unresponsive(now, f"s{server}")
 
 
-class Powered(Seat):
+class Powered(EmulatedBalancer):
     """A balancer that comes back by its recovery."""
 
     fleet: Power
@@ -246,7 +246,7 @@
 
     # Clients
 
-    def arrive(self, wish: Wish) -> None:
+    def arrive(self, wish: Arrival) -> None:
         core, now = self.core, self.fleet.clock.now
         if core is None or core.phase is RecoveryPhase.FULL:
             super().arrive(wish)
@@ -261,7 +261,7 @@
         login = Login(
             number, wish.workload, 0, wish.subject, now + workload.time_limit, None, wish.group
         )
-        self.ways[number] = Way(login, wish)
+        self.ways[number] = EmulatedLogin(login, wish)
         self.fleet.rules.arrived(now, self.number, login, workload)
         super().bounce(number, wait)
 
@@ -433,7 +433,7 @@
         for seat in self.seats:
             seat.start()
 
-    def make(self, seat: Seat) -> Any:
+    def make(self, seat: EmulatedBalancer) -> Any:
         given = self.scenario
         return POLICIES["module"](
             seat,
@@ -470,7 +470,7 @@
     def told_lines(self) -> list[ListedServer]:
         return self._old if self._old is not None else self.lines()
 
-    def living(self, seat: Seat) -> list[str]:
+    def living(self, seat: EmulatedBalancer) -> list[str]:
         now, period = self.clock.now, self.day.period
         return [
             f"b{other.number}"
@@ -582,7 +582,7 @@
                 self._lose(seat)
                 self.clock.after(self.day.period, self._boot_seat, seat)
 
-    def _lose(self, seat: Seat) -> None:
+    def _lose(self, seat: EmulatedBalancer) -> None:
         if seat.alive:
             self._kill(seat)
 
@@ -614,7 +614,7 @@
             if seat.alive:
                 seat.take_list(self.lines(), True)
 
-    def _list_comes(self, seat: Seat, turn: int, line: ListedServer) -> None:
+    def _list_comes(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
         if self._old is not None:
             return  # it tells of before, till the true one is back
         super()._list_comes(seat, turn, line)
@@ -674,7 +674,7 @@
 
     # What is seen
 
-    def sent(self, seat: Seat, server: int) -> None:
+    def sent(self, seat: EmulatedBalancer, server: int) -> None:
         now = self.clock.now
         out, leaving = self.out.get(server), self.leaving.get(server)
         known = self.day.period  # for a word to come to all
@@ -691,11 +691,13 @@
                 f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.began) / SECOND:.2f} s"
             )
 
-    def stepped(self, seat: Seat, step: RecoveryPhase) -> None:
+    def stepped(self, seat: EmulatedBalancer, step: RecoveryPhase) -> None:
         if self.cut_at:
             self.steps.setdefault(step, []).append(self.clock.now - self.cut_at)
 
-    def _opened(self, seat: Seat, turn: int, way: Way, box: Any, attempt: int) -> None:
+    def _opened(
+        self, seat: EmulatedBalancer, turn: int, way: EmulatedLogin, box: Any, attempt: int
+    ) -> None:
         before = self.tally["fulfilled"]
         super()._opened(seat, turn, way, box, attempt)
         if self.tally["fulfilled"] > before:
--- a/corklift/lab/rules.py
+++ b/corklift/lab/rules.py
@@ -16,14 +16,14 @@
 TRACE = 40  # last steps kept for a trace
 
 
-class Break(NamedTuple):
+class Violation(NamedTuple):
     rule: int
     at: int  # ns since the start
     what: str
     trace: tuple[str, ...]
 
 
-class Followed:
+class TrackedLogin:
     """A login on its way to its answer."""
 
     __slots__ = ("login", "workload", "balancer", "sent", "outcomes", "answered")
@@ -38,13 +38,13 @@
 class Rules:
     def __init__(self, began: int) -> None:
         self._began = began
-        self._open: dict[tuple[int, int], Followed] = {}  # by balancer and login
+        self._open: dict[tuple[int, int], TrackedLogin] = {}  # by balancer and login
         self._steps: deque[str] = deque(maxlen=TRACE)
         self._told: dict[
             tuple[int, int], int
         ] = {}  # by balancer and server: when it was told that it leaves
         self.broken: Counter[int] = Counter()
-        self.first: dict[int, Break] = {}
+        self.first: dict[int, Violation] = {}
 
     def step(self, now: int, text: str) -> None:
         self._steps.append(f"{(now - self._began) / MS:12.3f} ms  {text}")
@@ -53,12 +53,12 @@
         self.broken[rule] += 1
         if rule not in self.first:
             self.step(now, f"RULE {rule}: {what}")
-            self.first[rule] = Break(rule, now - self._began, what, tuple(self._steps))
+            self.first[rule] = Violation(rule, now - self._began, what, tuple(self._steps))
 
     # What happens
 
     def arrived(self, now: int, balancer: int, login: Login, workload: Workload) -> None:
-        self._open[balancer, login.login] = Followed(login, workload, balancer)
+        self._open[balancer, login.login] = TrackedLogin(login, workload, balancer)
         self.step(now, f"balancer {balancer}: login {login.login} ({workload.name}) arrives")
 
     def told_leaving(self, now: int, balancer: int, server: int) -> None:
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -21,7 +21,7 @@
 Least = Annotated[float, Meta(ge=0, le=1e9)]
 
 
-class BadScenario(Exception):
+class ScenarioError(Exception):
     """Names the key that is wrong."""
 
 
@@ -89,7 +89,7 @@
     tries: Annotated[int, Meta(ge=1, le=100)] = 5
 
 
-KINDS = (
+DISRUPTION_KINDS = (
     "drain",
     "release",
     "vanish",
@@ -107,8 +107,8 @@
 )
 
 
-class Trouble(Table):
-    kind: Literal[KINDS]  # type: ignore[valid-type]
+class Disruption(Table):
+    kind: Literal[DISRUPTION_KINDS]  # type: ignore[valid-type]
     at_s: Least
     for_s: Positive = 5.0
     part: Part = 0.2  # of what it hits: servers, clients, balancers
@@ -129,7 +129,7 @@
     workloads: Annotated[list[WorkloadTable], Meta(min_length=1)] = msgspec.field(
         default_factory=lambda: [WorkloadTable(name="plain")]
     )
-    troubles: list[Trouble] = []
+    troubles: list[Disruption] = []
 
     def decisions(self) -> list[Workload]:
         """The workloads as the decision module takes them."""
@@ -169,25 +169,25 @@
 
 def experiment(content: bytes) -> Experiment:
     """Raises:
-    BadScenario: names the key that is wrong.
+    ScenarioError: names the key that is wrong.
     """
     try:
         found = msgspec.toml.decode(content, type=Experiment)
     except msgspec.ValidationError as problem:
-        raise BadScenario(_told(problem)) from None
+        raise ScenarioError(_told(problem)) from None
     except (msgspec.DecodeError, ValueError, RecursionError) as problem:
-        raise BadScenario(f"not TOML: {problem}") from None
+        raise ScenarioError(f"not TOML: {problem}") from None
     for at, workload in enumerate(found.scenario.workloads):
         if workload.soft_limit_ms > workload.time_limit_ms:
-            raise BadScenario(f"scenario.workloads[{at}].soft_limit_ms is over time_limit_ms")
+            raise ScenarioError(f"scenario.workloads[{at}].soft_limit_ms is over time_limit_ms")
     for at, trouble in enumerate(found.scenario.troubles):
         if trouble.at_s >= found.scenario.seconds:
-            raise BadScenario(f"scenario.troubles[{at}].at_s is after the end")
+            raise ScenarioError(f"scenario.troubles[{at}].at_s is after the end")
     from corklift.lab.policies import POLICIES
 
     for name in found.policies:
         if name not in POLICIES:
-            raise BadScenario(f"policies names {name!r}; there are {', '.join(POLICIES)}")
+            raise ScenarioError(f"policies names {name!r}; there are {', '.join(POLICIES)}")
     for path, values in found.vary.items():
         for value in values:
             varied(found.scenario, path, value)
@@ -203,7 +203,7 @@
     """The scenario with one key set to another value: `servers.number`, `workloads.0.rate`.
 
     Raises:
-        BadScenario: there is no such key, or the value is out of its range.
+        ScenarioError: there is no such key, or the value is out of its range.
     """
     plain = msgspec.to_builtins(scenario)
     table = plain
@@ -215,8 +215,8 @@
             raise KeyError(last)
         table[last] = value
     except (KeyError, IndexError, ValueError, TypeError):
-        raise BadScenario(f"vary.{path}: there is no such key") from None
+        raise ScenarioError(f"vary.{path}: there is no such key") from None
     try:
         return msgspec.convert(plain, Scenario)
     except msgspec.ValidationError as problem:
-        raise BadScenario(f"vary.{path}: {_told(problem)}") from None
+        raise ScenarioError(f"vary.{path}: {_told(problem)}") from None
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,12 +17,12 @@
 from corklift.lab.fleet import Fleet
 from corklift.lab.policies import POLICIES
 from corklift.lab.scenario import (
-    KINDS,
-    BadScenario,
+    DISRUPTION_KINDS,
     Balancers,
+    Disruption,
     Scenario,
+    ScenarioError,
     Servers,
-    Trouble,
     WorkloadTable,
     experiment,
     varied,
@@ -45,7 +45,7 @@
 def troubled(*kinds, **options):
     return SMALL.__class__(
         **{f: getattr(SMALL, f) for f in SMALL.__struct_fields__ if f != "troubles"},
-        troubles=[Trouble(kind=kind, at_s=5.0, for_s=3.0, **options) for kind in kinds],
+        troubles=[Disruption(kind=kind, at_s=5.0, for_s=3.0, **options) for kind in kinds],
     )
 
 
@@ -85,7 +85,7 @@
     assert len(told) == 1
 
 
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", DISRUPTION_KINDS)
 def test_every_trouble_is_played_and_the_module_keeps_the_rules_in_it(kind):
     calm, fleet = Fleet(SMALL, "module", 2), Fleet(troubled(kind, part=0.34), "module", 2)
     calm.run()
@@ -262,7 +262,7 @@
 )
 def test_a_wrong_key_unit_or_range_is_refused_by_its_name(change, key):
     assert experiment(GOOD.encode()).scenario.seconds == 20.0
-    with pytest.raises(BadScenario) as problem:
+    with pytest.raises(ScenarioError) as problem:
         experiment(GOOD.replace(*change).encode())
     assert key in str(problem.value)
 
