--- a/corklift/settings.py
+++ b/corklift/settings.py
@@ -65,9 +65,9 @@
 
 def _check_goal(goal: Any) -> None:
     """Validates the service goal of the deployment. No decision depends on it yet."""
-    part = _get_number(goal, "nines-part", "goal.", 0.0)
-    full = _get_number(goal, "top-nines", "goal.", 0.0)
-    if part and not full:
+    nines_part = _get_number(goal, "nines-part", "goal.", 0.0)
+    top_nines = _get_number(goal, "top-nines", "goal.", 0.0)
+    if nines_part and not top_nines:
         raise SettingsError(
             "settings: goal.top-nines holds 0; it must be greater if goal.nines-part is set"
         )
