--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -544,21 +544,23 @@
 
 
 def _load_scenario(path: str) -> Any:
-    from corklift.rig.scenario import BadScenario, read
+    from corklift.rig.scenario import ScenarioError, read_scenario
 
     try:
-        return read(path)
-    except BadScenario as problem:
+        return read_scenario(path)
+    except ScenarioError as problem:
         raise click.ClickException(str(problem)) from None
 
 
 def _print_verdict(events: Any) -> int:
-    from corklift.rig.checker import around, judge
+    from corklift.rig.checker import events_around, find_violations
 
-    found = judge(events, max(event.at for event in events))
+    found = find_violations(events, max(event.at for event in events))
     if found:
         first = found[0]
-        click.echo(f"{first.promise} broken: {first.what}\n" + "\n".join(around(events, first.at)))
+        click.echo(
+            f"{first.promise} broken: {first.what}\n" + "\n".join(events_around(events, first.at))
+        )
     logins = sum(event.what == "login" for event in events)
     click.echo(
         f"{logins} logins, {len(found)} violations" + ("" if found else ": all promises kept")
@@ -571,13 +573,13 @@
 ) -> int:
     import msgspec
 
-    from corklift.rig.scenario import play, written
+    from corklift.rig.scenario import encode_events, run_scenario
 
-    played = play(
+    played = run_scenario(
         given,
         peers=peers,
         seed=seed,
-        spoil=spoil,
+        mutants=spoil,
         show=click.echo if verbose else lambda text: None,
     )
     if out:
@@ -588,7 +590,7 @@
                 "seed": seed,
                 "spoil": spoil,
             }
-            file.write(msgspec.json.encode(head).decode() + "\n" + written(played.events))
+            file.write(msgspec.json.encode(head).decode() + "\n" + encode_events(played.events))
     return _print_verdict(played.events)
 
 
@@ -615,8 +617,8 @@
     file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool
 ) -> None:
     given = _load_scenario(file)
-    spoilt = dict(item.partition("=")[::2] for item in spoil)
-    sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, spoilt, out, verbose))
+    mutants = dict(item.partition("=")[::2] for item in spoil)
+    sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, mutants, out, verbose))
 
 
 @rig.command("list", help="List the scenarios of a folder, and the deliberate faults.")
@@ -624,7 +626,7 @@
 def rig_list(folder: str) -> None:
     import os
 
-    from corklift.rig.spoilt import FAULTS
+    from corklift.rig.mutants import MUTANTS
 
     for name in sorted(os.listdir(folder)):
         if name.endswith(".toml"):
@@ -633,7 +635,7 @@
                 f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  "
                 f"{given.name}"
             )
-    for fault_name, made in FAULTS.items():
+    for fault_name, made in MUTANTS.items():
         click.echo(f"{fault_name:24} {(made.__doc__ or '').strip()}")
 
 
@@ -664,12 +666,12 @@
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), default="rig.html", show_default=True)
 def rig_report(file: str, out: str) -> None:
-    from corklift.rig.report import page
-    from corklift.rig.scenario import events_of
+    from corklift.rig.report import render_page
+    from corklift.rig.scenario import decode_events
 
     with open(file, encoding="utf-8") as content:
         head = content.readline()
-        events = events_of(content.read())
+        events = decode_events(content.read())
     with open(out, "w", encoding="utf-8") as page_file:
-        page_file.write(page(head, events))
+        page_file.write(render_page(head, events))
     click.echo(f"{out}: {len(events)} events")
--- a/corklift/standins/transcriber.py
+++ b/corklift/standins/transcriber.py
@@ -1,7 +1,7 @@
-"""Stand-in transcribers: long-lived connections by the line protocol, and gRPC calls, at one address.
+"""A stand-in transcriber: connections by the line protocol and gRPC calls at one address.
 
-Owns what it was sent and when: that is what tests and benchmarks measure. `power` is what it can hold against the
-others; its report tells the load asked over what it can do.
+It reports each login and call that reaches it, with the time; tests and benchmarks measure by that.
+Its load report is its number of open connections over its `size`.
 """
 
 from __future__ import annotations
@@ -21,47 +21,68 @@
 LIMITS = Limits(
     clients=0, waiting=0, probes=0, connect_time=SECOND, stop_time=SECOND, line=1024, ring=2048
 )
-SAY, HOLD = "/standin.Transcriber/Say", "/standin.Transcriber/Hold"
+SAY_METHOD, HOLD_METHOD = "/standin.Transcriber/Say", "/standin.Transcriber/Hold"
 _OPEN = re.compile(rb"OPEN (\S+) (\S+) (\S+)\r\n")
 
 
-class Placed(NamedTuple):
-    at: int  # ns
+class Placement(NamedTuple):
+    """A login or call that reached a transcriber.
+
+    `at` is in nanoseconds. `by` is the client's label in its login line, or the peer's address for
+    a call. `what` is the rest of the login line, or the name of the call.
+    """
+
+    at: int
     server: str
-    by: str  # who placed it
+    by: str
     what: str
 
 
 class Transcriber:
+    """A server that answers logins, probes and gRPC calls.
+
+    `size` is the number of connections that fill it; `ramp` is its warm-up time in nanoseconds.
+    Subclasses override the `_on_...` methods to follow a connection of the line protocol.
+    """
+
     def __init__(
         self,
         scheduler: Scheduler,
         name: str,
         size: float,
-        note: Callable[[Placed], None],
+        on_placement: Callable[[Placement], None],
         ramp: int = 0,
     ) -> None:
-        self._scheduler, self.name, self.size, self._note = scheduler, name, size, note
-        self.open = 0
-        self.fails = False  # turns down all that is new
-        self.silent = False  # answers no probe
+        self._scheduler, self.name, self.size, self._on_placement = (
+            scheduler,
+            name,
+            size,
+            on_placement,
+        )
+        self.open_connections = 0
+        # True: new logins are answered with an error.
+        self.fails = False
+        # True: probes get no answer.
+        self.silent = False
         self.ramp, self.started_at = ramp, scheduler.now()
         self._rpc = RpcServer(
             scheduler,
             RpcLimits(max_connections=5000, ping_after=0, max_streams=1000),
             Counters(),
-            {SAY: unary(self._say), HOLD: self._hold},
+            {SAY_METHOD: unary(self._handle_say), HOLD_METHOD: self._handle_hold},
         )
         self._listener: socket.socket | None = None
         self.port = 0
 
     def listen(self) -> int:
+        """Opens the listening socket and returns its port."""
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=1024)
         self._listener.setblocking(False)
         self.port = int(self._listener.getsockname()[1])
         return self.port
 
-    def keep_accepting(self) -> None:
+    def accept_loop(self) -> None:
+        """Accepts connections for ever, each served by a task of its own."""
         assert self._listener is not None
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
@@ -70,27 +91,27 @@
                     sock, address = self._listener.accept()
                 except OSError:
                     break
-                self._scheduler.spawn(self._take, sock, "%s:%d" % address)
+                self._scheduler.spawn(self._serve_connection, sock, "%s:%d" % address)
 
-    def _take(self, sock: socket.socket, peer: str) -> None:
-        """Lines or HTTP/2: the first bytes tell."""
+    def _serve_connection(self, sock: socket.socket, peer: str) -> None:
+        """Serves HTTP/2 if the connection starts with its preface, else the line protocol."""
         sock.setblocking(False)
         while True:
             try:
-                first = sock.recv(3, socket.MSG_PEEK)
+                first_bytes = sock.recv(3, socket.MSG_PEEK)
                 break
             except BlockingIOError:
                 self._scheduler.wait({sock.fileno(): READ})
             except OSError:
                 sock.close()
                 return
-        if first == b"PRI":
+        if first_bytes == b"PRI":
             self._rpc.serve_connection(sock, peer)
             return
-        self._lines(Stream(sock, LIMITS))
+        self._serve_lines(Stream(sock, LIMITS))
 
-    def _lines(self, stream: Stream) -> None:
-        up, login = False, ""
+    def _serve_lines(self, stream: Stream) -> None:
+        logged_in, login = False, ""
         try:
             while True:
                 stream.receive()
@@ -99,23 +120,24 @@
                     if stream.peer_closed or stream.broken:
                         return
                     self._scheduler.wait({stream.fd: READ})
-                elif line == b"STATS\r\n" and not up:
-                    self._probed()
+                elif line == b"STATS\r\n" and not logged_in:
+                    self._on_probe()
                     while self.silent:
                         self._scheduler.sleep(SECOND // 10)
                     stream.write(
-                        b"PONG inflight=%d,x0=%.4f\r\n" % (self.open, self.open / self.size)
+                        b"PONG inflight=%d,x0=%.4f\r\n"
+                        % (self.open_connections, self.open_connections / self.size)
                     )
-                elif (found := _OPEN.fullmatch(line)) and not up:
-                    login = found[1].decode()
-                    self._opening()
+                elif (match := _OPEN.fullmatch(line)) and not logged_in:
+                    login = match[1].decode()
+                    self._on_login()
                     if self.fails:
-                        self._turned_away(login)
+                        self._on_rejected(login)
                         stream.write(b"ERR\r\n")
                         return
-                    up = True
-                    self.open += 1
-                    self._placed(login, found[2].decode(), found[3].decode())
+                    logged_in = True
+                    self.open_connections += 1
+                    self._on_placed(login, match[2].decode(), match[3].decode())
                     stream.write(b"UP %s\r\n" % self.name.encode())
                 elif line == b"quit\r\n":
                     stream.write(b"BYE\r\n")
@@ -125,40 +147,43 @@
         except LineTooLongError:
             return
         finally:
-            if up:
-                self.open -= 1
-                self._ended(login)
+            if logged_in:
+                self.open_connections -= 1
+                self._on_closed(login)
             stream.close()
 
-    # What a further stand-in does at each step of a connection by lines
+    # Hooks for subclasses, called at each step of a connection of the line protocol.
 
-    def _opening(self) -> None:
-        """A login has come; may wait."""
+    def _on_login(self) -> None:
+        """Called when a login arrives, before it is answered; it may block."""
 
-    def _probed(self) -> None:
+    def _on_probe(self) -> None:
         pass
 
-    def _turned_away(self, login: str) -> None:
+    def _on_rejected(self, login: str) -> None:
         pass
 
-    def _placed(self, login: str, by: str, what: str) -> None:
-        self._note(Placed(self._scheduler.now(), self.name, by, what))
+    def _on_placed(self, login: str, by: str, what: str) -> None:
+        self._on_placement(Placement(self._scheduler.now(), self.name, by, what))
 
-    def _ended(self, login: str) -> None:
+    def _on_closed(self, login: str) -> None:
         pass
 
-    def _say(self, call: RpcCall, request: bytes) -> bytes:
-        self._note(Placed(self._scheduler.now(), self.name, call.peer, "say"))
+    def _handle_say(self, call: RpcCall, request: bytes) -> bytes:
+        self._on_placement(Placement(self._scheduler.now(), self.name, call.peer, "say"))
         return self.name.encode()
 
-    def _hold(self, call: RpcCall) -> None:
-        """A stream that lasts: its first message is answered with this server's name, all others with themselves."""
-        self._note(Placed(self._scheduler.now(), self.name, call.peer, "hold"))
-        self.open += 1
+    def _handle_hold(self, call: RpcCall) -> None:
+        """Serves a long-lived stream.
+
+        The first message is answered with the server's name, all others are echoed.
+        """
+        self._on_placement(Placement(self._scheduler.now(), self.name, call.peer, "hold"))
+        self.open_connections += 1
         try:
-            first = True
+            is_first = True
             while (message := call.receive()) is not None:
-                call.send(self.name.encode() if first else message)
-                first = False
+                call.send(self.name.encode() if is_first else message)
+                is_first = False
         finally:
-            self.open -= 1
+            self.open_connections -= 1
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -24,7 +24,7 @@
 from corklift.control.weights import TOTAL_WEIGHT, WeightPublisher, WeightSettings
 from corklift.net.limits import MS, SECOND
 from corklift.rpc.core import RpcLimits
-from corklift.standins.proxy import CDS, EDS, Habits
+from corklift.standins.proxy import CDS, EDS, ProxyBehaviour
 
 ROOT = Path(__file__).parent.parent
 ALL_SERVERS = ("s1", "s2", "s3")
@@ -35,11 +35,11 @@
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
-        proxies = [fleet.proxy(service, Habits(incremental=n % 2 == 1)) for n in range(4)]
+        proxies = [fleet.proxy(service, ProxyBehaviour(incremental=n % 2 == 1)) for n in range(4)]
         for proxy in proxies:
             fleet.wait_for_servers(proxy, *ALL_SERVERS)
         # A busy server gets less, and placements by proxies count before the next probe.
-        fleet.do(lambda: setattr(fleet.servers["s1"], "open", 60))
+        fleet.do(lambda: setattr(fleet.servers["s1"], "open_connections", 60))
         wait_for(lambda: all(fleet.weights(p).get("s1", 0) < TOTAL_WEIGHT / 20 for p in proxies))
         for number in range(40):
             fleet.do(lambda: fleet.scheduler.spawn(proxies[number % 4].place, "plain", 60 * SECOND))
@@ -63,12 +63,12 @@
         service = fleet.service("", "[weights]\nevery_ms = 100")
         # Rejects the second response of endpoints: a change of weights, not the drain.
         reject = lambda url, names, count: "entry s1 is odd" if url == EDS and count == 2 else None  # noqa: E731
-        silent = fleet.proxy(service, Habits(incremental, acks=False))
-        rejecting = fleet.proxy(service, Habits(incremental, refuses=reject))
+        silent = fleet.proxy(service, ProxyBehaviour(incremental, acks=False))
+        rejecting = fleet.proxy(service, ProxyBehaviour(incremental, refuses=reject))
         for proxy in (silent, rejecting):
             fleet.wait_for_servers(proxy, *ALL_SERVERS)
-        fleet.do(lambda: setattr(fleet.servers["s1"], "open", 50))
-        wait_for(lambda: rejecting.held.refused)
+        fleet.do(lambda: setattr(fleet.servers["s1"], "open_connections", 50))
+        wait_for(lambda: rejecting.state.refused)
 
         def rejected_rows():
             answer = fetch_status(("127.0.0.1", service.port), node=rejecting.node)
@@ -90,7 +90,7 @@
     with Fleet() as fleet:
         fleet.list_all()
         service = fleet.service()
-        proxies = [fleet.proxy(service, Habits(incremental=n == 1)) for n in range(2)]
+        proxies = [fleet.proxy(service, ProxyBehaviour(incremental=n == 1)) for n in range(2)]
         for proxy in proxies:
             fleet.wait_for_servers(proxy, *ALL_SERVERS)
         for round_ in range(3):
@@ -106,8 +106,8 @@
         for proxy in proxies:
 
             def forge_versions(proxy=proxy):
-                proxy.held.versions = dict.fromkeys(proxy.held.versions, "never issued")
-                proxy.held.resources[EDS] = {"plain": ("never issued", b""), "gone": ("5", b"")}
+                proxy.state.versions = dict.fromkeys(proxy.state.versions, "never issued")
+                proxy.state.resources[EDS] = {"plain": ("never issued", b""), "gone": ("5", b"")}
                 proxy.channel.abort_connection()
 
             fleet.do(forge_versions)
@@ -223,7 +223,7 @@
         service = fleet.service("", "[weights]\nevery_ms = 500")
         proxy = fleet.proxy(service)
         fleet.wait_for_servers(proxy, *ALL_SERVERS)
-        responses_before, started_at = proxy.held.responses[EDS], time.monotonic()
+        responses_before, started_at = proxy.state.responses[EDS], time.monotonic()
         removed_at = []
         for number in range(40):  # alternates between ready and draining every 50 ms
             fleet.mark("s1", "leaving" if number % 2 == 0 else "active")
@@ -233,7 +233,7 @@
                 removed_at.append(time.monotonic())
         elapsed = time.monotonic() - started_at
         # At most one return and one removal per interval of 0.5 s.
-        assert proxy.held.responses[EDS] - responses_before <= 2 * (elapsed / 0.5 + 2)
+        assert proxy.state.responses[EDS] - responses_before <= 2 * (elapsed / 0.5 + 2)
         fleet.mark("s1", "leaving")
         for name in ALL_SERVERS:
             fleet.mark(name, "left")
@@ -254,7 +254,7 @@
         assert proxy.connected is False and not service.program.subscriptions.has_snapshot
         fleet.discovery.silent = False
         fleet.wait_for_servers(proxy, *ALL_SERVERS)
-        fleet.discovery.cuts = 3
+        fleet.discovery.truncated_responses = 3
         fleet.mark("s1", "leaving")
         wait_for(lambda: "s1" not in fleet.weights(proxy), 3)
         assert fleet.weights(proxy) and service.program.counters["discovery failures"] >= 3
@@ -267,7 +267,7 @@
         proxies = [
             fleet.proxy(
                 service,
-                Habits(incremental=n % 2 == 1, reports=False),
+                ProxyBehaviour(incremental=n % 2 == 1, reports=False),
                 limits=RpcLimits(ping_after=0, initial_backoff=400 * MS, ring=8192),
             )
             for n in range(200)
@@ -325,7 +325,7 @@
             fleet.wait_for_servers(proxies[0], "s2", "s3")
             sleep(1.0)
             fleet.wait_for_servers(proxies[1], *ALL_SERVERS)  # its list has no drain yet
-            other.do(lambda: other.discovery.mark("s1", "leaving"))
+            other.do(lambda: other.discovery.set_status("s1", "leaving"))
             fleet.wait_for_servers(proxies[1], "s2", "s3")
             wait_for(
                 lambda: (
@@ -335,9 +335,9 @@
             )
             # A proxy that moves from one service to the other is sent nothing.
             sent = two.program.counters["response bytes"]
-            held = proxies[0].held
+            held = proxies[0].state
             moved = fleet.proxy(two)
-            moved.held.versions, moved.held.resources, moved.held.names = (
+            moved.state.versions, moved.state.resources, moved.state.names = (
                 held.versions,
                 held.resources,
                 held.names,
@@ -357,7 +357,7 @@
         )
         proxies = [fleet.proxy(service) for _ in range(200)]
         for server in fleet.servers.values():
-            server.open += 40
+            server.open_connections += 40
         wait_for(lambda: all(fleet.weights(p) for p in proxies), 15)
 
         def place_logins():
@@ -370,7 +370,7 @@
         sleep(3)
 
         def restart():  # s1 returns cold
-            fleet.servers["s1"].open = 0
+            fleet.servers["s1"].open_connections = 0
             fleet.discovery.put(
                 "s1", ("127.0.0.1", fleet.servers["s1"].port), since_ms=fleet.scheduler.now() // MS
             )
@@ -421,7 +421,7 @@
         fleet.do(lambda: fleet.discovery.put("s1", ("127.0.0.1", other)))
         wait_for(
             lambda: (
-                [a for n, a in zip(*proxy.held.servers("plain")[:2]) if n == "s1"]
+                [a for n, a in zip(*proxy.state.assignment("plain")[:2]) if n == "s1"]
                 == [("127.0.0.1", other)]
             ),
             0.5,
@@ -478,16 +478,16 @@
         fleet.wait_for_servers(proxy, *ALL_SERVERS)
         fleet.mark("s1", "leaving")
         fleet.wait_for_servers(proxy, "s2", "s3")
-        body = proxy.held.resources[EDS]["plain"][1]
+        body = proxy.state.resources[EDS]["plain"][1]
         assert b"s1" in body  # still listed, so open connections stay, but without a weight
         fleet.mark("s1", "left")
-        wait_for(lambda: b"s1" not in proxy.held.resources[EDS]["plain"][1])
+        wait_for(lambda: b"s1" not in proxy.state.resources[EDS]["plain"][1])
 
 
 def test_a_grpcio_client_follows_our_weights_and_leaves_a_draining_server_in_time():
     with Fleet() as fleet:
         for name, standing in zip(ALL_SERVERS, (10, 20, 60)):
-            fleet.servers[name].open = standing
+            fleet.servers[name].open_connections = standing
         fleet.list_all()
         # Published once and then fixed: hundreds of calls a second would otherwise change the
         # weights during the measurement.
@@ -667,7 +667,7 @@
             process.send_signal(signal.SIGHUP)
             next_line("configuration taken")
             # The cluster is removed once no route refers to it.
-            wait_for(lambda: set(proxy.held.resources[CDS]) == {"more"})
+            wait_for(lambda: set(proxy.state.resources[CDS]) == {"more"})
             process.send_signal(signal.SIGTERM)
             assert process.wait(5) == 0
             counters = next_line("counters")
