--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -555,43 +555,44 @@
 def _print_verdict(events: Any) -> int:
     from corklift.rig.checker import events_around, find_violations
 
-    found = find_violations(events, max(event.at for event in events))
-    if found:
-        first = found[0]
+    violations = find_violations(events, max(event.at for event in events))
+    if violations:
+        first = violations[0]
         click.echo(
             f"{first.promise} broken: {first.what}\n" + "\n".join(events_around(events, first.at))
         )
     logins = sum(event.what == "login" for event in events)
     click.echo(
-        f"{logins} logins, {len(found)} violations" + ("" if found else ": all promises kept")
+        f"{logins} logins, {len(violations)} violations"
+        + ("" if violations else ": all promises kept")
     )
-    return 1 if found else 0
+    return 1 if violations else 0
 
 
-def _play_rig(
-    given: Any, peers: bool, seed: int, spoil: dict[str, str], out: str | None, verbose: bool
+def _run_rig_scenario(
+    scenario: Any, peers: bool, seed: int, mutants: dict[str, str], out: str | None, verbose: bool
 ) -> int:
     import msgspec
 
     from corklift.rig.scenario import encode_events, run_scenario
 
-    played = run_scenario(
-        given,
+    result = run_scenario(
+        scenario,
         peers=peers,
         seed=seed,
-        mutants=spoil,
+        mutants=mutants,
         show=click.echo if verbose else lambda text: None,
     )
     if out:
         with open(out, "w", encoding="utf-8") as file:
-            head = {
-                "scenario": msgspec.to_builtins(given),
+            header = {
+                "scenario": msgspec.to_builtins(scenario),
                 "peers": peers,
                 "seed": seed,
-                "spoil": spoil,
+                "spoil": mutants,
             }
-            file.write(msgspec.json.encode(head).decode() + "\n" + encode_events(played.events))
-    return _print_verdict(played.events)
+            file.write(msgspec.json.encode(header).decode() + "\n" + encode_events(result.events))
+    return _print_verdict(result.events)
 
 
 @rig.command("run", help="Run a scenario and check it; exits with 1 if a promise is broken.")
@@ -616,9 +617,13 @@
 def rig_run(
     file: str, out: str | None, peers: bool, seed: int | None, spoil: tuple[str, ...], verbose: bool
 ) -> None:
-    given = _load_scenario(file)
+    scenario = _load_scenario(file)
     mutants = dict(item.partition("=")[::2] for item in spoil)
-    sys.exit(_play_rig(given, peers, given.seed if seed is None else seed, mutants, out, verbose))
+    sys.exit(
+        _run_rig_scenario(
+            scenario, peers, scenario.seed if seed is None else seed, mutants, out, verbose
+        )
+    )
 
 
 @rig.command("list", help="List the scenarios of a folder, and the deliberate faults.")
@@ -630,13 +635,13 @@
 
     for name in sorted(os.listdir(folder)):
         if name.endswith(".toml"):
-            given = _load_scenario(os.path.join(folder, name))
+            scenario = _load_scenario(os.path.join(folder, name))
             click.echo(
-                f"{name:24} {given.seconds:5.0f} s, {given.fleet.balancers:2} balancers  "
-                f"{given.name}"
+                f"{name:24} {scenario.seconds:5.0f} s, {scenario.fleet.balancers:2} balancers  "
+                f"{scenario.name}"
             )
-    for fault_name, made in MUTANTS.items():
-        click.echo(f"{fault_name:24} {(made.__doc__ or '').strip()}")
+    for fault_name, mutant in MUTANTS.items():
+        click.echo(f"{fault_name:24} {(mutant.__doc__ or '').strip()}")
 
 
 @rig.command("replay", help="Run again what `run --out` wrote, and check it.")
@@ -649,13 +654,13 @@
     from corklift.rig.scenario import Scenario
 
     with open(file, encoding="utf-8") as content:
-        head = json.loads(content.readline())
+        header = json.loads(content.readline())
     sys.exit(
-        _play_rig(
-            msgspec.convert(head["scenario"], Scenario),
-            head["peers"],
-            head["seed"],
-            head["spoil"],
+        _run_rig_scenario(
+            msgspec.convert(header["scenario"], Scenario),
+            header["peers"],
+            header["seed"],
+            header["spoil"],
             None,
             False,
         )
@@ -670,8 +675,8 @@
     from corklift.rig.scenario import decode_events
 
     with open(file, encoding="utf-8") as content:
-        head = content.readline()
+        header = content.readline()
         events = decode_events(content.read())
     with open(out, "w", encoding="utf-8") as page_file:
-        page_file.write(render_page(head, events))
+        page_file.write(render_page(header, events))
     click.echo(f"{out}: {len(events)} events")
