--- a/corklift/rig/links.py
+++ b/corklift/rig/links.py
@@ -1,7 +1,7 @@
-"""Links on loopback whose faults are played: one for each directed pair of who calls and who is called.
+"""Links on loopback with faults: one for each directed pair of a caller and a callee.
 
-Owns the doors and connections of links. A link passes bytes both ways until it is told otherwise. Must never look into what
-passes, or hold up another link.
+A link accepts connections at a port of its own and passes bytes both ways, without looking at them,
+until a fault is set. Each connection has a task of its own, so links don't delay each other.
 """
 
 from __future__ import annotations
@@ -16,60 +16,81 @@
 from corklift.net.scheduler import READ, WRITE, Scheduler, Task
 from corklift.net.stream import Stream
 
-PASSES = 16 << 10  # bytes of a ring; also what is taken in at a time
+# Size of a stream's buffers, and the most that one direction of a connection holds back.
+BUFFER_BYTES = 16 << 10
 
 
 class Sizes(NamedTuple):
-    line: int = PASSES
-    ring: int = PASSES
+    """The sizes of a stream's buffers, as `Stream` reads them from its limits."""
 
+    line: int = BUFFER_BYTES
+    ring: int = BUFFER_BYTES
 
-class Fault(NamedTuple):
-    """What a link does to what passes; all off: nothing."""
 
-    cut: bool = False  # connections are reset, and new ones too
-    there: bool = True  # whether bytes pass from the caller ...
-    back: bool = True  # ... and to it; both off: half-open, a cut that says nothing
-    delay: int = 0  # ns, each way
-    spread: int = 0  # ns more at most, by chance
-    rate: int = 0  # bytes a second, each way; 0: as fast as they come
-    loses: float = 0.0  # of new connections, that are reset
-    cut_at: int = 0  # the byte from the caller at which a connection is reset; 0: never
-    most: int = 0  # bytes of a piece that still passes; a larger one, and all after it, is swallowed. 0: all pass
+class Fault(NamedTuple):
+    """What a link does to its connections; the default is no fault.
+
+    Attributes:
+        cut: open and new connections are reset.
+        there: whether bytes pass from the caller to the callee.
+        back: whether bytes pass from the callee to the caller. With neither, connections stay open
+            and silent, and nobody is told.
+        delay: delay of each direction in nanoseconds.
+        spread: maximum of a random delay in addition, in nanoseconds.
+        rate: bytes per second in each direction; 0 is unlimited.
+        loses: share of new connections that are reset.
+        cut_at: number of bytes from the caller after which a connection is reset; 0 is never.
+        most: size of the largest piece that passes. A larger one, and all after it, is dropped; 0
+            lets all pass.
+    """
+
+    cut: bool = False
+    there: bool = True
+    back: bool = True
+    delay: int = 0
+    spread: int = 0
+    rate: int = 0
+    loses: float = 0.0
+    cut_at: int = 0
+    most: int = 0
 
 
 NO_FAULT = Fault()
 
 
-class _Way:
+class _Direction:
     """One direction of one connection."""
 
     def __init__(self, source: Stream, sink: Stream) -> None:
         self.source, self.sink = source, sink
-        self.pieces: deque[tuple[int, bytes]] = deque()  # due when
-        self.waiting = 0
+        # Pieces that have not passed yet, with the time at which each is due.
+        self.pieces: deque[tuple[int, bytes]] = deque()
+        self.held_back_bytes = 0
         self.bytes_passed = 0
         self.free_at = 0
-        self.swallowed = False
+        self.drops_rest = False
         self.ended = False
 
 
 class Link:
+    """A link between a caller and the address of a callee, `target`."""
+
     def __init__(self, scheduler: Scheduler, rng: Random, target: tuple[str, int]) -> None:
         self._scheduler, self._rng, self.target = scheduler, rng, target
         self.fault = NO_FAULT
-        self.bytes_passed = 0  # bytes, both ways
+        # In both directions.
+        self.bytes_passed = 0
         self._listener = listening_socket(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
         self._connections: dict[Task, tuple[Stream, Stream]] = {}
-        scheduler.spawn(self._keep_accepting)
+        scheduler.spawn(self._accept_loop)
 
     @property
     def address(self) -> str:
         return f"127.0.0.1:{self.port}"
 
     def set_fault(self, fault: Fault) -> None:
-        """From now on, for connections that stand too."""
+        """Sets the fault of new and of open connections."""
         self.fault = fault
         for task, (near, far) in list(self._connections.items()):
             if fault.cut:
@@ -77,7 +98,7 @@
                 far.abort()
             self._scheduler.wake(task)
 
-    def _keep_accepting(self) -> None:
+    def _accept_loop(self) -> None:
         while True:
             self._scheduler.wait({self._listener.fileno(): READ})
             while True:
@@ -85,9 +106,9 @@
                     sock, _ = self._listener.accept()
                 except OSError:
                     break
-                self._scheduler.spawn(self._carry, sock)
+                self._scheduler.spawn(self._serve, sock)
 
-    def _carry(self, sock: socket.socket) -> None:
+    def _serve(self, sock: socket.socket) -> None:
         near = Stream(sock, Sizes())
         if self.fault.cut or self._rng.random() < self.fault.loses:
             near.abort()
@@ -99,47 +120,54 @@
             return
         task = self._scheduler.current
         self._connections[task] = near, far
-        ways = _Way(near, far), _Way(far, near)
-        up = False
+        directions = _Direction(near, far), _Direction(far, near)
+        connected = False
         try:
             while not (near.closed or far.closed):
                 if (
-                    not up
+                    not connected
                     and not far.broken
                     and self._scheduler.wait(
                         {far.fd: WRITE, near.fd: 0}, self._scheduler.now() + SECOND
                     )
                 ):
-                    up = not far.closed and not far.connect_failed()
-                if far.closed or near.closed or far.broken and not up:
+                    connected = not far.closed and not far.connect_failed()
+                if far.closed or near.closed or far.broken and not connected:
                     break
-                if not up:
+                if not connected:
                     continue
-                if not self._step(near, far, ways):
+                if not self._step(near, far, directions):
                     break
         finally:
             del self._connections[task]
             for stream in (near, far):
-                # What broke on one side breaks on the other; an end was passed on.
-                (stream.close if all(way.ended for way in ways) else stream.abort)()
-
-    def _step(self, near: Stream, far: Stream, ways: tuple[_Way, _Way]) -> bool:
+                # An error on one side is passed on as a reset; a regular end has been passed on.
+                (
+                    stream.close
+                    if all(direction.ended for direction in directions)
+                    else stream.abort
+                )()
+
+    def _step(self, near: Stream, far: Stream, directions: tuple[_Direction, _Direction]) -> bool:
         fault, due = self.fault, self._scheduler.now() + 60 * SECOND
-        for way, passes in zip(ways, (fault.there, fault.back)):
-            due = min(due, self._pass(way, passes, way is ways[0]))
-            if fault.cut_at and ways[0].bytes_passed >= fault.cut_at:
+        for direction, passes in zip(directions, (fault.there, fault.back)):
+            due = min(due, self._move(direction, passes, direction is directions[0]))
+            if fault.cut_at and directions[0].bytes_passed >= fault.cut_at:
                 return False
         if near.broken or far.broken:
-            # A stalled way hides it: the other side learns nothing while the link swallows.
+            # While bytes are dropped, the other side must not learn of the break either.
             if fault.there and fault.back:
                 return False
-        if all(way.ended for way in ways):
+        if all(direction.ended for direction in directions):
             return False
         fds = {}
-        for stream, out, into in ((near, ways[0], ways[1]), (far, ways[1], ways[0])):
+        for stream, outgoing, incoming in (
+            (near, directions[0], directions[1]),
+            (far, directions[1], directions[0]),
+        ):
             mask = (
                 READ
-                if out.waiting < PASSES
+                if outgoing.held_back_bytes < BUFFER_BYTES
                 and stream.receive_buffer.free_bytes
                 and not stream.peer_closed
                 and not stream.broken
@@ -149,54 +177,56 @@
         self._scheduler.wait({fd: mask for fd, mask in fds.items() if mask}, due)
         return True
 
-    def _pass(self, way: _Way, passes: bool, first: bool) -> int:
-        """Moves what is due; returns when more is."""
+    def _move(self, direction: _Direction, passes: bool, from_caller: bool) -> int:
+        """Passes the pieces that are due; returns the time at which to look again."""
         fault, now = self.fault, self._scheduler.now()
-        if way.source.closed or way.sink.closed:
+        if direction.source.closed or direction.sink.closed:
             return now
-        if way.waiting < PASSES and not way.source.peer_closed:
-            way.source.receive()
-            piece = way.source.receive_buffer.read(len(way.source.receive_buffer))
-            if piece and (way.swallowed or fault.most and len(piece) > fault.most):
-                way.swallowed = True
+        if direction.held_back_bytes < BUFFER_BYTES and not direction.source.peer_closed:
+            direction.source.receive()
+            piece = direction.source.receive_buffer.read(len(direction.source.receive_buffer))
+            if piece and (direction.drops_rest or fault.most and len(piece) > fault.most):
+                direction.drops_rest = True
             elif piece:
                 due = now + fault.delay + int(fault.spread * self._rng.random())
-                way.pieces.append((max(due, way.pieces[-1][0] if way.pieces else 0), piece))
-                way.waiting += len(piece)
+                direction.pieces.append(
+                    (max(due, direction.pieces[-1][0] if direction.pieces else 0), piece)
+                )
+                direction.held_back_bytes += len(piece)
         if not passes:
             return now + 60 * SECOND
-        while way.pieces:
-            due, piece = way.pieces[0]
-            due = max(due, way.free_at)
+        while direction.pieces:
+            due, piece = direction.pieces[0]
+            due = max(due, direction.free_at)
             if due > now:
                 return due
-            room = way.sink.send_buffer.free_bytes
-            if first and fault.cut_at:
-                room = min(room, max(1, fault.cut_at - way.bytes_passed))
+            free_bytes = direction.sink.send_buffer.free_bytes
+            if from_caller and fault.cut_at:
+                free_bytes = min(free_bytes, max(1, fault.cut_at - direction.bytes_passed))
             if fault.rate:
-                room = min(room, max(1, fault.rate // 50))
-            if not room:
+                free_bytes = min(free_bytes, max(1, fault.rate // 50))
+            if not free_bytes:
                 break
-            part, rest = piece[:room], piece[room:]
-            way.sink.write(part)
-            way.bytes_passed += len(part)
+            part, rest = piece[:free_bytes], piece[free_bytes:]
+            direction.sink.write(part)
+            direction.bytes_passed += len(part)
             self.bytes_passed += len(part)
-            way.waiting -= len(part)
-            way.pieces.popleft()
+            direction.held_back_bytes -= len(part)
+            direction.pieces.popleft()
             if rest:
-                way.pieces.appendleft((due, rest))
+                direction.pieces.appendleft((due, rest))
             if fault.rate:
-                way.free_at = now + len(part) * SECOND // fault.rate
-            if first and fault.cut_at and way.bytes_passed >= fault.cut_at:
+                direction.free_at = now + len(part) * SECOND // fault.rate
+            if from_caller and fault.cut_at and direction.bytes_passed >= fault.cut_at:
                 return now
-        way.sink.flush()
+        direction.sink.flush()
         if (
-            way.source.peer_closed
-            and not way.pieces
-            and not len(way.sink.send_buffer)
-            and not way.ended
-            and not way.swallowed
+            direction.source.peer_closed
+            and not direction.pieces
+            and not len(direction.sink.send_buffer)
+            and not direction.ended
+            and not direction.drops_rest
         ):
-            way.ended = True
-            way.sink.shutdown_write()
+            direction.ended = True
+            direction.sink.shutdown_write()
         return now + 60 * SECOND
--- a/corklift/rig/report.py
+++ b/corklift/rig/report.py
@@ -1,6 +1,6 @@
-"""The time line of one play as a page: who lived, who held whom for what, service, faults.
+"""The timeline of a run as an HTML page: processes, the state of members, service and faults.
 
-Owns the page. Must never judge: the verdict on it is the checker's.
+The page shows the checker's verdict; this module checks nothing itself.
 """
 
 from __future__ import annotations
@@ -18,32 +18,36 @@
 
 
 def render_page(head: str, events: list[Event]) -> str:
-    """`head`: what was played, as JSON."""
+    """Returns the page; `head` is the scenario and its options, as JSON."""
     events = sorted(events, key=lambda event: event.at)
-    began, ended = events[0].at, events[-1].at
-    found = find_violations(events, ended)
+    started_at, ended_at = events[0].at, events[-1].at
+    violations = find_violations(events, ended_at)
     verdict = (
-        f'<p class="bad">{len(found)} breaks. First: {html.escape(found[0].promise)}: {html.escape(found[0].what)}</p><pre>'
-        + html.escape("\n".join(events_around(events, found[0].at)))
+        f'<p class="bad">{len(violations)} violations. First: '
+        f"{html.escape(violations[0].promise)}: {html.escape(violations[0].what)}</p><pre>"
+        + html.escape("\n".join(events_around(events, violations[0].at)))
         + "</pre>"
-        if found
-        else "<p>All promises kept.</p>"
+        if violations
+        else "<p>All promises were kept.</p>"
     )
     title = html.escape(json.loads(head)["scenario"]["name"])
     return (
-        f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style><h1>{title}</h1>{verdict}"
-        f"<h2>Who lived, and what the others held of it</h2>{_lives(events, began, ended)}"
-        f"<h2>Service</h2>{_service(events, began, ended)}<h2>Faults</h2><ul>"
+        f"<!doctype html><meta charset=utf-8><title>{title}</title><style>{STYLE}</style>"
+        f"<h1>{title}</h1>{verdict}"
+        "<h2>Processes, and how the other members saw them</h2>"
+        f"{_process_timeline(events, started_at, ended_at)}"
+        f"<h2>Service</h2>{_service_timeline(events, started_at, ended_at)}<h2>Faults</h2><ul>"
         + "".join(
-            f"<li>{(play.began - began) / SECOND:.2f} s to {(min(play.over, ended) - began) / SECOND:.2f} s: {play.kind} "
-            f"{html.escape(', '.join(sorted(play.who)))} {len(play.pairs) or ''}</li>"
-            for play in fault_periods(events)
+            f"<li>{(period.began - started_at) / SECOND:.2f} s to "
+            f"{(min(period.over, ended_at) - started_at) / SECOND:.2f} s: {period.kind} "
+            f"{html.escape(', '.join(sorted(period.who)))} {len(period.pairs) or ''}</li>"
+            for period in fault_periods(events)
         )
-        + f"</ul><details><summary>What was played</summary><pre>{html.escape(head)}</pre></details>"
+        + f"</ul><details><summary>The scenario</summary><pre>{html.escape(head)}</pre></details>"
     )
 
 
-def _lives(events: list[Event], began: int, ended: int) -> str:
+def _process_timeline(events: list[Event], run_started_at: int, run_ended_at: int) -> str:
     names = sorted(
         {
             event.fields["who"]
@@ -54,66 +58,66 @@
     )
     figure, axis = pyplot.subplots(figsize=(10, 0.5 * len(names) + 1))
     for row, name in enumerate(names):
-        lives = 0
+        started_at = 0
         for event in events:
             if event.what == "started" and event.fields["who"] == name:
-                lives = event.at
-            elif event.what == "ended" and event.fields.get("who") == name and lives:
+                started_at = event.at
+            elif event.what == "ended" and event.fields.get("who") == name and started_at:
                 axis.barh(
                     row,
-                    (event.at - lives) / SECOND,
-                    left=(lives - began) / SECOND,
+                    (event.at - started_at) / SECOND,
+                    left=(started_at - run_started_at) / SECOND,
                     height=0.5,
                     color="#cde",
                 )
-                lives = 0
-        if lives:
+                started_at = 0
+        if started_at:
             axis.barh(
                 row,
-                (ended - lives) / SECOND,
-                left=(lives - began) / SECOND,
+                (run_ended_at - started_at) / SECOND,
+                left=(started_at - run_started_at) / SECOND,
                 height=0.5,
                 color="#cde",
             )
         for event in events:
             if event.what == "member" and event.fields["member"] == name:
                 axis.plot(
-                    [(event.at - began) / SECOND],
+                    [(event.at - run_started_at) / SECOND],
                     [row],
                     "|",
                     color=COLOURS.get(event.fields["standing"], "#000"),
                     markersize=12,
                 )
-    for play in fault_periods(events):
+    for period in fault_periods(events):
         axis.axvspan(
-            (play.began - began) / SECOND,
-            (min(play.over, ended) - began) / SECOND,
+            (period.began - run_started_at) / SECOND,
+            (min(period.over, run_ended_at) - run_started_at) / SECOND,
             color="#f80",
             alpha=0.08,
         )
-    for colour in COLOURS:
-        axis.plot([], [], "|", color=COLOURS[colour], label=f"held for {colour}", markersize=12)
+    for state in COLOURS:
+        axis.plot([], [], "|", color=COLOURS[state], label=f"seen as {state}", markersize=12)
     axis.set_yticks(range(len(names)), names)
     axis.set_xlabel("s")
     axis.legend(fontsize=7, loc="upper left", bbox_to_anchor=(1, 1))
     return _picture(figure)
 
 
-def _service(events: list[Event], began: int, ended: int) -> str:
+def _service_timeline(events: list[Event], started_at: int, ended_at: int) -> str:
     figure, axis = pyplot.subplots(figsize=(10, 3))
-    words: dict[str, Counter[int]] = {}
+    replies: dict[str, Counter[int]] = {}
     for event in events:
         if event.what == "answer":
-            words.setdefault(event.fields["word"] or "no answer", Counter())[
-                (event.at - began) // SECOND
+            replies.setdefault(event.fields["word"] or "no answer", Counter())[
+                (event.at - started_at) // SECOND
             ] += 1
-    seconds = range((ended - began) // SECOND + 1)
-    for word, counts in sorted(words.items()):
-        axis.plot(list(seconds), [counts[second] for second in seconds], label=word)
+    seconds = range((ended_at - started_at) // SECOND + 1)
+    for reply, counts in sorted(replies.items()):
+        axis.plot(list(seconds), [counts[second] for second in seconds], label=reply)
     for event in events:
         if event.what == "fell":
-            axis.axvline((event.at - began) / SECOND, color="#c00", linewidth=1)
+            axis.axvline((event.at - started_at) / SECOND, color="#c00", linewidth=1)
     axis.set_xlabel("s")
-    axis.set_ylabel("answers a second")
+    axis.set_ylabel("answers per second")
     axis.legend(fontsize=8)
     return _picture(figure)
--- a/corklift/rig/standin.py
+++ b/corklift/rig/standin.py
@@ -1,7 +1,8 @@
-"""A stand-in in a process of its own: one transcriber, or discovery with an agent for each balancer.
+"""A stand-in in a process of its own: one transcriber, or discovery with an agent per balancer.
 
-Owns what truly arrived: events are JSON lines on standard output, words to it are JSON lines on standard input. Ends with its
-input. Must never import or ask a balancer.
+It writes what truly reached it as events, one line of JSON each on standard output, and reads
+commands as lines of JSON on standard input. It ends when its input ends. It never asks a balancer
+anything.
 """
 
 from __future__ import annotations
@@ -18,11 +19,12 @@
 from corklift.standins.discovery import Discovery
 from corklift.standins.transcriber import Transcriber
 
-OVERLOAD_DOWN_TIME = 3 * SECOND  # that a server which was pushed over is away
+# How long a server rejects logins after it was overloaded.
+OVERLOAD_DOWN_TIME = 3 * SECOND
 
 
 class EventWriter:
-    """Lines out, words in."""
+    """Writes the events of a stand-in and reads the commands to it; owns its scheduler."""
 
     def __init__(self, source: str) -> None:
         self.scheduler = Scheduler(
@@ -40,30 +42,34 @@
         )
 
     def commands(self) -> Any:
-        """Each word that comes in, as it comes; ends with the input."""
-        held = b""
+        """Yields each command as it arrives, until the input ends."""
+        buffer = b""
         while True:
             self.scheduler.wait({0: READ})
             try:
-                content = os.read(0, 1 << 16)
+                chunk = os.read(0, 1 << 16)
             except BlockingIOError:
                 continue
-            if not content:
+            if not chunk:
                 self.scheduler.stop()
                 return
-            *lines, held = (held + content).split(b"\n")
+            *lines, buffer = (buffer + chunk).split(b"\n")
             yield from map(json.loads, lines)
 
 
 class TranscriberProcess(Transcriber):
-    """Told to, it turns all away, is mute, or starts anew and cold. Pushed over while it is cold, it falls.
+    """A transcriber that on command rejects logins, stops answering, or becomes cold.
 
-    What a cold one bears is the lab's model: it works set-ups off at the multiple of the rate at which it warms, and falls when a
-    span's worth of them is queued (docs/design/lab.md)."""
+    A cold server that gets too many logins is overloaded and rejects logins for a while. The model
+    is the one of the lab: it works set-ups off at `multiple` times the rate at which it warms up,
+    and is overloaded when a span's worth of them is queued (docs/design/lab.md).
+    """
 
-    def __init__(self, told: EventWriter, name: str, size: float, cold: dict[str, Any]) -> None:
-        super().__init__(told.scheduler, name, size, lambda placed: None, int(cold["ramp_ms"]) * MS)
-        self._events, self._cold = told, cold
+    def __init__(self, events: EventWriter, name: str, size: float, cold: dict[str, Any]) -> None:
+        super().__init__(
+            events.scheduler, name, size, lambda placed: None, int(cold["ramp_ms"]) * MS
+        )
+        self._events, self._cold = events, cold
         self.started_at = 0
         self._queued, self._queued_at = 0.0, 0
         self._second = self._probes = 0
@@ -74,13 +80,16 @@
         age = now - self.started_at
         if age >= self.ramp:
             return
-        share = self._cold["start_share"] + (1 - self._cold["start_share"]) * age / self.ramp
-        bears = self._cold["multiple"] * share * self.size * SECOND / self.ramp
-        self._queued = max(0.0, self._queued - bears * (now - self._queued_at) / SECOND) + 1.0
+        warm_share = self._cold["start_share"] + (1 - self._cold["start_share"]) * age / self.ramp
+        setup_rate = self._cold["multiple"] * warm_share * self.size * SECOND / self.ramp
+        self._queued = max(0.0, self._queued - setup_rate * (now - self._queued_at) / SECOND) + 1.0
         self._queued_at = now
-        if self._queued > max(1.0, bears * self._cold["span_ms"] * MS / SECOND):
+        if self._queued > max(1.0, setup_rate * self._cold["span_ms"] * MS / SECOND):
             self._events.write_event(
-                "fell", server=self.name, queued=round(self._queued, 1), bears_s=round(bears, 2)
+                "fell",
+                server=self.name,
+                queued=round(self._queued, 1),
+                bears_s=round(setup_rate, 2),
             )
             self.fails, self._queued = True, 0.0
             self._scheduler.spawn(self._recover)
@@ -98,9 +107,8 @@
         second = self._scheduler.now() // SECOND
         if second != self._second:
             if self._probes:
-                self._events.write_event(
-                    "probes", server=self.name, number=self._probes
-                )  # in the second before
+                # The number of the second before.
+                self._events.write_event("probes", server=self.name, number=self._probes)
             self._second, self._probes = second, 0
         self._probes += 1
 
@@ -111,32 +119,33 @@
         self._events.write_event("ended", server=self.name, client=login)
 
 
-def server(name: str, given: dict[str, Any]) -> None:
-    told = EventWriter(name)
-    standing = TranscriberProcess(told, name, given["size"], given["cold"])
-    port = standing.listen()
-    told.write_event("listens", port=port)
+def run_transcriber(name: str, settings: dict[str, Any]) -> None:
+    """Runs a transcriber until its input ends."""
+    events = EventWriter(name)
+    transcriber = TranscriberProcess(events, name, settings["size"], settings["cold"])
+    port = transcriber.listen()
+    events.write_event("listens", port=port)
 
-    def hear() -> None:
-        for word in told.commands():
-            if "fails" in word:
-                standing.fails = word["fails"]
-            if "silent" in word:
-                standing.silent = word["silent"]
-            if word.get("cold"):
-                standing.started_at = told.scheduler.now()
+    def follow_commands() -> None:
+        for command in events.commands():
+            if "fails" in command:
+                transcriber.fails = command["fails"]
+            if "silent" in command:
+                transcriber.silent = command["silent"]
+            if command.get("cold"):
+                transcriber.started_at = events.scheduler.now()
 
-    told.scheduler.spawn(standing.accept_loop)
-    told.scheduler.spawn(hear)
-    told.scheduler.run()
+    events.scheduler.spawn(transcriber.accept_loop)
+    events.scheduler.spawn(follow_commands)
+    events.scheduler.run()
 
 
 class DiscoveryAgent(Discovery):
-    """Discovery's agent on one balancer's machine."""
+    """The agent of discovery on one balancer's machine."""
 
-    def __init__(self, told: EventWriter, balancer: str) -> None:
-        super().__init__(told.scheduler)
-        self._events, self._balancer, self._has = told, balancer, -1
+    def __init__(self, events: EventWriter, balancer: str) -> None:
+        super().__init__(events.scheduler)
+        self._events, self._balancer, self._received_index = events, balancer, -1
         self.refuses = False
         self._saved: tuple[int, dict[str, Any]] = (0, {})
 
@@ -144,58 +153,61 @@
         self._saved = self.index, {name: dict(entry) for name, entry in self.entries.items()}
 
     def restore(self) -> None:
-        """It is back with a list of before."""
-        self.index, saved = self._saved
-        self.entries = {name: dict(entry) for name, entry in saved.items()}
-        self._has = min(self._has, self.index)
+        """Returns to the saved list, as after a restart with old data."""
+        self.index, entries = self._saved
+        self.entries = {name: dict(entry) for name, entry in entries.items()}
+        self._received_index = min(self._received_index, self.index)
 
-    def _respond(self, stream: Stream, found: re.Match[bytes]) -> bool:
-        index = int(found[1]) if found[1] is not None else -1
+    def _respond(self, stream: Stream, request: re.Match[bytes]) -> bool:
+        index = int(request[1]) if request[1] is not None else -1
         self._events.write_event("called", balancer=self._balancer)
-        if index > self._has:
-            # It asks for what is newer: what it asks from has come there.
-            self._has = index
+        if index > self._received_index:
+            # A balancer that asks for changes since an index has received the list of that index.
+            self._received_index = index
             self._events.write_event("has", balancer=self._balancer, index=index)
-        return super()._respond(stream, found)
+        return super()._respond(stream, request)
 
 
-def discovery(given: dict[str, Any]) -> None:
-    told = EventWriter("discovery")
-    agents = {name: DiscoveryAgent(told, name) for name in given["balancers"]}
-    told.write_event("listens", ports={name: agent.listen() for name, agent in agents.items()})
+def run_discovery(settings: dict[str, Any]) -> None:
+    """Runs discovery with an agent for each balancer until its input ends."""
+    events = EventWriter("discovery")
+    agents = {name: DiscoveryAgent(events, name) for name in settings["balancers"]}
+    events.write_event("listens", ports={name: agent.listen() for name, agent in agents.items()})
 
-    def hear() -> None:
-        for word in told.commands():
+    def follow_commands() -> None:
+        for command in events.commands():
             for name, agent in agents.items():
-                if "put" in word:
-                    host, _, port = word["addresses"][name].rpartition(":")
-                    agent.put(word["put"], (host, int(port)), since_ms=word.get("since_ms", 0))
-                if "mark" in word:
-                    agent.set_status(word["mark"], word["status"])
-                if word.get("save"):
+                if "put" in command:
+                    host, _, port = command["addresses"][name].rpartition(":")
+                    agent.put(
+                        command["put"], (host, int(port)), since_ms=command.get("since_ms", 0)
+                    )
+                if "mark" in command:
+                    agent.set_status(command["mark"], command["status"])
+                if command.get("save"):
                     agent.save()
-                if word.get("restore"):
+                if command.get("restore"):
                     agent.restore()
-                if "silent" in word and name in word.get("at", agents):
-                    agent.silent = word["silent"]
+                if "silent" in command and name in command.get("at", agents):
+                    agent.silent = command["silent"]
             index = max(agent.index for agent in agents.values())
-            if "put" in word or "mark" in word:
-                told.write_event(
+            if "put" in command or "mark" in command:
+                events.write_event(
                     "listed",
-                    server=word.get("put") or word["mark"],
-                    status=word.get("status", "active"),
+                    server=command.get("put") or command["mark"],
+                    status=command.get("status", "active"),
                     index=index,
                 )
 
     for agent in agents.values():
-        told.scheduler.spawn(agent.accept_loop)
-    told.scheduler.spawn(hear)
-    told.scheduler.run()
+        events.scheduler.spawn(agent.accept_loop)
+    events.scheduler.spawn(follow_commands)
+    events.scheduler.run()
 
 
 if __name__ == "__main__":
-    kind, name, given_text = sys.argv[1:4]
+    kind, name, settings_text = sys.argv[1:4]
     if kind == "server":
-        server(name, json.loads(given_text))
+        run_transcriber(name, json.loads(settings_text))
     else:
-        discovery(json.loads(given_text))
+        run_discovery(json.loads(settings_text))
