--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -13,7 +13,7 @@
 
 from benchmarks.report import arguments, tell
 from corklift.lab import explore
-from corklift.lab.experiment import Run, load, play
+from corklift.lab.experiment import Run, execute_run, load
 from corklift.lab.faults import FAULTS
 from corklift.lab.fleet import Fleet
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
@@ -66,8 +66,8 @@
         "at = time.perf_counter()\n"
         f"fleet = Fleet(fleet_of({servers}, {balancers}, {standing}, {seconds}), '{policy}', {seed})\nfleet.run()\n"
         "spent = time.perf_counter() - at\n"
-        "print(json.dumps([fleet.clock.events, spent, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,"
-        " fleet.standing, fleet.clock.history, sum(fleet.rules.broken.values())]))"
+        "print(json.dumps([fleet.clock.event_count, spent, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,"
+        " fleet.open_connections, fleet.clock.history, sum(fleet.rules.violation_counts.values())]))"
     )
     told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     events, spent, memory, stands, history, broken = json.loads(told.stdout)
@@ -113,7 +113,7 @@
         found = load(str(path))
         seeds = found.seeds[:1] if given.quick else found.seeds
         runs = [
-            play(found.scenario, Run(policy, seed, ()), series=False)
+            execute_run(found.scenario, Run(policy, seed, ()), series=False)
             for policy in dict.fromkeys([*COUNTED, *found.policies])
             for seed in seeds
         ]
@@ -169,15 +169,19 @@
     for name, (spoil, check) in FAULTS.items():
         fleet = Fleet(FAULTY, "module", given.seed, spoil)
         fleet.run()
-        told = {f"rule {rule}" for rule in fleet.rules.broken} | fleet.design_breaks().keys()
+        told = {
+            f"rule {rule}" for rule in fleet.rules.violation_counts
+        } | fleet.design_violations().keys()
         if check in told:
             found_faults.append(name)
     figures |= {
         "seeded_bugs": len(FAULTS),
         "seeded_bugs_found": len(found_faults),
         "seeded_bugs_missed": sorted(FAULTS.keys() - set(found_faults)),
-        "alarms_without_a_fault": {str(rule): number for rule, number in clean.rules.broken.items()}
-        | clean.design_breaks(),
+        "alarms_without_a_fault": {
+            str(rule): number for rule, number in clean.rules.violation_counts.items()
+        }
+        | clean.design_violations(),
     }
     return tell(
         "The lab",
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -324,11 +324,11 @@
 )
 @click.option("--processes", type=click.IntRange(1, 64), default=4, show_default=True)
 def lab_run(file: str, out: str | None, processes: int) -> None:
-    from corklift.lab.experiment import carry_out
+    from corklift.lab.experiment import run_experiment
 
     given = _load_experiment(file)
     try:
-        for result in carry_out(given, out or f"{file}.jsonl", processes):
+        for result in run_experiment(given, out or f"{file}.jsonl", processes):
             _print_results([result])
     except ValueError as problem:
         raise click.ClickException(str(problem)) from None
--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -10,7 +10,7 @@
 from typing import Any, Literal
 
 from corklift.lab.clock import MS, SECOND
-from corklift.lab.fleet import RETRY_MOST, EmulatedBalancer, Fleet
+from corklift.lab.fleet import MAX_RETRY_AFTER, EmulatedBalancer, Fleet
 from corklift.lab.peers import Net, Shape
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 from corklift.policy import Balancer
@@ -50,19 +50,19 @@
         super().__init__(scenario, "module", seed)
         self.members.now = self.clock.now
         self.members.start()
-        self.clock.after(STEP, self._together)
+        self.clock.call_later(STEP, self._together)
 
-    def make(self, seat: EmulatedBalancer) -> Any:
+    def make_policy(self, seat: EmulatedBalancer) -> Any:
         given = self.scenario
         self._wanted[seat.number] = settings = dict(
             zone=seat.zone,
             balancers=self.told,
             workloads=self.workloads,
             per_work=False,
-            cold=given.cold(),
+            cold=given.cold_rule(),
             max_hand_offs=given.balancers.max_hand_offs,
             cancel_allowed=True,
-            max_retry_after=RETRY_MOST,
+            max_retry_after=MAX_RETRY_AFTER,
             probes_allowed=True,
             ask_for_list=False,
             ask_within=10 * SECOND,
@@ -74,38 +74,41 @@
         )
         self._used.pop(seat.number, None)
         return Balancer(
-            seat, Random(f"{self.seed}/{seat.number}/{seat.turn}"), now=self.clock.now, **settings
+            seat,
+            Random(f"{self.seed}/{seat.number}/{seat.start_count}"),
+            now=self.clock.now,
+            **settings,
         )
 
     def _together(self) -> None:
         now, net = self.clock.now, self.members
-        self.clock.after(STEP, self._together)
-        since = (now - self.clock.began) / SECOND
-        side = {seat.number for seat in self.seats if seat.zone == 0}
+        self.clock.call_later(STEP, self._together)
+        since = (now - self.clock.started_at) / SECOND
+        side = {seat.number for seat in self.balancers if seat.zone == 0}
         net.cut = (
             {
                 (a.number, b.number)
-                for a in self.seats
-                for b in self.seats
+                for a in self.balancers
+                for b in self.balancers
                 if (a.number in side) != (b.number in side)
             }
             if self._cut_s[0] <= since < self._cut_s[1]
             else set()
         )
-        for seat, member in zip(self.seats, net.seats):
+        for seat, member in zip(self.balancers, net.seats):
             if seat.alive and not member.alive:
                 member.start()
             elif member.alive and not seat.alive:
                 member.kill()
         net.run((now - net.now) / net.shape.period)
-        servers = {str(box.number) for box in self.boxes.values() if box.up}
-        for seat, member in zip(self.seats, net.seats):
+        servers = {str(box.number) for box in self.servers.values() if box.up}
+        for seat, member in zip(self.balancers, net.seats):
             if not seat.alive:
                 continue
-            member.hold(sum(way.conn is not None for way in seat.ways.values()))
-            for box in self.boxes.values():
+            member.hold(sum(way.connection is not None for way in seat.logins.values()))
+            for box in self.servers.values():
                 if box.up and (now // STEP + box.number + seat.number) % 10 == 0:
-                    member.core.server_reported(now, str(box.number), len(box.conns), servers)
+                    member.core.server_reported(now, str(box.number), len(box.connections), servers)
             uses = {
                 "settings": self.told,
                 "followed": member.uses,
@@ -122,4 +125,4 @@
     """Servers that were pushed over, and what clients got."""
     fleet = CountedFleet(hard_day(balancers, seconds), seed, way, told, (10.0, 30.0))
     fleet.run()
-    return fleet.rules.broken[4], fleet.service
+    return fleet.rules.violation_counts[4], fleet.service
--- a/corklift/lab/experiment.py
+++ b/corklift/lab/experiment.py
@@ -53,22 +53,22 @@
         return json.dumps([self.policy, self.seed, dict(self.varied)], sort_keys=True)
 
 
-def runs(given: Experiment) -> Iterator[Run]:
+def planned_runs(given: Experiment) -> Iterator[Run]:
     paths = list(given.vary)
     for values in product(*(given.vary[path] for path in paths)):
         for policy, seed in product(given.policies, given.seeds):
             yield Run(policy, seed, tuple(zip(paths, values)))
 
 
-def scenario_of(given: Scenario, run: Run) -> Scenario:
+def scenario_for(given: Scenario, run: Run) -> Scenario:
     for path, value in run.varied:
         given = varied(given, path, value)
     return given
 
 
-def play(scenario: Scenario, run: Run, series: bool = True) -> dict[str, Any]:
+def execute_run(scenario: Scenario, run: Run, series: bool = True) -> dict[str, Any]:
     """One run's result, plain values only."""
-    fleet = Fleet(scenario_of(scenario, run), run.policy, run.seed)
+    fleet = Fleet(scenario_for(scenario, run), run.policy, run.seed)
     fleet.run()
     latencies = sorted(fleet.latencies)
     at = lambda part: (
@@ -82,18 +82,27 @@
         "seed": run.seed,
         "varied": dict(run.varied),
         "service": round(fleet.service, 6),
-        "answers": round(fleet.quality / fleet.worth if fleet.worth else 1.0, 6),
-        "on_time": round(fleet.on_time / fleet.conn_time if fleet.conn_time else 1.0, 6),
-        "rules": {str(rule): number for rule, number in sorted(fleet.rules.broken.items())},
+        "answers": round(
+            fleet.answer_quality / fleet.answer_weight if fleet.answer_weight else 1.0, 6
+        ),
+        "on_time": round(
+            fleet.on_time_connections / fleet.sampled_connections
+            if fleet.sampled_connections
+            else 1.0,
+            6,
+        ),
+        "rules": {
+            str(rule): number for rule, number in sorted(fleet.rules.violation_counts.items())
+        },
         "first_breaks": {
             str(rule): [found.at / 1e9, found.what, list(found.trace)]
-            for rule, found in fleet.rules.first.items()
+            for rule, found in fleet.rules.first_violations.items()
         },
-        "design": fleet.design_breaks(),
+        "design": fleet.design_violations(),
         "tally": dict(sorted(fleet.tally.items())),
         "history": fleet.clock.history,
-        "events": fleet.clock.events,
-        "standing": fleet.standing,
+        "events": fleet.clock.event_count,
+        "standing": fleet.open_connections,
         "waited_s": {"p50": at(0.5), "p99": at(0.99), "max": at(1.0)},
         "series": fleet.samples if series else [],
     }
@@ -102,7 +111,7 @@
 def _play(content: bytes, key: str) -> dict[str, Any]:
     scenario = msgspec.json.decode(content, type=Scenario)
     policy, seed, changes = json.loads(key)
-    return play(scenario, Run(policy, seed, tuple(changes.items())))
+    return execute_run(scenario, Run(policy, seed, tuple(changes.items())))
 
 
 def commit() -> str:
@@ -117,7 +126,7 @@
     return told.stdout.strip()
 
 
-def carry_out(given: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
+def run_experiment(given: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
     """Plays what the file does not hold yet, adding a line each; yields every result, old ones first."""
     head = {"experiment": msgspec.to_builtins(given), "commit": commit()}
     held: dict[str, dict[str, Any]] = {}
@@ -130,7 +139,7 @@
         held = {line["key"]: line for line in found[1:]}
         if found:
             head = found[0]
-    wanted = list(runs(given))
+    wanted = list(planned_runs(given))
     with open(path, "w", encoding="utf-8") as file:
         # Written anew from what is whole: a line cut by an interruption is played again.
         file.write(json.dumps(head) + "\n")
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -27,7 +27,7 @@
     Workload,
 )
 from corklift.lab.clock import MS, SECOND
-from corklift.lab.rules import Rules
+from corklift.lab.rules import RuleChecker
 from corklift.policy import Balancer
 
 STEP = 40 * MS  # between two events that are not timers
@@ -88,7 +88,7 @@
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         world = self.world
-        world.rules.sent(world.now, self.number, login, server, world.cells)
+        world.rules.hand_off_sent(world.now, self.number, login, server, world.cells)
         self.open.setdefault(login, []).append(server)
 
     def cancel(self, login: int, attempt: int) -> None:
@@ -101,7 +101,7 @@
         self._answer(login, "terminated")
 
     def _answer(self, login: int, how: str) -> None:
-        self.world.rules.answered(self.world.now, self.number, login, how)
+        self.world.rules.login_answered(self.world.now, self.number, login, how)
         self.world.answers[login] = how
         self.open.pop(login, None)
         self.world.waiting.discard((self.number, login))
@@ -139,7 +139,7 @@
     def __init__(self, shape: Small, spoil: Callable[[Any, Any], Any] | None = None) -> None:
         self.shape, self._spoil = shape, spoil
         self.now = 1_000 * SECOND
-        self.rules = Rules(self.now)
+        self.rules = RuleChecker(self.now)
         self.steps: list[str] = []
         self.workload = Workload(
             "plain", 1.0, 800 * MS, 3200 * MS, Effect(shape.effect), dedup_window=10 * SECOND
@@ -195,9 +195,9 @@
             status = self.status[server]
             self.told[seat.number, server] = status
             if status is Status.READY:
-                self.rules.told_ready(seat.number, server)
+                self.rules.ready_announced(seat.number, server)
             else:
-                self.rules.told_leaving(self.now, seat.number, server)
+                self.rules.drain_announced(self.now, seat.number, server)
             lines.append(ListedServer(server, 0, 0, server % 2, status, 1.0, self.started[server]))
         seat.policy.servers_listed(self.now, scope, 1, tuple(lines))
 
@@ -289,12 +289,12 @@
             seat = self.seats[int(words[2])]
             self.left["restart"] -= 1
             for login in [*seat.open, *seat.placed]:
-                self.rules.left(self.now, seat.number, login)
+                self.rules.login_abandoned(self.now, seat.number, login)
                 self.waiting.discard((seat.number, login))
                 self.answers.setdefault(login, "its balancer is gone")
             self.moves = {(b, login) for b, login in self.moves if b != seat.number}
             for server in self.cells:
-                self.rules.told_ready(seat.number, server)
+                self.rules.ready_announced(seat.number, server)
             self._start(seat)
 
     def _timer(self, seat: _Seat) -> None:
@@ -309,7 +309,7 @@
             self.to_come.remove(number)
             login = Login(number, 0, 0, number, self.now + self.workload.time_limit, None, 0)
             self.deadlines[number] = login.time_limit_at
-            self.rules.arrived(self.now, seat.number, login, self.workload)
+            self.rules.login_arrived(self.now, seat.number, login, self.workload)
             self.waiting.add((seat.number, number))
             seat.policy.login_arrived(self.now, login)
             return
@@ -324,7 +324,7 @@
             seat.placed[number] = server
             self.waiting.discard((seat.number, number))
             self.answers[number] = "fulfilled"
-            self.rules.answered(self.now, seat.number, number, "fulfilled")
+            self.rules.login_answered(self.now, seat.number, number, "fulfilled")
             seat.policy.hand_off_started(self.now, number, attempt, server, 10 * MS)
         elif words[0] == "ends":
             self._end(seat, number, Outcome.FULFILLED)
@@ -334,7 +334,7 @@
 
     def _fail(self, seat: _Seat, login: int, outcome: Outcome) -> None:
         attempt, server = len(seat.open[login]) - 1, seat.open[login][-1]
-        self.rules.outcome(self.now, seat.number, login, attempt, outcome)
+        self.rules.hand_off_failed(self.now, seat.number, login, attempt, outcome)
         before = len(seat.open[login])
         seat.policy.hand_off_ended(self.now, login, False, server, outcome, attempt, 10 * MS, None)
         if login in seat.open and len(seat.open[login]) == before:
@@ -344,11 +344,11 @@
         server = seat.placed.pop(login, None)
         self.moves.discard((seat.number, login))
         if server is not None:
-            self.rules.done(seat.number, login)
+            self.rules.login_done(seat.number, login)
             seat.policy.hand_off_ended(self.now, login, True, server, outcome, 0, 0, None)
 
     def broken(self) -> str | None:
-        for rule, found in sorted(self.rules.first.items()):
+        for rule, found in sorted(self.rules.first_violations.items()):
             return f"rule {rule}: {found.what}"
         for balancer, login in sorted(self.waiting):
             seat = self.seats[balancer]
@@ -389,7 +389,9 @@
 
     def trace(self) -> list[str]:
         return self.steps + list(
-            next(iter(self.rules.first.values())).trace if self.rules.first else ()
+            next(iter(self.rules.first_violations.values())).trace
+            if self.rules.first_violations
+            else ()
         )
 
 
--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -26,7 +26,7 @@
     def hand_off_started(self, now: int, login: int, attempt: int, server: int, delay: int) -> None:
         self.policy.hand_off_started(now, login, attempt, server, delay)
         if login % 50 == 0:
-            self.seat.fleet.rules.answered(now, self.seat.number, login, "bounced")
+            self.seat.fleet.rules.login_answered(now, self.seat.number, login, "bounced")
 
 
 class AnswerLost(_Wrapped):
@@ -72,7 +72,7 @@
     """From the tenth second on no timer is due."""
 
     def timer_due(self, now: int, mark: int) -> None:
-        if now - self.seat.fleet.clock.began < 10_000_000_000:
+        if now - self.seat.fleet.clock.started_at < 10_000_000_000:
             self.policy.timer_due(now, mark)
 
 
@@ -97,11 +97,13 @@
         bounce = seat.bounce
 
         def late(login: int, retry_in: int) -> None:
-            way = seat.ways.get(login)
+            way = seat.logins.get(login)
             if way is None or login % 20:
                 bounce(login, retry_in)
             else:
-                seat.fleet.clock.at(way.login.time_limit_at + 1_000_000, bounce, login, retry_in)
+                seat.fleet.clock.call_at(
+                    way.request.time_limit_at + 1_000_000, bounce, login, retry_in
+                )
 
         seat.bounce = late  # type: ignore[method-assign]
 
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -15,16 +15,18 @@
 from corklift.interface import ListedServer, Login, Outcome, Report, Scope, Status
 from corklift.lab.clock import MS, SECOND, Clock
 from corklift.lab.policies import POLICIES
-from corklift.lab.rules import Rules
+from corklift.lab.rules import RuleChecker
 from corklift.lab.scenario import Disruption, Scenario
 
-SAMPLE = 500 * MS  # between two looks at the fleet
-SLACK = 30 * MS  # after a time limit, for an answer on its way
-RETRY_MOST = 1500 * MS  # a refused client is told to come back within this
-BACK_OFF = 500 * MS  # a client's own first wait; doubled each time
-UNPROBED = 8 * SECOND  # a balancer that probes all leaves no ready server alone for so long
-SPLIT = 3.0  # times the servers that a group's load needs: beyond it groups are not kept together
-LOST_MOVES = 3 * SECOND  # over which a planned restart moves its clients
+SAMPLE_INTERVAL = 500 * MS  # between two looks at the fleet
+ANSWER_GRACE = 30 * MS  # after a time limit, for an answer on its way
+MAX_RETRY_AFTER = 1500 * MS  # a refused client is told to come back within this
+INITIAL_BACKOFF = 500 * MS  # a client's own first wait; doubled each time
+MAX_PROBE_GAP = 8 * SECOND  # a balancer that probes all leaves no ready server alone for so long
+MAX_GROUP_SPREAD = (
+    3.0  # times the servers that a group's load needs: beyond it groups are not kept together
+)
+RESTART_MOVE_TIME = 3 * SECOND  # over which a planned restart moves its clients
 
 FaultInjector = Callable[
     ["EmulatedBalancer", Any], Any
@@ -38,20 +40,20 @@
         self.number, self.zone, self.cell, self.size = number, zone, cell, size
         self.status = Status.READY
         self.started_at = 0
-        self.conns: dict[int, EmulatedConnection] = {}
-        self.pending = 0
-        self.cost = 0.0  # of its connections
-        self.wave = 1.0  # by which their load wanders
-        self.slow = 1.0
-        self.silent = self.errs = False
+        self.connections: dict[int, EmulatedConnection] = {}
+        self.pending_setups = 0
+        self.total_cost = 0.0  # of its connections
+        self.load_drift = 1.0  # by which their load wanders
+        self.slowdown = 1.0
+        self.silent = self.returns_errors = False
         self.up = True
         self.fallen_until = 0
-        self.queued, self.queued_at = 0.0, 0  # set-ups not worked off, while it warms up
-        self.past: list[
+        self.queued_setups, self.queued_at = 0.0, 0  # set-ups not worked off, while it warms up
+        self.load_history: list[
             tuple[int, int, float]
         ] = []  # when, count and pressure, for reports that lag
 
-    def share(self, now: int, scenario: Scenario) -> float:
+    def capacity_share(self, now: int, scenario: Scenario) -> float:
         """Of its capacity, as it warms up."""
         ramp = scenario.servers.ramp_ms * MS
         if not self.started_at or not ramp or now - self.started_at >= ramp:
@@ -59,8 +61,13 @@
         start = scenario.servers.start_share
         return start + (1.0 - start) * (now - self.started_at) / ramp
 
-    def pressure(self, now: int, scenario: Scenario) -> float:
-        return self.cost * self.wave * self.slow / (self.size * self.share(now, scenario))
+    def utilisation(self, now: int, scenario: Scenario) -> float:
+        return (
+            self.total_cost
+            * self.load_drift
+            * self.slowdown
+            / (self.size * self.capacity_share(now, scenario))
+        )
 
 
 class Arrival:
@@ -68,15 +75,15 @@
 
     __slots__ = (
         "workload",
-        "began_at",
+        "requested_at",
         "cost",
         "group",
         "subject",
-        "tries",
-        "done",
+        "try_count",
+        "answered",
         "came_back",
-        "hold",
-        "counts",
+        "hold_time",
+        "measured",
     )
 
     def __init__(
@@ -89,14 +96,14 @@
         hold: int,
         counts: bool,
     ) -> None:
-        self.workload, self.began_at, self.cost, self.group, self.subject = (
+        self.workload, self.requested_at, self.cost, self.group, self.subject = (
             workload,
             began_at,
             cost,
             group,
             subject,
         )
-        self.tries, self.done, self.came_back, self.hold, self.counts = (
+        self.try_count, self.answered, self.came_back, self.hold_time, self.measured = (
             0,
             False,
             False,
@@ -106,7 +113,7 @@
 
 
 class EmulatedConnection:
-    __slots__ = ("number", "box", "seat", "login", "wish", "ends_at")
+    __slots__ = ("number", "server", "balancer", "login", "arrival", "ends_at")
 
     def __init__(
         self,
@@ -117,7 +124,7 @@
         wish: Arrival,
         ends_at: int,
     ) -> None:
-        self.number, self.box, self.seat, self.login, self.wish, self.ends_at = (
+        self.number, self.server, self.balancer, self.login, self.arrival, self.ends_at = (
             number,
             box,
             seat,
@@ -130,13 +137,13 @@
 class EmulatedLogin:
     """A login at a balancer, until its connection ends."""
 
-    __slots__ = ("login", "wish", "attempts", "settled", "conn", "opened")
+    __slots__ = ("request", "arrival", "hand_offs", "ended_hand_offs", "connection", "opened")
 
     def __init__(self, login: Login, wish: Arrival) -> None:
-        self.login, self.wish = login, wish
-        self.attempts: list[tuple[EmulatedServer, int]] = []
-        self.settled: set[int] = set()  # attempts whose end was told
-        self.conn: EmulatedConnection | None = None
+        self.request, self.arrival = login, wish
+        self.hand_offs: list[tuple[EmulatedServer, int]] = []
+        self.ended_hand_offs: set[int] = set()  # attempts whose end was told
+        self.connection: EmulatedConnection | None = None
         self.opened = False  # its balancer knows of the connection
 
 
@@ -145,46 +152,47 @@
 
     def __init__(self, fleet: Fleet, number: int, zone: int) -> None:
         self.fleet, self.number, self.zone = fleet, number, zone
-        self.turn = 0  # of its life: what was meant for an earlier one is void
+        self.start_count = 0  # of its life: what was meant for an earlier one is void
         self.alive = False
-        self.ways: dict[int, EmulatedLogin] = {}
+        self.logins: dict[int, EmulatedLogin] = {}
         self.policy: Any = None
-        self.known: dict[int, ListedServer] = {}
+        self.listed: dict[int, ListedServer] = {}
         self.probed_at: dict[int, int] = {}
         self.started_at = 0
         self.revision = 0
 
     def start(self) -> None:
         fleet = self.fleet
-        self.turn += 1
-        self.alive, self.ways, self.started_at = True, {}, fleet.clock.now
-        self.known, self.probed_at = {}, {}
-        self.policy = fleet.make(self)
-        turn = self.turn
-        fleet.clock.after(
-            10 * MS, lambda: self.turn == turn and self.take_list(fleet.lines(), True)
+        self.start_count += 1
+        self.alive, self.logins, self.started_at = True, {}, fleet.clock.now
+        self.listed, self.probed_at = {}, {}
+        self.policy = fleet.make_policy(self)
+        turn = self.start_count
+        fleet.clock.call_later(
+            10 * MS,
+            lambda: self.start_count == turn and self.receive_list(fleet.listed_servers(), True),
         )
 
     # What the fleet brings
 
-    def take_list(self, lines: list[ListedServer], whole: bool) -> None:
+    def receive_list(self, lines: list[ListedServer], whole: bool) -> None:
         if not self.alive:
             return
         now, rules = self.fleet.clock.now, self.fleet.rules
         self.revision += 1
         for line in lines:
-            self.known[line.server] = line
+            self.listed[line.server] = line
             if line.status is Status.READY:
-                rules.told_ready(self.number, line.server)
+                rules.ready_announced(self.number, line.server)
             else:
-                rules.told_leaving(now, self.number, line.server)
+                rules.drain_announced(now, self.number, line.server)
         self.policy.servers_listed(
             now, Scope.FULL if whole else Scope.DELTA, self.revision, tuple(lines)
         )
 
-    def arrive(self, wish: Arrival) -> None:
+    def accept_arrival(self, wish: Arrival) -> None:
         fleet, now = self.fleet, self.fleet.clock.now
-        number = fleet.next_login()
+        number = fleet.next_login_id()
         workload = fleet.workloads[wish.workload]
         login = Login(
             number,
@@ -196,27 +204,27 @@
             wish.group,
             came_back=wish.came_back,
         )
-        self.ways[number] = EmulatedLogin(login, wish)
-        fleet.rules.arrived(now, self.number, login, workload)
+        self.logins[number] = EmulatedLogin(login, wish)
+        fleet.rules.login_arrived(now, self.number, login, workload)
         self.policy.login_arrived(now, login)
 
     # Host
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         fleet, now = self.fleet, self.fleet.clock.now
-        fleet.rules.sent(now, self.number, login, server, fleet.cells)
-        fleet.clock.note("send", self.number, login, server)
-        way = self.ways.get(login)
-        box = fleet.boxes.get(server)
+        fleet.rules.hand_off_sent(now, self.number, login, server, fleet.cells)
+        fleet.clock.record_event("send", self.number, login, server)
+        way = self.logins.get(login)
+        box = fleet.servers.get(server)
         if way is None or box is None:
             return
-        attempt = len(way.attempts)
-        way.attempts.append((box, now))
-        cut_at = min(cut_at or way.login.time_limit_at, way.login.time_limit_at)
+        attempt = len(way.hand_offs)
+        way.hand_offs.append((box, now))
+        cut_at = min(cut_at or way.request.time_limit_at, way.request.time_limit_at)
         fleet.deliver(self, way, box, attempt, cut_at)
 
     def cancel(self, login: int, attempt: int) -> None:
-        self.fleet.clock.note("cancel", self.number, login)
+        self.fleet.clock.record_event("cancel", self.number, login)
 
     def bounce(self, login: int, retry_in: int) -> None:
         self._refuse(login, "bounced", retry_in)
@@ -226,21 +234,23 @@
 
     def _refuse(self, login: int, how: str, retry_in: int) -> None:
         fleet, now = self.fleet, self.fleet.clock.now
-        fleet.rules.answered(now, self.number, login, how)
-        fleet.clock.note(how, self.number, login)
-        way = self.ways.pop(login, None)
+        fleet.rules.login_answered(now, self.number, login, how)
+        fleet.clock.record_event(how, self.number, login)
+        way = self.logins.pop(login, None)
         if way is None:
             return
-        fleet.rules.done(self.number, login)
+        fleet.rules.login_done(self.number, login)
         fleet.tally[how] += 1
-        fleet.clock.after(fleet.delay(self.zone, self.zone), fleet.refused, way.wish, retry_in, how)
+        fleet.clock.call_later(
+            fleet.delay(self.zone, self.zone), fleet.login_refused, way.arrival, retry_in, how
+        )
 
     def move(self, login: int) -> None:
-        way = self.ways.get(login)
-        if way is not None and way.conn is not None:
-            self.fleet.clock.note("move", self.number, login)
+        way = self.logins.get(login)
+        if way is not None and way.connection is not None:
+            self.fleet.clock.record_event("move", self.number, login)
             self.fleet.tally["moved"] += 1
-            self.fleet.end(way.conn, Outcome.CANCELLED, again=True)
+            self.fleet.end_connection(way.connection, Outcome.CANCELLED, again=True)
 
     def probe(self, server: int) -> None:
         self.probed_at[server] = self.fleet.clock.now
@@ -250,11 +260,13 @@
         pass
 
     def set_timer(self, after: int, mark: int) -> None:
-        turn, clock = self.turn, self.fleet.clock
+        turn, clock = self.start_count, self.fleet.clock
         # A time in the past is due at once, but never within the call that asked for it.
-        clock.after(
+        clock.call_later(
             max(1, after),
-            lambda: self.alive and self.turn == turn and self.policy.timer_due(clock.now, mark),
+            lambda: (
+                self.alive and self.start_count == turn and self.policy.timer_due(clock.now, mark)
+            ),
         )
 
     def watch_list(self, wanted: bool) -> None:
@@ -267,31 +279,36 @@
         pass
 
     def log(self, text: str) -> None:
-        self.fleet.rules.step(self.fleet.clock.now, f"balancer {self.number}: {text}")
+        self.fleet.rules.record_step(self.fleet.clock.now, f"balancer {self.number}: {text}")
 
 
 class Fleet:
     def __init__(
-        self, scenario: Scenario, policy: str, seed: int, spoil: FaultInjector | None = None
+        self, scenario: Scenario, policy: str, seed: int, inject_fault: FaultInjector | None = None
     ) -> None:
-        self.scenario, self.policy_name, self.seed, self.spoil = scenario, policy, seed, spoil
+        self.scenario, self.policy_name, self.seed, self.inject_fault = (
+            scenario,
+            policy,
+            seed,
+            inject_fault,
+        )
         self.rng = Random(seed)  # what happens: the same for each policy as far as their acts allow
         self.clock = Clock()
-        self.rules = Rules(self.clock.began)
-        self.workloads = scenario.decisions()
+        self.rules = RuleChecker(self.clock.started_at)
+        self.workloads = scenario.policy_workloads()
         self.tally: Counter[str] = Counter()
-        self.quality = self.worth = 0.0
-        self.on_time = self.conn_time = 0.0
+        self.answer_quality = self.answer_weight = 0.0
+        self.on_time_connections = self.sampled_connections = 0.0
         self.samples: list[
             tuple[float, list[float], float]
         ] = []  # s, pressure of each server, share served of late
-        self._late_quality = self._late_worth = 0.0
-        self._logins = self._conns = 0
+        self._recent_quality = self._recent_weight = 0.0
+        self._last_login_id = self._last_connection_id = 0
         self._store_free_at = 0
         self._extra_loss = 0.0
-        self._cut_zones: set[int] = set()
-        self._mute_list = scenario.lists.silent
-        self._surge = 1.0
+        self._partitioned_zones: set[int] = set()
+        self._list_suspended = scenario.lists.silent
+        self._rate_factor = 1.0
         self.latencies: list[float] = []  # s until a wish was met, judged part only
         self._build()
 
@@ -299,47 +316,49 @@
         given = self.scenario.servers
         factors = [given.spread ** (self.rng.random() - 0.5) for _ in range(given.number)]
         mean = sum(factors) / len(factors)
-        self.boxes = {
+        self.servers = {
             at + 1: EmulatedServer(
                 at + 1, at % given.zones, at % given.cells, given.size * factor / mean
             )
             for at, factor in enumerate(factors)
         }
-        self.cells = {box.number: (box.zone, box.cell) for box in self.boxes.values()}
-        self.seats = [
+        self.cells = {box.number: (box.zone, box.cell) for box in self.servers.values()}
+        self.balancers = [
             EmulatedBalancer(self, at, at % given.zones)
             for at in range(self.scenario.balancers.number)
         ]
-        for seat in self.seats:
+        for seat in self.balancers:
             seat.start()
         for at, workload in enumerate(self.scenario.workloads):
             # What stands in the mean is there from the start, so that a run need not fill first.
             for _ in range(int(self.scenario.standing * workload.rate * workload.hold_s)):
-                self.clock.after(int(self.rng.random() * 2 * SECOND), self._standing, at)
-            self.clock.after(
+                self.clock.call_later(
+                    int(self.rng.random() * 2 * SECOND), self._standing_client_arrives, at
+                )
+            self.clock.call_later(
                 int(self.rng.expovariate(workload.rate) * SECOND), self._next_client, at
             )
-        self.clock.after(SAMPLE, self._sample)
+        self.clock.call_later(SAMPLE_INTERVAL, self._take_sample)
         for trouble in self.scenario.troubles:
-            self.clock.after(int(trouble.at_s * SECOND), self._trouble, trouble)
+            self.clock.call_later(int(trouble.at_s * SECOND), self._start_disruption, trouble)
 
-    def make(self, seat: EmulatedBalancer) -> Any:
+    def make_policy(self, seat: EmulatedBalancer) -> Any:
         """A fresh policy for this seat."""
         given = self.scenario
-        rng = Random(f"{self.seed}/{seat.number}/{seat.turn}")
+        rng = Random(f"{self.seed}/{seat.number}/{seat.start_count}")
         policy = POLICIES[self.policy_name](
             seat,
             rng,
             now=self.clock.now,
-            truth=self._truth,
+            true_utilisation=self._true_utilisation,
             zone=seat.zone,
             balancers=given.balancers.number,
             workloads=self.workloads,
             per_work=False,
-            cold=given.cold(),
+            cold=given.cold_rule(),
             max_hand_offs=given.balancers.max_hand_offs,
             cancel_allowed=True,
-            max_retry_after=RETRY_MOST,
+            max_retry_after=MAX_RETRY_AFTER,
             probes_allowed=True,
             ask_for_list=False,
             ask_within=10 * SECOND,
@@ -349,40 +368,40 @@
             crossing_price=0.0,
             probe_price=0.0,
         )
-        return self.spoil(seat, policy) if self.spoil else policy
+        return self.inject_fault(seat, policy) if self.inject_fault else policy
 
     def run(self) -> None:
-        end = self.clock.began + int(self.scenario.seconds * SECOND)
-        self.clock.run(end)
-        self.rules.overdue(end, SLACK)
+        end = self.clock.started_at + int(self.scenario.seconds * SECOND)
+        self.clock.run_until(end)
+        self.rules.check_overdue(end, ANSWER_GRACE)
 
-    def design_breaks(self) -> dict[str, str]:
+    def design_violations(self) -> dict[str, str]:
         """Beside the four rules, what the design promises: servers are probed, counts come off, groups stay together."""
         found = {}
         now = self.clock.now
-        for seat in self.seats:
-            if not seat.alive or now - seat.started_at < UNPROBED:
+        for seat in self.balancers:
+            if not seat.alive or now - seat.started_at < MAX_PROBE_GAP:
                 continue
             probes_subset = getattr(
                 getattr(seat.policy, "_load_reports", None), "probes_subset", True
             )
-            for line in seat.known.values():
+            for line in seat.listed.values():
                 heard = seat.probed_at.get(line.server, seat.started_at)
                 if (
                     not probes_subset
                     and line.status is Status.READY
-                    and now - max(heard, line.started_at) > UNPROBED
+                    and now - max(heard, line.started_at) > MAX_PROBE_GAP
                 ):
                     found["probing"] = (
                         f"balancer {seat.number} has not probed server {line.server} for {(now - heard) / SECOND:.1f} s"
                     )
             held = getattr(seat.policy, "_active_logins", None)
-            if held is not None and len(held) > len(seat.ways) + 5 + 0.05 * len(seat.ways):
+            if held is not None and len(held) > len(seat.logins) + 5 + 0.05 * len(seat.logins):
                 found["counts"] = (
-                    f"balancer {seat.number} counts {len(held)} connections, {len(seat.ways)} stand"
+                    f"balancer {seat.number} counts {len(held)} connections, {len(seat.logins)} stand"
                 )
         spread = self.group_spread()
-        if spread > SPLIT:
+        if spread > MAX_GROUP_SPREAD:
             found["groups"] = (
                 f"a group's connections stand on {spread:.1f} times the servers that its load needs"
             )
@@ -392,14 +411,14 @@
         """On how many times the servers that its load needs a group stands, the mean over groups; 0 without groups."""
         where: dict[int, set[int]] = {}
         load: Counter[int] = Counter()
-        for box in self.boxes.values():
-            for conn in box.conns.values():
-                if conn.wish.group:
-                    where.setdefault(conn.wish.group, set()).add(box.number)
-                    load[conn.wish.group] += 1
+        for box in self.servers.values():
+            for conn in box.connections.values():
+                if conn.arrival.group:
+                    where.setdefault(conn.arrival.group, set()).add(box.number)
+                    load[conn.arrival.group] += 1
         whole = sum(load.values())
         shares = [
-            len(where[group]) / (1.0 + load[group] / whole * len(self.boxes))
+            len(where[group]) / (1.0 + load[group] / whole * len(self.servers))
             for group in where
             if load[group] >= 5
         ]
@@ -407,53 +426,53 @@
 
     # What is true
 
-    def _truth(self, server: int) -> float:
-        box = self.boxes[server]
-        if not box.up or box.silent or box.errs:
+    def _true_utilisation(self, server: int) -> float:
+        box = self.servers[server]
+        if not box.up or box.silent or box.returns_errors:
             return 1e9
-        return box.pressure(self.clock.now, self.scenario) + box.pending / box.size
+        return box.utilisation(self.clock.now, self.scenario) + box.pending_setups / box.size
 
-    def lines(self) -> list[ListedServer]:
-        return [self._line(box) for box in self.boxes.values()]
+    def listed_servers(self) -> list[ListedServer]:
+        return [self._listed_server(box) for box in self.servers.values()]
 
     @staticmethod
-    def _line(box: EmulatedServer) -> ListedServer:
+    def _listed_server(box: EmulatedServer) -> ListedServer:
         return ListedServer(box.number, box.zone, 0, box.cell, box.status, 1.0, box.started_at)
 
-    def next_login(self) -> int:
-        self._logins += 1
-        return self._logins
+    def next_login_id(self) -> int:
+        self._last_login_id += 1
+        return self._last_login_id
 
     def delay(self, one: int, other: int) -> int:
         given = self.scenario.net
         mean = given.delay_ms if one == other else given.between_zones_ms
         return int(mean * MS * (0.5 + self.rng.expovariate(2.0)))
 
-    def _lost(self, one: int, other: int) -> bool:
+    def _message_lost(self, one: int, other: int) -> bool:
         """Whether a message from one zone to the other is lost; one direction at a time."""
-        if one != other and one in self._cut_zones:
+        if one != other and one in self._partitioned_zones:
             return True
         loss = self.scenario.net.loss + self._extra_loss
         return loss > 0 and self.rng.random() < loss
 
-    def _judged(self) -> bool:
-        return self.clock.now - self.clock.began >= self.scenario.warm_s * SECOND
+    def _measuring(self) -> bool:
+        return self.clock.now - self.clock.started_at >= self.scenario.warm_s * SECOND
 
     # Clients
 
     def _next_client(self, workload: int) -> None:
         given = self.scenario.workloads[workload]
-        self.clock.after(
-            int(self.rng.expovariate(given.rate * self._surge) * SECOND),
+        self.clock.call_later(
+            int(self.rng.expovariate(given.rate * self._rate_factor) * SECOND),
             self._next_client,
             workload,
         )
-        self._come(self._wish(workload, self._judged()))
+        self._choose_balancer(self._new_arrival(workload, self._measuring()))
 
-    def _standing(self, workload: int) -> None:
-        self._come(self._wish(workload, False))
+    def _standing_client_arrives(self, workload: int) -> None:
+        self._choose_balancer(self._new_arrival(workload, False))
 
-    def _wish(self, workload: int, counts: bool) -> Arrival:
+    def _new_arrival(self, workload: int, counts: bool) -> Arrival:
         given = self.scenario.workloads[workload]
         sigma = 0.0 if given.cost_spread <= 1 else given.cost_spread**0.5 - 1
         cost = self.rng.lognormvariate(-sigma * sigma / 2, sigma) if sigma else 1.0
@@ -468,47 +487,47 @@
             counts,
         )
 
-    def _come(self, wish: Arrival) -> None:
+    def _choose_balancer(self, wish: Arrival) -> None:
         """The front: a client gets any balancer that is up."""
-        alive = [seat for seat in self.seats if seat.alive]
-        wish.tries += 1
+        alive = [seat for seat in self.balancers if seat.alive]
+        wish.try_count += 1
         if not alive:
-            self.clock.after(200 * MS, self._come_again, wish)
+            self.clock.call_later(200 * MS, self._retry, wish)
             return
-        self.rng.choice(alive).arrive(wish)
+        self.rng.choice(alive).accept_arrival(wish)
 
-    def _come_again(self, wish: Arrival) -> None:
+    def _retry(self, wish: Arrival) -> None:
         given = self.scenario.workloads[wish.workload]
-        if wish.tries < given.tries:
-            self._come(wish)
+        if wish.try_count < given.tries:
+            self._choose_balancer(wish)
         else:
-            self._met(wish, 0.0)
+            self._record_answer(wish, 0.0)
 
-    def refused(self, wish: Arrival, retry_in: int, how: str) -> None:
+    def login_refused(self, wish: Arrival, retry_in: int, how: str) -> None:
         given = self.scenario.workloads[wish.workload]
         if how == "terminated":
-            self._met(wish, 0.0)
+            self._record_answer(wish, 0.0)
             return
         if given.retry == "told":
             wait = retry_in
         elif given.retry == "back-off":
-            wait = int(BACK_OFF * 2 ** min(wish.tries, 6) * self.rng.random())
+            wait = int(INITIAL_BACKOFF * 2 ** min(wish.try_count, 6) * self.rng.random())
         else:
             wait = 20 * MS
-        self.clock.after(wait, self._come_again, wish)
+        self.clock.call_later(wait, self._retry, wish)
 
-    def _met(self, wish: Arrival, quality: float) -> None:
+    def _record_answer(self, wish: Arrival, quality: float) -> None:
         """A wish has its answer, for what that is worth."""
-        if wish.done:
+        if wish.answered:
             return
-        wish.done = True
-        if wish.counts:
+        wish.answered = True
+        if wish.measured:
             worth = self.workloads[wish.workload].importance
-            self.quality += worth * quality
-            self.worth += worth
-            self._late_quality += worth * quality
-            self._late_worth += worth
-            self.latencies.append((self.clock.now - wish.began_at) / SECOND)
+            self.answer_quality += worth * quality
+            self.answer_weight += worth
+            self._recent_quality += worth * quality
+            self._recent_weight += worth
+            self.latencies.append((self.clock.now - wish.requested_at) / SECOND)
 
     # Hand-offs
 
@@ -520,35 +539,39 @@
         attempt: int,
         cut_at: int,
     ) -> None:
-        now, clock, turn = self.clock.now, self.clock, seat.turn
+        now, clock, turn = self.clock.now, self.clock, seat.start_count
         there = self.delay(seat.zone, box.zone)
         connect_by = min(cut_at, now + int(self.scenario.balancers.connect_ms * MS))
 
         def tell(outcome: Outcome, when: int) -> None:
-            clock.at(when, self._failed, seat, turn, way, box, attempt, outcome)
+            clock.call_at(when, self._hand_off_failed, seat, turn, way, box, attempt, outcome)
 
         if (
             not box.up
             or box.silent
-            or self._lost(seat.zone, box.zone)
-            or self._lost(box.zone, seat.zone)
+            or self._message_lost(seat.zone, box.zone)
+            or self._message_lost(box.zone, seat.zone)
         ):
             if box.status is Status.GONE and not box.up and not box.silent:
                 tell(Outcome.NOT_CONNECTED, min(connect_by, now + 2 * there))  # refused at once
             else:
                 tell(Outcome.NOT_CONNECTED, connect_by)
             return
-        if box.errs:
+        if box.returns_errors:
             tell(Outcome.ERROR, min(cut_at, now + 2 * there))
             return
-        if len(box.conns) + box.pending >= self.scenario.servers.cap * box.size:
+        if len(box.connections) + box.pending_setups >= self.scenario.servers.cap * box.size:
             tell(Outcome.FULL, min(cut_at, now + 2 * there))
             return
-        box.pending += 1
+        box.pending_setups += 1
         # Set-up work on a server that shares its time: the mean grows as 1/(1 - load).
-        busy = min(0.95, box.pressure(now, self.scenario))
+        busy = min(0.95, box.utilisation(now, self.scenario))
         took = int(
-            self.scenario.servers.setup_ms * MS * box.slow / (1 - busy) * self.rng.expovariate(1.0)
+            self.scenario.servers.setup_ms
+            * MS
+            * box.slowdown
+            / (1 - busy)
+            * self.rng.expovariate(1.0)
         )
         start = now + there
         if self.scenario.store.rate:
@@ -559,15 +582,15 @@
         done = start + took
         if done + there > cut_at:
             tell(Outcome.TIMED_OUT, cut_at)
-            clock.at(done, self._given_up, box)
+            clock.call_at(done, self._setup_abandoned, box)
             return
-        clock.at(done, self._set_up, seat, turn, way, box, attempt, there)
+        clock.call_at(done, self._setup_finished, seat, turn, way, box, attempt, there)
 
     @staticmethod
-    def _given_up(box: EmulatedServer) -> None:
-        box.pending = max(0, box.pending - 1)
+    def _setup_abandoned(box: EmulatedServer) -> None:
+        box.pending_setups = max(0, box.pending_setups - 1)
 
-    def _failed(
+    def _hand_off_failed(
         self,
         seat: EmulatedBalancer,
         turn: int,
@@ -576,23 +599,23 @@
         attempt: int,
         outcome: Outcome,
     ) -> None:
-        number = way.login.login
+        number = way.request.login
         if (
-            seat.turn != turn
+            seat.start_count != turn
             or not seat.alive
-            or attempt in way.settled
-            or seat.ways.get(number) is not way
+            or attempt in way.ended_hand_offs
+            or seat.logins.get(number) is not way
         ):
             return
-        way.settled.add(attempt)
+        way.ended_hand_offs.add(attempt)
         now = self.clock.now
         self.tally[f"hand-offs {outcome.value}"] += 1
-        self.rules.outcome(now, seat.number, number, attempt, outcome)
+        self.rules.hand_off_failed(now, seat.number, number, attempt, outcome)
         seat.policy.hand_off_ended(
-            now, number, False, box.number, outcome, attempt, now - way.attempts[attempt][1], None
+            now, number, False, box.number, outcome, attempt, now - way.hand_offs[attempt][1], None
         )
 
-    def _set_up(
+    def _setup_finished(
         self,
         seat: EmulatedBalancer,
         turn: int,
@@ -601,32 +624,36 @@
         attempt: int,
         back: int,
     ) -> None:
-        box.pending = max(0, box.pending - 1)
-        number = way.login.login
+        box.pending_setups = max(0, box.pending_setups - 1)
+        number = way.request.login
         if (
-            seat.turn != turn
+            seat.start_count != turn
             or not seat.alive
-            or attempt in way.settled
-            or seat.ways.get(number) is not way
+            or attempt in way.ended_hand_offs
+            or seat.logins.get(number) is not way
         ):
             return
         if not box.up:
-            self.clock.after(back, self._failed, seat, turn, way, box, attempt, Outcome.BROKEN)
+            self.clock.call_later(
+                back, self._hand_off_failed, seat, turn, way, box, attempt, Outcome.BROKEN
+            )
             return
         now = self.clock.now
-        if not self._bears(box, way.wish.cost):
-            self.clock.after(back, self._failed, seat, turn, way, box, attempt, Outcome.BROKEN)
+        if not self._accepts_setup(box, way.arrival.cost):
+            self.clock.call_later(
+                back, self._hand_off_failed, seat, turn, way, box, attempt, Outcome.BROKEN
+            )
             return
-        self._conns += 1
-        conn = way.conn = EmulatedConnection(
-            self._conns, box, seat, number, way.wish, now + way.wish.hold
+        self._last_connection_id += 1
+        conn = way.connection = EmulatedConnection(
+            self._last_connection_id, box, seat, number, way.arrival, now + way.arrival.hold_time
         )
-        box.conns[conn.number] = conn
-        box.cost += way.wish.cost
-        self.clock.at(conn.ends_at, self._over, conn)
-        self.clock.after(back, self._opened, seat, turn, way, box, attempt)
+        box.connections[conn.number] = conn
+        box.total_cost += way.arrival.cost
+        self.clock.call_at(conn.ends_at, self._connection_expired, conn)
+        self.clock.call_later(back, self._connection_opened, seat, turn, way, box, attempt)
 
-    def _opened(
+    def _connection_opened(
         self,
         seat: EmulatedBalancer,
         turn: int,
@@ -634,97 +661,99 @@
         box: EmulatedServer,
         attempt: int,
     ) -> None:
-        number, now = way.login.login, self.clock.now
+        number, now = way.request.login, self.clock.now
         if (
-            seat.turn != turn
+            seat.start_count != turn
             or not seat.alive
-            or attempt in way.settled
-            or seat.ways.get(number) is not way
-            or way.conn is None
+            or attempt in way.ended_hand_offs
+            or seat.logins.get(number) is not way
+            or way.connection is None
         ):
             return
-        way.settled.add(attempt)
+        way.ended_hand_offs.add(attempt)
         way.opened = True
-        self.rules.answered(now, seat.number, number, "fulfilled")
-        self.clock.note("open", seat.number, number, box.number)
+        self.rules.login_answered(now, seat.number, number, "fulfilled")
+        self.clock.record_event("open", seat.number, number, box.number)
         self.tally["fulfilled"] += 1
-        wish, workload = way.wish, self.workloads[way.wish.workload]
-        waited = now - wish.began_at
+        wish, workload = way.arrival, self.workloads[way.arrival.workload]
+        waited = now - wish.requested_at
         late = max(0, waited - workload.soft_limit) / max(
             1, workload.time_limit - workload.soft_limit
         )
-        self._met(wish, max(0.0, 1.0 - late))
+        self._record_answer(wish, max(0.0, 1.0 - late))
         seat.policy.hand_off_started(
-            now, number, attempt, box.number, now - way.attempts[attempt][1]
+            now, number, attempt, box.number, now - way.hand_offs[attempt][1]
         )
 
-    def _bears(self, box: EmulatedServer, cost: float) -> bool:
+    def _accepts_setup(self, box: EmulatedServer, cost: float) -> bool:
         """Whether a server that warms up bears one more set-up. It works them off at the multiple of the rate at which it
         warms (size over ramp, by its share); when a span's worth of them is queued it falls over."""
         now, given = self.clock.now, self.scenario.servers
-        share = box.share(now, self.scenario)
+        share = box.capacity_share(now, self.scenario)
         if share >= 1.0:
             return True
         bears = given.multiple * share * box.size * SECOND / max(1, given.ramp_ms * MS)
-        box.queued = max(0.0, box.queued - bears * (now - box.queued_at) / SECOND) + cost
+        box.queued_setups = (
+            max(0.0, box.queued_setups - bears * (now - box.queued_at) / SECOND) + cost
+        )
         box.queued_at = now
-        if box.queued > max(bears, 4.0) and box.up:
-            self.rules.fell(
+        if box.queued_setups > max(bears, 4.0) and box.up:
+            self.rules.cold_server_failed(
                 now,
                 box.number,
-                f"{box.queued:.1f} set-ups queued as it warms up, it bears {bears:.1f} a second",
+                f"{box.queued_setups:.1f} set-ups queued as it warms up, it bears {bears:.1f} a second",
             )
-            self.clock.note("fell", box.number)
-            self._stop(box)
-            self.clock.after(given.fallen_ms * MS, self._start, box)
+            self.clock.record_event("fell", box.number)
+            self._stop_server(box)
+            self.clock.call_later(given.fallen_ms * MS, self._start_server, box)
             return False
         return True
 
     # Connections
 
-    def _over(self, conn: EmulatedConnection) -> None:
-        if conn.number in conn.box.conns:
-            self.end(conn, Outcome.FULFILLED, again=False)
+    def _connection_expired(self, conn: EmulatedConnection) -> None:
+        if conn.number in conn.server.connections:
+            self.end_connection(conn, Outcome.FULFILLED, again=False)
 
-    def end(self, conn: EmulatedConnection, outcome: Outcome, again: bool) -> None:
+    def end_connection(self, conn: EmulatedConnection, outcome: Outcome, again: bool) -> None:
         """A connection ends; its client comes back where it was not done."""
-        box, seat, now = conn.box, conn.seat, self.clock.now
-        if box.conns.pop(conn.number, None) is None:
+        box, seat, now = conn.server, conn.balancer, self.clock.now
+        if box.connections.pop(conn.number, None) is None:
             return
-        box.cost = max(0.0, box.cost - conn.wish.cost)
-        way = seat.ways.get(conn.login)
-        if way is not None and way.conn is conn and not way.opened:
+        box.total_cost = max(0.0, box.total_cost - conn.arrival.cost)
+        way = seat.logins.get(conn.login)
+        if way is not None and way.connection is conn and not way.opened:
             # It ends before its balancer has heard of it: to that one the hand-off has failed.
-            way.conn = None
-            self.clock.after(
+            way.connection = None
+            self.clock.call_later(
                 self.delay(seat.zone, box.zone),
-                self._failed,
+                self._hand_off_failed,
                 seat,
-                seat.turn,
+                seat.start_count,
                 way,
                 box,
-                len(way.attempts) - 1,
+                len(way.hand_offs) - 1,
                 Outcome.BROKEN,
             )
             return
-        if way is not None and way.conn is conn:
-            del seat.ways[conn.login]
-            attempt = len(way.attempts) - 1
-            self.clock.note("end", seat.number, conn.login)
+        if way is not None and way.connection is conn:
+            del seat.logins[conn.login]
+            attempt = len(way.hand_offs) - 1
+            self.clock.record_event("end", seat.number, conn.login)
             if seat.alive:
-                self.rules.done(seat.number, conn.login)
-                self.clock.after(
+                self.rules.login_done(seat.number, conn.login)
+                self.clock.call_later(
                     self.delay(seat.zone, box.zone),
-                    self._tell_end,
+                    self._report_end,
                     seat,
-                    seat.turn,
+                    seat.start_count,
                     conn.login,
                     box,
                     outcome,
                     attempt,
                 )
         if again and conn.ends_at > now:
-            wish = conn.wish
+            wish = conn.arrival
             back = Arrival(
                 wish.workload,
                 now,
@@ -732,12 +761,12 @@
                 wish.group,
                 wish.subject,
                 conn.ends_at - now,
-                self._judged(),
+                self._measuring(),
             )
             back.came_back = True
-            self.clock.after(int(self.rng.uniform(20, 400) * MS), self._come, back)
+            self.clock.call_later(int(self.rng.uniform(20, 400) * MS), self._choose_balancer, back)
 
-    def _tell_end(
+    def _report_end(
         self,
         seat: EmulatedBalancer,
         turn: int,
@@ -746,7 +775,7 @@
         outcome: Outcome,
         attempt: int,
     ) -> None:
-        if seat.alive and seat.turn == turn:
+        if seat.alive and seat.start_count == turn:
             seat.policy.hand_off_ended(
                 self.clock.now, login, True, box.number, outcome, attempt, 0, None
             )
@@ -754,43 +783,43 @@
     # Probes
 
     def probe(self, seat: EmulatedBalancer, server: int) -> None:
-        now, turn, box = self.clock.now, seat.turn, self.boxes.get(server)
+        now, turn, box = self.clock.now, seat.start_count, self.servers.get(server)
         wait = int(self.scenario.balancers.connect_ms * 1.25 * MS)
         self.tally["probes"] += 1
         if (
             box is None
             or not box.up
             or box.silent
-            or self._lost(seat.zone, box.zone)
-            or self._lost(box.zone, seat.zone)
+            or self._message_lost(seat.zone, box.zone)
+            or self._message_lost(box.zone, seat.zone)
         ):
-            self.clock.after(
-                wait, self._probed, seat, turn, server, Outcome.NOT_CONNECTED, None, now
+            self.clock.call_later(
+                wait, self._probe_answered, seat, turn, server, Outcome.NOT_CONNECTED, None, now
             )
             return
-        self.clock.after(
+        self.clock.call_later(
             2 * self.delay(seat.zone, box.zone),
-            self._probed,
+            self._probe_answered,
             seat,
             turn,
             server,
             Outcome.FULFILLED,
-            self._report(box),
+            self._load_report(box),
             now,
         )
 
-    def _report(self, box: EmulatedServer) -> Report:
+    def _load_report(self, box: EmulatedServer) -> Report:
         """What it tells is as old as reports are here, and noisy."""
         at = self.clock.now - int(self.scenario.reports.lag_ms * MS)
-        count, pressure = len(box.conns), box.pressure(self.clock.now, self.scenario)
-        for when, was_count, was_pressure in reversed(box.past):
+        count, pressure = len(box.connections), box.utilisation(self.clock.now, self.scenario)
+        for when, was_count, was_pressure in reversed(box.load_history):
             if when <= at:
                 count, pressure = was_count, was_pressure
                 break
         noise = 1.0 + self.scenario.reports.noise * self.rng.uniform(-1, 1)
         return Report(float(count), pressure * noise, min(1.0, pressure * noise))
 
-    def _probed(
+    def _probe_answered(
         self,
         seat: EmulatedBalancer,
         turn: int,
@@ -799,7 +828,7 @@
         report: Report | None,
         began: int,
     ) -> None:
-        if seat.alive and seat.turn == turn:
+        if seat.alive and seat.start_count == turn:
             seat.policy.probe_answered(
                 self.clock.now, server, self.clock.now - began, outcome, report
             )
@@ -808,183 +837,187 @@
 
     def _list_changed(self, box: EmulatedServer) -> None:
         """Each balancer hears of it after a lag of its own, unless the list is silent."""
-        line = self._line(box)
-        for seat in self.seats:
+        line = self._listed_server(box)
+        for seat in self.balancers:
             wait = int(self.scenario.lists.lag_ms * MS * self.rng.uniform(0.2, 1.8))
-            self.clock.after(wait, self._list_comes, seat, seat.turn, line)
+            self.clock.call_later(wait, self._list_change_arrives, seat, seat.start_count, line)
 
-    def _list_comes(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
-        if self._mute_list:
-            self.clock.after(250 * MS, self._list_comes, seat, turn, line)
-        elif seat.alive and seat.turn == turn:
-            known = seat.known.get(line.server)
+    def _list_change_arrives(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
+        if self._list_suspended:
+            self.clock.call_later(250 * MS, self._list_change_arrives, seat, turn, line)
+        elif seat.alive and seat.start_count == turn:
+            known = seat.listed.get(line.server)
             # A later word may have overtaken this one.
-            if known is None or self.boxes[line.server].status == line.status:
-                seat.take_list([line], False)
+            if known is None or self.servers[line.server].status == line.status:
+                seat.receive_list([line], False)
 
     # Servers stop and start
 
-    def _stop(self, box: EmulatedServer) -> None:
+    def _stop_server(self, box: EmulatedServer) -> None:
         box.up = False
-        for conn in list(box.conns.values()):
-            self.end(conn, Outcome.BROKEN, again=True)
-        box.cost, box.pending = 0.0, 0
+        for conn in list(box.connections.values()):
+            self.end_connection(conn, Outcome.BROKEN, again=True)
+        box.total_cost, box.pending_setups = 0.0, 0
 
-    def _start(self, box: EmulatedServer) -> None:
+    def _start_server(self, box: EmulatedServer) -> None:
         box.up, box.started_at, box.status = True, self.clock.now, Status.READY
-        box.queued = 0.0
-        box.past.clear()
+        box.queued_setups = 0.0
+        box.load_history.clear()
         self._list_changed(box)
 
-    def _drain(self, box: EmulatedServer, back_after: int) -> None:
+    def _drain_server(self, box: EmulatedServer, back_after: int) -> None:
         if box.status is not Status.READY or not box.up:
             return
         box.status = Status.DRAINING
         self._list_changed(box)
-        self.clock.after(back_after, self._drained, box)
+        self.clock.call_later(back_after, self._drain_finished, box)
 
-    def _drained(self, box: EmulatedServer) -> None:
+    def _drain_finished(self, box: EmulatedServer) -> None:
         box.status = Status.GONE
         self._list_changed(box)
-        self._stop(box)
-        self.clock.after(SECOND, self._start, box)
+        self._stop_server(box)
+        self.clock.call_later(SECOND, self._start_server, box)
 
     # Troubles
 
-    def _some(self, part: float) -> list[EmulatedServer]:
-        ready = [box for box in self.boxes.values() if box.up and box.status is Status.READY]
+    def _choose_servers(self, part: float) -> list[EmulatedServer]:
+        ready = [box for box in self.servers.values() if box.up and box.status is Status.READY]
         return self.rng.sample(ready, min(len(ready), max(1, round(part * len(ready)))))
 
-    def _trouble(self, given: Disruption) -> None:
-        self.rules.step(self.clock.now, f"trouble: {given.kind}")
-        self.clock.note("trouble " + given.kind)
+    def _start_disruption(self, given: Disruption) -> None:
+        self.rules.record_step(self.clock.now, f"trouble: {given.kind}")
+        self.clock.record_event("trouble " + given.kind)
         span = int(given.for_s * SECOND)
         getattr(self, "_" + given.kind.replace(" ", "_") + "_comes")(given, span)
 
     def _drain_comes(self, given: Disruption, span: int) -> None:
-        for box in self._some(given.part):
-            self._drain(box, span)
+        for box in self._choose_servers(given.part):
+            self._drain_server(box, span)
 
     def _release_comes(self, given: Disruption, span: int) -> None:
         """One after the other, over the span."""
-        boxes = self._some(given.part)
+        boxes = self._choose_servers(given.part)
         for at, box in enumerate(boxes):
-            self.clock.after(
+            self.clock.call_later(
                 at * span // len(boxes),
-                self._drain,
+                self._drain_server,
                 box,
                 min(3 * SECOND, span // len(boxes) + SECOND),
             )
 
     def _vanish_comes(self, given: Disruption, span: int) -> None:
-        for box in self._some(given.part):
-            self._stop(box)
-            self.clock.after(span, self._start, box)
+        for box in self._choose_servers(given.part):
+            self._stop_server(box)
+            self.clock.call_later(span, self._start_server, box)
 
     def _silent_server_comes(self, given: Disruption, span: int) -> None:
-        for box in self._some(given.part):
+        for box in self._choose_servers(given.part):
             box.silent = True
-            self.clock.after(span, setattr, box, "silent", False)
+            self.clock.call_later(span, setattr, box, "silent", False)
 
     def _slow_comes(self, given: Disruption, span: int) -> None:
-        for box in self._some(given.part):
-            box.slow = given.factor
-            self.clock.after(span, setattr, box, "slow", 1.0)
+        for box in self._choose_servers(given.part):
+            box.slowdown = given.factor
+            self.clock.call_later(span, setattr, box, "slowdown", 1.0)
 
     def _fast_errors_comes(self, given: Disruption, span: int) -> None:
-        for box in self._some(given.part):
-            box.errs = True
-            self.clock.after(span, setattr, box, "errs", False)
+        for box in self._choose_servers(given.part):
+            box.returns_errors = True
+            self.clock.call_later(span, setattr, box, "returns_errors", False)
 
     def _zone_loss_comes(self, given: Disruption, span: int) -> None:
         zone = self.rng.randrange(self.scenario.servers.zones)
-        for box in self.boxes.values():
+        for box in self.servers.values():
             if box.zone == zone and box.up:
-                self._stop(box)
-                self.clock.after(span, self._start, box)
+                self._stop_server(box)
+                self.clock.call_later(span, self._start_server, box)
 
     def _balancer_killed_comes(self, given: Disruption, span: int) -> None:
-        alive = [seat for seat in self.seats if seat.alive]
+        alive = [seat for seat in self.balancers if seat.alive]
         for seat in self.rng.sample(alive, min(len(alive), max(1, round(given.part * len(alive))))):
-            self._kill(seat)
-            self.clock.after(span, seat.start)
+            self._kill_balancer(seat)
+            self.clock.call_later(span, seat.start)
 
-    def _kill(self, seat: EmulatedBalancer) -> None:
+    def _kill_balancer(self, seat: EmulatedBalancer) -> None:
         seat.alive = False
-        for number, way in list(seat.ways.items()):
-            self.rules.left(self.clock.now, seat.number, number)
-            if way.conn is not None:
-                self.end(way.conn, Outcome.BROKEN, again=True)
+        for number, way in list(seat.logins.items()):
+            self.rules.login_abandoned(self.clock.now, seat.number, number)
+            if way.connection is not None:
+                self.end_connection(way.connection, Outcome.BROKEN, again=True)
             else:
-                way.wish.came_back = True
-                self.clock.after(int(self.rng.uniform(20, 400) * MS), self._come_again, way.wish)
-        seat.ways = {}
+                way.arrival.came_back = True
+                self.clock.call_later(int(self.rng.uniform(20, 400) * MS), self._retry, way.arrival)
+        seat.logins = {}
 
     def _balancer_restart_comes(self, given: Disruption, span: int) -> None:
         """Planned: clients are moved first, over some seconds."""
-        alive = [seat for seat in self.seats if seat.alive]
+        alive = [seat for seat in self.balancers if seat.alive]
         for seat in self.rng.sample(alive, min(len(alive), max(1, round(given.part * len(alive))))):
-            for number in list(seat.ways):
-                self.clock.after(int(self.rng.random() * LOST_MOVES), seat.move, number)
-            self.clock.after(LOST_MOVES, self._kill, seat)
-            self.clock.after(LOST_MOVES + span, seat.start)
+            for number in list(seat.logins):
+                self.clock.call_later(int(self.rng.random() * RESTART_MOVE_TIME), seat.move, number)
+            self.clock.call_later(RESTART_MOVE_TIME, self._kill_balancer, seat)
+            self.clock.call_later(RESTART_MOVE_TIME + span, seat.start)
 
     def _client_drop_comes(self, given: Disruption, span: int) -> None:
         """A carrier's link breaks: a part of all connections ends at once, and their clients come back."""
-        conns = [conn for box in self.boxes.values() for conn in box.conns.values()]
+        conns = [conn for box in self.servers.values() for conn in box.connections.values()]
         for conn in self.rng.sample(conns, round(given.part * len(conns))):
-            self.end(conn, Outcome.BROKEN, again=True)
+            self.end_connection(conn, Outcome.BROKEN, again=True)
 
     def _list_silent_comes(self, given: Disruption, span: int) -> None:
-        self._mute_list = True
-        self.clock.after(span, setattr, self, "_mute_list", False)
+        self._list_suspended = True
+        self.clock.call_later(span, setattr, self, "_list_suspended", False)
 
     def _partition_comes(self, given: Disruption, span: int) -> None:
-        self._cut_zones = {self.rng.randrange(self.scenario.servers.zones)}
-        self.clock.after(span, setattr, self, "_cut_zones", set())
+        self._partitioned_zones = {self.rng.randrange(self.scenario.servers.zones)}
+        self.clock.call_later(span, setattr, self, "_partitioned_zones", set())
 
     def _loss_comes(self, given: Disruption, span: int) -> None:
         self._extra_loss = given.part
-        self.clock.after(span, setattr, self, "_extra_loss", 0.0)
+        self.clock.call_later(span, setattr, self, "_extra_loss", 0.0)
 
     def _surge_comes(self, given: Disruption, span: int) -> None:
-        self._surge = given.factor
-        self.clock.after(span, setattr, self, "_surge", 1.0)
+        self._rate_factor = given.factor
+        self.clock.call_later(span, setattr, self, "_rate_factor", 1.0)
 
     # Looking
 
-    def _sample(self) -> None:
+    def _take_sample(self) -> None:
         now = self.clock.now
-        self.clock.after(SAMPLE, self._sample)
+        self.clock.call_later(SAMPLE_INTERVAL, self._take_sample)
         pressures, given = [], self.scenario.servers
-        for box in self.boxes.values():
+        for box in self.servers.values():
             wander = max((w.wander for w in self.scenario.workloads), default=0.0)
-            box.wave += 0.25 * (1.0 - box.wave) + wander * 0.25 * self.rng.uniform(-1, 1)
-            pressure = box.pressure(now, self.scenario) if box.up else 0.0
-            box.past = [held for held in box.past if held[0] > now - 10 * SECOND] + [
-                (now, len(box.conns), pressure)
-            ]
+            box.load_drift += 0.25 * (1.0 - box.load_drift) + wander * 0.25 * self.rng.uniform(
+                -1, 1
+            )
+            pressure = box.utilisation(now, self.scenario) if box.up else 0.0
+            box.load_history = [
+                held for held in box.load_history if held[0] > now - 10 * SECOND
+            ] + [(now, len(box.connections), pressure)]
             pressures.append(round(pressure, 4))
-            if self._judged():
+            if self._measuring():
                 # M/M/1: a message is late with chance exp(-(1 - load) * slack); past its capacity a server's queue
                 # grows, and all are.
-                self.conn_time += len(box.conns)
-                self.on_time += len(box.conns) * max(
+                self.sampled_connections += len(box.connections)
+                self.on_time_connections += len(box.connections) * max(
                     0.0, 1.0 - exp(-(1.0 - pressure) * given.message_slack)
                 )
-        share = self._late_quality / self._late_worth if self._late_worth else 1.0
-        self._late_quality = self._late_worth = 0.0
+        share = self._recent_quality / self._recent_weight if self._recent_weight else 1.0
+        self._recent_quality = self._recent_weight = 0.0
         self.samples.append(
-            (round((now - self.clock.began) / SECOND, 3), pressures, round(share, 4))
+            (round((now - self.clock.started_at) / SECOND, 3), pressures, round(share, 4))
         )
-        self.rules.overdue(now, SLACK)
+        self.rules.check_overdue(now, ANSWER_GRACE)
 
     @property
     def service(self) -> float:
         """What clients got of what they wanted: answers in time, and connections that were served in time."""
-        answers = self.quality / self.worth if self.worth else 1.0
-        return answers * (self.on_time / self.conn_time if self.conn_time else 1.0)
+        answers = self.answer_quality / self.answer_weight if self.answer_weight else 1.0
+        return answers * (
+            self.on_time_connections / self.sampled_connections if self.sampled_connections else 1.0
+        )
 
     @property
-    def standing(self) -> int:
-        return sum(len(box.conns) for box in self.boxes.values())
+    def open_connections(self) -> int:
+        return sum(len(box.connections) for box in self.servers.values())
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -25,7 +25,7 @@
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
-Truth = Callable[
+TrueUtilisation = Callable[
     [int], float
 ]  # a server's pressure as it is now, for the one policy that may see it
 
@@ -41,13 +41,13 @@
         rng: Random,
         *,
         now: int,
-        truth: Truth,
+        true_utilisation: TrueUtilisation,
         workloads: list[Workload],
         max_hand_offs: int,
         max_retry_after: int,
         **_: Any,
     ) -> None:
-        self._host, self._rng, self._truth = host, rng, truth
+        self._host, self._rng, self._true_utilisation = host, rng, true_utilisation
         self._workloads, self._most, self._retry_after = workloads, max_hand_offs, max_retry_after
         self._ready: dict[int, ListedServer] = {}
         self._counts: dict[int, float] = {}
@@ -227,10 +227,12 @@
     PROBES = False
 
     def choose(self, now: int, servers: list[int]) -> int:
-        return min(servers, key=lambda server: (self._truth(server), server))
+        return min(servers, key=lambda server: (self._true_utilisation(server), server))
 
 
-def _module(host: Host, rng: Random, *, truth: Truth, **settings: Any) -> Balancer:
+def _module(
+    host: Host, rng: Random, *, true_utilisation: TrueUtilisation, **settings: Any
+) -> Balancer:
     return Balancer(host, rng, **settings)
 
 
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -11,7 +11,7 @@
 
 from corklift.interface import ListedServer, Login, Outcome, Scope, Status
 from corklift.lab.clock import MS, SECOND
-from corklift.lab.fleet import RETRY_MOST, Arrival, EmulatedBalancer, EmulatedLogin, Fleet
+from corklift.lab.fleet import MAX_RETRY_AFTER, Arrival, EmulatedBalancer, EmulatedLogin, Fleet
 from corklift.lab.policies import POLICIES
 from corklift.lab.scenario import Balancers, Scenario, Servers, WorkloadTable
 from corklift.recovery.core import Recovery, RecoveryConfig, RecoveryPhase
@@ -120,14 +120,14 @@
 
     def start(self) -> None:
         fleet = self.fleet
-        self.turn += 1
-        self.alive, self.ways, self.started_at = True, {}, fleet.clock.now
-        self.known, self.probed_at = {}, {}
+        self.start_count += 1
+        self.alive, self.logins, self.started_at = True, {}, fleet.clock.now
+        self.listed, self.probed_at = {}, {}
         self.heard: set[int] = set()
         self.let_in: set[int] = set()
         self.listing: list[ListedServer] | None = None
         self.again = False
-        self.policy = Gate(self, fleet.make(self))
+        self.policy = Gate(self, fleet.make_policy(self))
         self.policy.servers_listed(fleet.clock.now, Scope.CACHED, 0, ())
         self.core = None
         if fleet.kind == "serve":
@@ -135,26 +135,28 @@
             self._found = disk.store, [fact for _, fact in disk.facts]
             self.core = Recovery(
                 self,
-                Random(f"{day.seed}/{self.number}/{self.turn}/r"),
-                RecoveryConfig(day.period, max_retry_after=RETRY_MOST, cold=fleet.scenario.cold()),
+                Random(f"{day.seed}/{self.number}/{self.start_count}/r"),
+                RecoveryConfig(
+                    day.period, max_retry_after=MAX_RETRY_AFTER, cold=fleet.scenario.cold_rule()
+                ),
                 fleet.clock.now,
                 name=self.name,
-                instance_id=self.turn << 16 | self.number,
+                instance_id=self.start_count << 16 | self.number,
                 boot=str(fleet.boots[self.number]),
                 expected=day.balancers,
             )
-            fleet.clock.after(int(fleet.rng.uniform(1, 30) * MS), self._mine(self._read))
+            fleet.clock.call_later(int(fleet.rng.uniform(1, 30) * MS), self._mine(self._read))
             self._look()
         elif fleet.kind == "knows":
-            self.take_list(fleet.lines(), True)
+            self.receive_list(fleet.listed_servers(), True)
             for server in fleet.out:
                 self.policy.take_out_of_service(fleet.clock.now, server)
-        fleet.clock.after(10 * MS, self._mine(self._ask_list))
+        fleet.clock.call_later(10 * MS, self._mine(self._ask_list))
 
     def _mine(self, act: Any) -> Any:
         """Void once this life is over."""
-        turn = self.turn
-        return lambda *given: act(*given) if self.alive and self.turn == turn else None
+        turn = self.start_count
+        return lambda *given: act(*given) if self.alive and self.start_count == turn else None
 
     def _read(self) -> None:
         assert self.core is not None
@@ -168,7 +170,7 @@
         now = fleet.clock.now
         core.members_changed(now, fleet.living(self), now - self.started_at > fleet.day.period // 2)
         ready = {
-            line.server for line in self.known.values() if line.status is Status.READY
+            line.server for line in self.listed.values() if line.status is Status.READY
         } - self.policy._registry.out_of_service.keys()
         core.servers_probed(
             now, [f"s{server}" for server in ready], bool(ready) and ready <= self.heard
@@ -185,22 +187,22 @@
         if core.phase is RecoveryPhase.FULL:
             core.count_changed(now, fleet.day.balancers)
         core.tick(now)
-        fleet.clock.after(LOOK, self._mine(self._look))
+        fleet.clock.call_later(LOOK, self._mine(self._look))
 
     # The list
 
     def _ask_list(self) -> None:
-        if self.fleet._mute_list:
-            self.fleet.clock.after(LOOK, self._mine(self._ask_list))
+        if self.fleet._list_suspended:
+            self.fleet.clock.call_later(LOOK, self._mine(self._ask_list))
         else:
-            self.take_list(self.fleet.told_lines(), True)
+            self.receive_list(self.fleet.told_lines(), True)
 
-    def take_list(self, lines: list[ListedServer], whole: bool) -> None:
+    def receive_list(self, lines: list[ListedServer], whole: bool) -> None:
         if not self.alive:
             return
         core, now = self.core, self.fleet.clock.now
         if core is None:
-            super().take_list(lines, whole)
+            super().receive_list(lines, whole)
             return
         index = self.fleet.told_index
         if not self.again:
@@ -242,27 +244,27 @@
                     status=status, started_at=core.effective_start(now, name, line.started_at)
                 )
             )
-        super().take_list(believed, whole)
+        super().receive_list(believed, whole)
 
     # Clients
 
-    def arrive(self, wish: Arrival) -> None:
+    def accept_arrival(self, wish: Arrival) -> None:
         core, now = self.core, self.fleet.clock.now
         if core is None or core.phase is RecoveryPhase.FULL:
-            super().arrive(wish)
+            super().accept_arrival(wish)
             return
         wait = core.admit_login(now, 1.0)
         if wait is None:
             self.let_in.add(self.fleet.coming)
-            super().arrive(wish)
+            super().accept_arrival(wish)
             return
-        number = self.fleet.next_login()
+        number = self.fleet.next_login_id()
         workload = self.fleet.workloads[wish.workload]
         login = Login(
             number, wish.workload, 0, wish.subject, now + workload.time_limit, None, wish.group
         )
-        self.ways[number] = EmulatedLogin(login, wish)
-        self.fleet.rules.arrived(now, self.number, login, workload)
+        self.logins[number] = EmulatedLogin(login, wish)
+        self.fleet.rules.login_arrived(now, self.number, login, workload)
         super().bounce(number, wait)
 
     def went(self, login: int, up: bool | None) -> None:
@@ -322,7 +324,7 @@
             disk.facts += [(fleet.clock.now, fact) for fact in facts]
             core.persisted(fleet.clock.now, number, len(disk.facts), "")
 
-        fleet.clock.after(int(fleet.rng.uniform(0.2, 8) * MS), self._mine(kept))
+        fleet.clock.call_later(int(fleet.rng.uniform(0.2, 8) * MS), self._mine(kept))
 
     def delete_persisted(self, facts: tuple[Fact, ...]) -> None:
         pass
@@ -354,17 +356,17 @@
         if listing is not None:
             self.again = True
             try:
-                self.take_list(listing, True)
+                self.receive_list(listing, True)
             finally:
                 self.again = False
 
     def probe_servers(self, span: int) -> None:
-        for line in list(self.known.values()):
+        for line in list(self.listed.values()):
             if (
                 line.status is Status.READY
                 and line.server not in self.policy._registry.out_of_service
             ):
-                self.fleet.clock.after(
+                self.fleet.clock.call_later(
                     int(self.fleet.rng.random() * span), self._mine(self.probe), line.server
                 )
 
@@ -420,34 +422,34 @@
             workloads=[WorkloadTable(name="plain", rate=day.rate, hold_s=day.hold_s, tries=100)],
         )
         super().__init__(scenario, "module", day.seed)
-        self.clock.after(int((day.at_s - 1.0) * SECOND), self._words)
-        self.clock.after(
+        self.clock.call_later(int((day.at_s - 1.0) * SECOND), self._words)
+        self.clock.call_later(
             int(day.at_s * SECOND), self._restart_unlisted if day.unlisted else self._cut
         )
 
     def _build(self) -> None:
         super()._build()
-        for seat in self.seats:
+        for seat in self.balancers:
             seat.alive = False
-        self.seats = [Powered(self, seat.number, seat.zone) for seat in self.seats]
-        for seat in self.seats:
+        self.balancers = [Powered(self, seat.number, seat.zone) for seat in self.balancers]
+        for seat in self.balancers:
             seat.start()
 
-    def make(self, seat: EmulatedBalancer) -> Any:
+    def make_policy(self, seat: EmulatedBalancer) -> Any:
         given = self.scenario
         return POLICIES["module"](
             seat,
-            Random(f"{self.seed}/{seat.number}/{seat.turn}"),
+            Random(f"{self.seed}/{seat.number}/{seat.start_count}"),
             now=self.clock.now,
-            truth=self._truth,
+            true_utilisation=self._true_utilisation,
             zone=seat.zone,
             balancers=given.balancers.number,
             workloads=self.workloads,
             per_work=False,
-            cold=given.cold(),
+            cold=given.cold_rule(),
             max_hand_offs=given.balancers.max_hand_offs,
             cancel_allowed=True,
-            max_retry_after=RETRY_MOST,
+            max_retry_after=MAX_RETRY_AFTER,
             probes_allowed=True,
             ask_for_list=False,
             ask_within=10 * SECOND,
@@ -461,20 +463,20 @@
     @property
     def coming(self) -> int:
         """The number that the next login will have."""
-        return self._logins + 1
+        return self._last_login_id + 1
 
     @property
     def told_index(self) -> int:
         return self.index if self._old is None else self.saved[1]
 
     def told_lines(self) -> list[ListedServer]:
-        return self._old if self._old is not None else self.lines()
+        return self._old if self._old is not None else self.listed_servers()
 
     def living(self, seat: EmulatedBalancer) -> list[str]:
         now, period = self.clock.now, self.day.period
         return [
             f"b{other.number}"
-            for other in self.seats
+            for other in self.balancers
             if other is not seat
             and other.alive
             and now - other.started_at > period // 4
@@ -485,7 +487,7 @@
 
     def _words(self) -> None:
         rng = Random(f"{self.day.seed} words")
-        boxes = sorted(self.boxes)
+        boxes = sorted(self.servers)
         out, back, leaving = rng.sample(boxes, 3)
         self._drain_told(leaving)
         for server, wanted in ((out, True), (back, True), (back, False)):
@@ -493,9 +495,9 @@
 
     def _drain_told(self, server: int) -> None:
         self._old = None
-        self.saved = [line._replace() for line in self.lines()], self.index
+        self.saved = [line._replace() for line in self.listed_servers()], self.index
         self.index += 1
-        box = self.boxes[server]
+        box = self.servers[server]
         box.status = Status.DRAINING
         self._list_changed(box)
         self.leaving[server] = self.clock.now + 2 * SECOND
@@ -503,13 +505,13 @@
     def _say(self, server: int, out: bool) -> None:
         self.asked_words.setdefault(server, set()).add(out)
         if self.kind != "serve":
-            for seat in self.seats:
+            for seat in self.balancers:
                 (seat.policy.take_out_of_service if out else seat.policy.restore_to_service)(
                     self.clock.now, server
                 )
             self._had_yes(server, out)
             return
-        seat = next(seat for seat in self.seats if seat.alive)
+        seat = next(seat for seat in self.balancers if seat.alive)
         assert seat.core is not None
         self.out.pop(server, None)
         self._last_word[server] = out
@@ -531,9 +533,9 @@
     def _cut(self) -> None:
         day, rng = self.day, Random(f"{self.day.seed} cut")
         self.cut_at = self.clock.now
-        self._mute_list = True
+        self._list_suspended = True
         if day.mute_s >= 0:
-            self.clock.after(int(day.mute_s * SECOND), self._list_back)
+            self.clock.call_later(int(day.mute_s * SECOND), self._list_back)
         numbers = rng.sample(range(day.balancers), day.balancers)
         self.lone_liar = day.first == 1 and 0 in numbers[: day.lying]
         for number in numbers[: day.lying]:
@@ -541,30 +543,32 @@
             disk.facts = [held for held in disk.facts if held[0] < self.clock.now - SECOND]
         for number in numbers[day.lying : day.lying + day.emptied]:
             self.disks[number] = Disk(b"emptied %8d" % number)
-        for box in self.boxes.values():
+        for box in self.servers.values():
             if box.up:
-                self._stop(box)
-            self.clock.after(int((day.dark_s[0] + rng.random()) * SECOND), self._boot, box)
-        for at, seat in enumerate(self.seats):
+                self._stop_server(box)
+            self.clock.call_later(int((day.dark_s[0] + rng.random()) * SECOND), self._boot, box)
+        for at, seat in enumerate(self.balancers):
             self._lose(seat)
             late = day.first and at >= day.first
-            self.clock.after(
+            self.clock.call_later(
                 int((day.dark_s[1] + rng.random() + (10.0 if late else 0.0)) * SECOND),
                 self._boot_seat,
                 seat,
             )
         if day.second_s:
-            half = rng.sample(self.seats, len(self.seats) // 2)
-            self.clock.after(int((day.dark_s[1] + day.second_s) * SECOND), self._cut_again, half)
+            half = rng.sample(self.balancers, len(self.balancers) // 2)
+            self.clock.call_later(
+                int((day.dark_s[1] + day.second_s) * SECOND), self._cut_again, half
+            )
 
     def _restart_unlisted(self) -> None:
         self.cut_at = self.clock.now
-        self._mute_list = True
+        self._list_suspended = True
         rng = Random(f"{self.day.seed} unlisted")
         for at, box in enumerate(
-            rng.sample(sorted(self.boxes.values(), key=lambda box: box.number), self.day.unlisted)
+            rng.sample(sorted(self.servers.values(), key=lambda box: box.number), self.day.unlisted)
         ):
-            self.clock.after(
+            self.clock.call_later(
                 int((at * 2 + rng.random()) * SECOND),
                 self._away,
                 box,
@@ -573,18 +577,18 @@
 
     def _away(self, box: Any, span: int) -> None:
         if box.up:
-            self._stop(box)
-            self.clock.after(span, self._boot, box)
+            self._stop_server(box)
+            self.clock.call_later(span, self._boot, box)
 
     def _cut_again(self, half: list[Powered]) -> None:
         for seat in half:
             if seat.alive:
                 self._lose(seat)
-                self.clock.after(self.day.period, self._boot_seat, seat)
+                self.clock.call_later(self.day.period, self._boot_seat, seat)
 
     def _lose(self, seat: EmulatedBalancer) -> None:
         if seat.alive:
-            self._kill(seat)
+            self._kill_balancer(seat)
 
     def _boot_seat(self, seat: Powered) -> None:
         if not seat.alive:
@@ -594,8 +598,8 @@
     def _boot(self, box: Any) -> None:
         """A server is back and cold; whether it drains is the list's to say, and that is late."""
         status = box.status
-        box.up, box.started_at, box.queued = True, self.clock.now, 0.0
-        box.past.clear()
+        box.up, box.started_at, box.queued_setups = True, self.clock.now, 0.0
+        box.load_history.clear()
         if status is Status.READY:
             self.index += 1
             self._list_changed(box)
@@ -604,25 +608,25 @@
         if self.day.old_list:
             # Of before the drain, and of before the servers started; the true one comes 5 s later.
             self._old = self.saved[0]
-            self.clock.after(5 * SECOND, self._list_true)
-        self._mute_list = False
+            self.clock.call_later(5 * SECOND, self._list_true)
+        self._list_suspended = False
 
     def _list_true(self) -> None:
         self._old = None
         self.index += 1
-        for seat in self.seats:
+        for seat in self.balancers:
             if seat.alive:
-                seat.take_list(self.lines(), True)
+                seat.receive_list(self.listed_servers(), True)
 
-    def _list_comes(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
+    def _list_change_arrives(self, seat: EmulatedBalancer, turn: int, line: ListedServer) -> None:
         if self._old is not None:
             return  # it tells of before, till the true one is back
-        super()._list_comes(seat, turn, line)
+        super()._list_change_arrives(seat, turn, line)
 
     # Calls of peers
 
     def _reaches(self, name: str) -> Powered | None:
-        seat = self.seats[int(name[1:])]
+        seat = self.balancers[int(name[1:])]
         lost = self.day.lost_calls and self.rng.random() < self.day.lost_calls
         return seat if seat.alive and seat.core is not None and not lost else None
 
@@ -633,11 +637,11 @@
         def there() -> None:
             other = self._reaches(name)
             if other is None:
-                self.clock.at(until, back, None)
+                self.clock.call_at(until, back, None)
             else:
-                self.clock.after(self.delay(0, 1), back, arrive(other))
+                self.clock.call_later(self.delay(0, 1), back, arrive(other))
 
-        self.clock.after(self.delay(0, 1), there)
+        self.clock.call_later(self.delay(0, 1), there)
 
     def call_slow(
         self, seat: Powered, name: str, message: Replicate, until: int, done: Any
@@ -650,8 +654,10 @@
                 told.append(True)
                 seat._mine(done)(found)
 
-        turn = seat.turn
-        self.clock.at(until, lambda: back(None) if seat.turn == turn and seat.alive else None)
+        turn = seat.start_count
+        self.clock.call_at(
+            until, lambda: back(None) if seat.start_count == turn and seat.alive else None
+        )
 
         def there() -> None:
             other = self._reaches(name)
@@ -660,13 +666,13 @@
                 other.core.replicate_received(
                     self.clock.now,
                     message,
-                    lambda found: self.clock.after(
+                    lambda found: self.clock.call_later(
                         self.delay(0, 1),
-                        lambda: back(found) if seat.turn == turn and seat.alive else None,
+                        lambda: back(found) if seat.start_count == turn and seat.alive else None,
                     ),
                 )
 
-        self.clock.after(self.delay(0, 1), there)
+        self.clock.call_later(self.delay(0, 1), there)
 
     def _count(self, name: str) -> None:
         key = int(name[1:]), self.clock.now // SECOND
@@ -683,23 +689,23 @@
             and now > out + known
             or leaving is not None
             and now > leaving
-            and self.boxes[server].status is Status.DRAINING
+            and self.servers[server].status is Status.DRAINING
         ):
             self.placed_out += 1
             self.first_placed_out = self.first_placed_out or (
-                f"seed {self.day.seed}: b{seat.number} at {(now - self.clock.began) / SECOND:.2f} s to s{server}, "
-                f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.began) / SECOND:.2f} s"
+                f"seed {self.day.seed}: b{seat.number} at {(now - self.clock.started_at) / SECOND:.2f} s to s{server}, "
+                f"{'out' if out is not None else 'leaving'}; the cut was at {(self.cut_at - self.clock.started_at) / SECOND:.2f} s"
             )
 
     def stepped(self, seat: EmulatedBalancer, step: RecoveryPhase) -> None:
         if self.cut_at:
             self.steps.setdefault(step, []).append(self.clock.now - self.cut_at)
 
-    def _opened(
+    def _connection_opened(
         self, seat: EmulatedBalancer, turn: int, way: EmulatedLogin, box: Any, attempt: int
     ) -> None:
         before = self.tally["fulfilled"]
-        super()._opened(seat, turn, way, box, attempt)
+        super()._connection_opened(seat, turn, way, box, attempt)
         if self.tally["fulfilled"] > before:
             self.ups.append(self.clock.now)
 
@@ -737,7 +743,7 @@
         -1.0,
     )
     forgotten = invented = 0
-    for seat in fleet.seats:
+    for seat in fleet.balancers:
         if seat.alive and seat.core is not None:
             held = {int(fact.name[1:]): fact.value for fact, _ in seat.core.facts.of_kind(OUT)}
             forgotten += sum(not held.get(server) for server in fleet.out)
@@ -753,14 +759,14 @@
         and seat.core is not None
         and seat.core.phase < RecoveryPhase.OPEN
         and fleet.clock.now - seat.started_at > SETTLED
-        for seat in fleet.seats
+        for seat in fleet.balancers
     )
     return Seen(
         fleet.placed_out,
         fleet.lone_liar,
         fleet.first_placed_out,
-        dict(fleet.rules.broken),
-        fleet.rules.broken[4],
+        dict(fleet.rules.violation_counts),
+        fleet.rules.violation_counts[4],
         forgotten,
         invented,
         stuck,
--- a/corklift/lab/rules.py
+++ b/corklift/lab/rules.py
@@ -26,16 +26,16 @@
 class TrackedLogin:
     """A login on its way to its answer."""
 
-    __slots__ = ("login", "workload", "balancer", "sent", "outcomes", "answered")
+    __slots__ = ("login", "workload", "balancer", "hand_offs", "outcomes", "answer")
 
     def __init__(self, login: Login, workload: Workload, balancer: int) -> None:
         self.login, self.workload, self.balancer = login, workload, balancer
-        self.sent: list[tuple[int, int]] = []  # server, when
+        self.hand_offs: list[tuple[int, int]] = []  # server, when
         self.outcomes: dict[int, Outcome] = {}  # as the balancer was told
-        self.answered = ""
+        self.answer = ""
 
 
-class Rules:
+class RuleChecker:
     def __init__(self, began: int) -> None:
         self._began = began
         self._open: dict[tuple[int, int], TrackedLogin] = {}  # by balancer and login
@@ -43,35 +43,37 @@
         self._told: dict[
             tuple[int, int], int
         ] = {}  # by balancer and server: when it was told that it leaves
-        self.broken: Counter[int] = Counter()
-        self.first: dict[int, Violation] = {}
+        self.violation_counts: Counter[int] = Counter()
+        self.first_violations: dict[int, Violation] = {}
 
-    def step(self, now: int, text: str) -> None:
+    def record_step(self, now: int, text: str) -> None:
         self._steps.append(f"{(now - self._began) / MS:12.3f} ms  {text}")
 
     def _break(self, now: int, rule: int, what: str) -> None:
-        self.broken[rule] += 1
-        if rule not in self.first:
-            self.step(now, f"RULE {rule}: {what}")
-            self.first[rule] = Violation(rule, now - self._began, what, tuple(self._steps))
+        self.violation_counts[rule] += 1
+        if rule not in self.first_violations:
+            self.record_step(now, f"RULE {rule}: {what}")
+            self.first_violations[rule] = Violation(
+                rule, now - self._began, what, tuple(self._steps)
+            )
 
     # What happens
 
-    def arrived(self, now: int, balancer: int, login: Login, workload: Workload) -> None:
+    def login_arrived(self, now: int, balancer: int, login: Login, workload: Workload) -> None:
         self._open[balancer, login.login] = TrackedLogin(login, workload, balancer)
-        self.step(now, f"balancer {balancer}: login {login.login} ({workload.name}) arrives")
+        self.record_step(now, f"balancer {balancer}: login {login.login} ({workload.name}) arrives")
 
-    def told_leaving(self, now: int, balancer: int, server: int) -> None:
+    def drain_announced(self, now: int, balancer: int, server: int) -> None:
         self._told.setdefault((balancer, server), now)
 
-    def told_ready(self, balancer: int, server: int) -> None:
+    def ready_announced(self, balancer: int, server: int) -> None:
         self._told.pop((balancer, server), None)
 
-    def sent(
+    def hand_off_sent(
         self, now: int, balancer: int, login: int, server: int, cells: dict[int, tuple[int, int]]
     ) -> None:
         """A hand-off starts. `cells`: each server's zone and cell."""
-        self.step(now, f"balancer {balancer}: login {login} to server {server}")
+        self.record_step(now, f"balancer {balancer}: login {login} to server {server}")
         told = self._told.get((balancer, server))
         if told is not None and now - told > GRACE:
             self._break(
@@ -83,15 +85,13 @@
         if followed is None:
             self._break(now, 1, f"login {login} is handed off but is not on its way")
             return
-        if followed.answered:
-            self._break(
-                now, 1, f"login {login} is handed off after its answer ({followed.answered})"
-            )
+        if followed.answer:
+            self._break(now, 1, f"login {login} is handed off after its answer ({followed.answer})")
         if now >= followed.login.time_limit_at:
             self._break(now, 1, f"login {login} is handed off after its time limit")
         ran = [
             (at, where)
-            for number, (where, at) in enumerate(followed.sent)
+            for number, (where, at) in enumerate(followed.hand_offs)
             if (outcome := followed.outcomes.get(number)) is None or not outcome.proves_not_run
         ]
         effect = followed.workload.effect
@@ -112,46 +112,50 @@
                 self._break(
                     now, 2, f"tagged login {login} is sent again where or when it is not recognised"
                 )
-        followed.sent.append((server, now))
+        followed.hand_offs.append((server, now))
 
-    def outcome(self, now: int, balancer: int, login: int, attempt: int, outcome: Outcome) -> None:
-        self.step(now, f"balancer {balancer}: login {login}, hand-off {attempt}: {outcome.value}")
+    def hand_off_failed(
+        self, now: int, balancer: int, login: int, attempt: int, outcome: Outcome
+    ) -> None:
+        self.record_step(
+            now, f"balancer {balancer}: login {login}, hand-off {attempt}: {outcome.value}"
+        )
         followed = self._open.get((balancer, login))
         if followed is not None:
             followed.outcomes[attempt] = outcome
 
-    def answered(self, now: int, balancer: int, login: int, how: str) -> None:
-        self.step(now, f"balancer {balancer}: login {login} answered: {how}")
+    def login_answered(self, now: int, balancer: int, login: int, how: str) -> None:
+        self.record_step(now, f"balancer {balancer}: login {login} answered: {how}")
         followed = self._open.get((balancer, login))
         if followed is None:
             self._break(now, 1, f"login {login} is answered ({how}) but is not on its way")
-        elif followed.answered:
-            self._break(now, 1, f"login {login} is answered twice: {followed.answered}, {how}")
+        elif followed.answer:
+            self._break(now, 1, f"login {login} is answered twice: {followed.answer}, {how}")
         else:
-            followed.answered = how
+            followed.answer = how
             if now > followed.login.time_limit_at:
                 self._break(now, 1, f"login {login} is answered after its time limit")
 
-    def left(self, now: int, balancer: int, login: int) -> None:
+    def login_abandoned(self, now: int, balancer: int, login: int) -> None:
         """The client or the whole balancer has gone: no answer is owed."""
         self._open.pop((balancer, login), None)
 
-    def done(self, balancer: int, login: int) -> None:
+    def login_done(self, balancer: int, login: int) -> None:
         """Its connection has ended, or its refusal stands: nothing more may come."""
         followed = self._open.get((balancer, login))
-        if followed is not None and followed.answered:
+        if followed is not None and followed.answer:
             del self._open[balancer, login]
 
-    def overdue(self, now: int, slack: int) -> None:
+    def check_overdue(self, now: int, slack: int) -> None:
         """Looks for logins whose time is up without an answer."""
         for (balancer, login), followed in list(self._open.items()):
-            if not followed.answered and now > followed.login.time_limit_at + slack:
+            if not followed.answer and now > followed.login.time_limit_at + slack:
                 self._break(now, 1, f"login {login} has no answer at its time limit")
                 del self._open[balancer, login]
 
-    def fell(self, now: int, server: int, why: str) -> None:
+    def cold_server_failed(self, now: int, server: int, why: str) -> None:
         self._break(now, 4, f"server {server} is pushed over: {why}")
 
     @property
-    def on_their_way(self) -> int:
+    def open_login_count(self) -> int:
         return len(self._open)
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -131,7 +131,7 @@
     )
     troubles: list[Disruption] = []
 
-    def decisions(self) -> list[Workload]:
+    def policy_workloads(self) -> list[Workload]:
         """The workloads as the decision module takes them."""
         return [
             Workload(
@@ -146,7 +146,7 @@
             for w in self.workloads
         ]
 
-    def cold(self) -> ColdRule:
+    def cold_rule(self) -> ColdRule:
         return ColdRule(
             self.servers.start_share, self.servers.ramp_ms * MS, self.servers.multiple, 1000 * MS
         )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,14 @@
 from corklift.interface import Outcome, Status
 from corklift.lab import explore
 from corklift.lab.clock import MS, SECOND, Clock
-from corklift.lab.experiment import Run, carry_out, differences, interval, play, runs
+from corklift.lab.experiment import (
+    Run,
+    differences,
+    execute_run,
+    interval,
+    planned_runs,
+    run_experiment,
+)
 from corklift.lab.faults import FAULTS
 from corklift.lab.fleet import Fleet
 from corklift.lab.policies import POLICIES
@@ -51,18 +58,20 @@
 
 def test_due_at_one_instant_runs_in_the_order_of_asking_and_the_past_is_now():
     clock, seen = Clock(), []
-    clock.at(clock.now + 5, seen.append, "b")
-    clock.at(clock.now + 5, seen.append, "c")
-    clock.at(clock.now - 10**9, seen.append, "a")
-    clock.at(clock.now + 5, lambda: clock.after(-7, seen.append, "d"))
-    clock.run(clock.now + 5)
+    clock.call_at(clock.now + 5, seen.append, "b")
+    clock.call_at(clock.now + 5, seen.append, "c")
+    clock.call_at(clock.now - 10**9, seen.append, "a")
+    clock.call_at(clock.now + 5, lambda: clock.call_later(-7, seen.append, "d"))
+    clock.run_until(clock.now + 5)
     assert seen == ["a", "b", "c", "d"] and clock.pending == 0
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_one_seed_is_one_history(policy):
     scenario = troubled("release", "client drop", "balancer killed")
-    first, again, other = (play(scenario, Run(policy, seed, ()), False) for seed in (3, 3, 4))
+    first, again, other = (
+        execute_run(scenario, Run(policy, seed, ()), False) for seed in (3, 3, 4)
+    )
     assert first == again and first["history"] != other["history"]
 
 
@@ -90,7 +99,7 @@
     calm, fleet = Fleet(SMALL, "module", 2), Fleet(troubled(kind, part=0.34), "module", 2)
     calm.run()
     fleet.run()
-    assert not fleet.rules.broken, fleet.rules.first
+    assert not fleet.rules.violation_counts, fleet.rules.first_violations
     assert fleet.clock.history != calm.clock.history and fleet.tally["fulfilled"] > 60
     assert 0.4 < fleet.service <= 1.0
 
@@ -103,16 +112,18 @@
         }
         fleet = Fleet(Scenario(**table), "module", 5)
         fleet.run()
-        assert not fleet.rules.broken and fleet.clock.now - fleet.clock.began == int(
+        assert not fleet.rules.violation_counts and fleet.clock.now - fleet.clock.started_at == int(
             seconds * SECOND
         )
-    assert fleet.rules.on_their_way <= fleet.standing + 5  # no login's state stays behind
+    assert (
+        fleet.rules.open_login_count <= fleet.open_connections + 5
+    )  # no login's state stays behind
 
 
 def test_without_faults_no_check_raises_an_alarm():
     fleet = Fleet(FAULTY, "module", 1)
     fleet.run()
-    assert not fleet.rules.broken and not fleet.design_breaks()
+    assert not fleet.rules.violation_counts and not fleet.design_violations()
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -120,8 +131,12 @@
     spoil, check = FAULTS[fault]
     fleet = Fleet(FAULTY, "module", 1, spoil)
     fleet.run()
-    assert check in {f"rule {rule}" for rule in fleet.rules.broken} | fleet.design_breaks().keys()
-    for found in fleet.rules.first.values():
+    assert (
+        check
+        in {f"rule {rule}" for rule in fleet.rules.violation_counts}
+        | fleet.design_violations().keys()
+    )
+    for found in fleet.rules.first_violations.values():
         assert found.what in found.trace[-1] and len(found.trace) <= 40
 
 
@@ -273,14 +288,14 @@
         b"[scenario]\nseconds = 4.0\nwarm_s = 0.5\n"
     )
     path = str(tmp_path / "out.jsonl")
-    assert len(list(runs(given))) == 8
-    whole = list(carry_out(given, path, 2))
+    assert len(list(planned_runs(given))) == 8
+    whole = list(run_experiment(given, path, 2))
     lines = Path(path).read_text().splitlines(keepends=True)
     assert len(lines) == 9
     Path(path).write_text("".join(lines[:5]) + lines[5][:100])  # cut within a line
     played = []
     again = []
-    for result in carry_out(given, path, 1):
+    for result in run_experiment(given, path, 1):
         again.append(result)
         played.append(result["key"])
     assert sorted(json.dumps(r, sort_keys=True) for r in again) == sorted(
@@ -291,7 +306,7 @@
     assert found.policy == "random" and found.pairs == 4 and found.low <= found.mean <= found.high
     other = experiment(b"[scenario]\nseconds = 4.0\n")
     with pytest.raises(ValueError, match="another experiment"):
-        list(carry_out(other, path, 1))
+        list(run_experiment(other, path, 1))
     mean, low, high = interval([1.0, 2.0, 3.0])
     assert mean == 2.0 and high - mean == pytest.approx(4.30 / 3**0.5)
 
@@ -345,7 +360,7 @@
     )
     fleet.run()
     assert (
-        fleet.standing > 4000
-        and fleet.clock.pending < 3 * fleet.standing + 2000
+        fleet.open_connections > 4000
+        and fleet.clock.pending < 3 * fleet.open_connections + 2000
         and fleet.clock.now % MS == 0
     )
