--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -346,8 +346,8 @@
 def compare(results: str, against: str, figure: str) -> None:
     from corklift.lab.experiment import differences, read
 
-    _, found = read(results)
-    for row in sorted(differences(found, against, figure), key=lambda row: -row.mean):
+    _, runs = read(results)
+    for row in sorted(differences(runs, against, figure), key=lambda row: -row.mean):
         click.echo(
             f"{row.policy:18} {row.mean:+.4f}  "
             f"({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)"
@@ -363,15 +363,15 @@
 def sweep(results: str, policy: str, most: int) -> None:
     from corklift.lab.experiment import read
 
-    _, found = read(results)
+    _, runs = read(results)
     best_service = {
         (run["seed"], str(run["varied"])): run["service"]
-        for run in found
+        for run in runs
         if run["policy"] == "true state"
     }
     policy_runs = [
         (run["service"] - best_service.get((run["seed"], str(run["varied"])), run["service"]), run)
-        for run in found
+        for run in runs
         if run["policy"] == policy
     ]
     for difference, run in sorted(policy_runs, key=lambda pair: pair[0])[:most]:
@@ -441,7 +441,7 @@
     found = lab_explore.explore(make, depth, states)
     click.echo(
         f"{found.states} states to depth {found.depth}, {found.steps} events played"
-        + ("" if found.complete else ", not all orders")
+        + ("" if found.complete else ", not all orders explored")
     )
     if not found.what and walks:
         found = lab_explore.wander(make, walks, 60, 1)
@@ -462,9 +462,9 @@
     from corklift.lab import explore as lab_explore
 
     with open(file, encoding="utf-8") as content:
-        given = json.load(content)
-    world = lab_explore.world(given["world"], given["shape"])
-    for label in given["path"]:
+        counterexample = json.load(content)
+    world = lab_explore.world(counterexample["world"], counterexample["shape"])
+    for label in counterexample["path"]:
         if label not in world.enabled():
             click.echo(f"skipped, not possible here: {label}")
             continue
