--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -351,10 +351,10 @@
             if server in self._names
         }
 
-    def placed_by_others(self, name: str, number: int, failed: int) -> None:
+    def placed_by_others(self, name: str, placed: int, failed: int) -> None:
         """Reports how many logins others placed on this server, and how many of them failed."""
         self._balancer.placed_by_others(
-            self._scheduler.now(), self._server_id(name), number, failed
+            self._scheduler.now(), self._server_id(name), placed, failed
         )
 
     # Called by peer membership
@@ -397,9 +397,9 @@
             return True
         return server in self._listed
 
-    def apply_operator_override(self, name: str, out: bool) -> None:
+    def apply_operator_override(self, name: str, out_of_service: bool) -> None:
         """Applies an override given to another process or balancer, even to an unlisted server."""
-        if not out:
+        if not out_of_service:
             self.restore_to_service(name)
         elif self._server_id(name) not in self._out_of_service:
             server = self._server_id(name)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -36,7 +36,7 @@
 
 # Server lines that end a hand-off without a connection.
 OUTCOME_BEFORE_UP = {"BUSY": Outcome.FULL, "ERR": Outcome.ERROR, "MOVE": Outcome.CANCELLED}
-# The last line of a server before it closes an established connection.
+# Outcome of an established connection, by the keyword of the server's last line before its close.
 OUTCOME_BY_LAST_LINE = {"BYE": Outcome.FULFILLED, "MOVE": Outcome.CANCELLED}
 # Clients accepted in a row before other tasks run.
 ACCEPT_BATCH = 32
@@ -133,7 +133,10 @@
         return sock.getsockname()[1]
 
     def reconfigure(self, limits: Limits) -> None:
-        """Applies new limits. Existing clients stay, even if they exceed the new limits."""
+        """Applies new limits.
+
+        Existing clients stay. While they exceed the new limits, no further ones are admitted.
+        """
         self._limits = limits
 
     def accept_loop(self) -> None:
@@ -240,7 +243,7 @@
                 self._scheduler.wait({client.fd: READ}, until)
 
     def _answer_ping(self, client: Stream) -> bool:
-        """Answers PING once the relay is ready; returns whether the client is still connected."""
+        """Answers PING once the relay is ready; returns whether the answer was sent."""
         while not self.ready:
             if (
                 self._scheduler.wait({client.fd: READ_CLOSED}, self._now() + 50 * MS)
@@ -260,8 +263,9 @@
             request.connection_name in self._active_names
             or self._recent_names.get(request.connection_name, 0) > self._now()
         ):
-            # Every connection has a new name. Servers reject a duplicate, and that failure would
-            # count against the server and the client that owns the name.
+            # Every connection must have a new name. Servers reject a duplicate, and that failure
+            # would count against the server and the client that owns the name. Each misuse extends
+            # the time for which the name is remembered.
             if request.connection_name in self._recent_names:
                 self._remember_name(request.connection_name)
             raise Malformed("name in use")
@@ -395,6 +399,8 @@
     def _attempt(
         self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
     ) -> HandOffResult:
+        """Connects to the server, sends the login request and waits for the server's answer."""
+
         def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
             return HandOffResult(None, b"", outcome, values)
 
