--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -146,7 +146,7 @@
             for w in self.workloads
         ]
 
-    def cold(self) -> ColdRule:
+    def cold_rule(self) -> ColdRule:
         return ColdRule(
             self.servers.start_share, self.servers.ramp_ms * MS, self.servers.multiple, 1000 * MS
         )
