--- a/corklift/rig/links.py
+++ b/corklift/rig/links.py
@@ -155,7 +155,7 @@
             if fault.cut_at and directions[0].bytes_passed >= fault.cut_at:
                 return False
         if near.broken or far.broken:
-            # While bytes are dropped, the other side must not learn of the break either.
+            # While a direction is stopped, the other side does not learn of the break.
             if fault.there and fault.back:
                 return False
         if all(direction.ended for direction in directions):
