--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -326,9 +326,9 @@
 def lab_run(file: str, out: str | None, processes: int) -> None:
     from corklift.lab.experiment import run_experiment
 
-    given = _load_experiment(file)
+    experiment = _load_experiment(file)
     try:
-        for result in run_experiment(given, out or f"{file}.jsonl", processes):
+        for result in run_experiment(experiment, out or f"{file}.jsonl", processes):
             _print_results([result])
     except ValueError as problem:
         raise click.ClickException(str(problem)) from None
@@ -386,10 +386,10 @@
     from corklift.lab.experiment import commit, read
     from corklift.lab.report import page
 
-    given, found = read(results)
+    experiment, runs = read(results)
     with open(out, "w", encoding="utf-8") as file:
-        file.write(page(given, found, commit()))
-    click.echo(f"{out}: {len(found)} runs")
+        file.write(page(experiment, runs, commit()))
+    click.echo(f"{out}: {len(runs)} runs")
 
 
 @lab.command(help="Explore all orders of events in a small model up to a depth; then random walks.")
