--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -13,7 +13,7 @@
 
 from benchmarks.report import arguments, tell
 from corklift.lab import explore
-from corklift.lab.experiment import Run, execute_run, load
+from corklift.lab.experiment import Run, execute_run, load_experiment
 from corklift.lab.faults import FAULTS
 from corklift.lab.fleet import Fleet
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
@@ -110,7 +110,7 @@
     for path in sorted(EXAMPLES.glob("*.toml")):
         if path.stem == "sweep":
             continue  # its troubles are varied: it is for `lab sweep`
-        found = load(str(path))
+        found = load_experiment(str(path))
         seeds = found.seeds[:1] if given.quick else found.seeds
         runs = [
             execute_run(found.scenario, Run(policy, seed, ()), series=False)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -18,7 +18,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.report import arguments, tell
-from corklift.lab.counted import CountSource, fallen
+from corklift.lab.counted import CountSource, run_hard_day
 from corklift.lab.peer_days import Day, Found
 from corklift.lab.peers import Net, Shape
 from corklift.membership.core import MembershipConfig
@@ -170,7 +170,7 @@
     way: CountSource = (
         "heard" if name == "heard" else "followed" if name.startswith("followed") else "settings"
     )
-    return (name, *fallen(seed, way, told, balancers))
+    return (name, *run_hard_day(seed, way, told, balancers))
 
 
 def percentile(values: list[float], part: float) -> float:
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -291,11 +291,11 @@
 
 
 def _load_experiment(path: str) -> Any:
-    from corklift.lab.experiment import load
+    from corklift.lab.experiment import load_experiment
     from corklift.lab.scenario import ScenarioError
 
     try:
-        return load(path)
+        return load_experiment(path)
     except ScenarioError as problem:
         raise click.ClickException(f"{path}: {problem}") from None
     except OSError as problem:
@@ -344,10 +344,10 @@
     show_default=True,
 )
 def compare(results: str, against: str, figure: str) -> None:
-    from corklift.lab.experiment import differences, read
+    from corklift.lab.experiment import paired_differences, read_results
 
-    _, runs = read(results)
-    for row in sorted(differences(runs, against, figure), key=lambda row: -row.mean):
+    _, runs = read_results(results)
+    for row in sorted(paired_differences(runs, against, figure), key=lambda row: -row.mean):
         click.echo(
             f"{row.policy:18} {row.mean:+.4f}  "
             f"({row.low:+.4f} to {row.high:+.4f}, {row.pairs} pairs)"
@@ -361,9 +361,9 @@
 @click.option("--policy", default="module", show_default=True)
 @click.option("--most", type=click.IntRange(1, 1000), default=5, show_default=True)
 def sweep(results: str, policy: str, most: int) -> None:
-    from corklift.lab.experiment import read
+    from corklift.lab.experiment import read_results
 
-    _, runs = read(results)
+    _, runs = read_results(results)
     best_service = {
         (run["seed"], str(run["varied"])): run["service"]
         for run in runs
@@ -383,12 +383,12 @@
 @click.argument("results", type=click.Path(exists=True, dir_okay=False))
 @click.option("--out", type=click.Path(dir_okay=False), default="report.html", show_default=True)
 def report(results: str, out: str) -> None:
-    from corklift.lab.experiment import commit, read
-    from corklift.lab.report import page
+    from corklift.lab.experiment import git_commit, read_results
+    from corklift.lab.report import render_page
 
-    given, found = read(results)
+    given, found = read_results(results)
     with open(out, "w", encoding="utf-8") as file:
-        file.write(page(given, found, commit()))
+        file.write(render_page(given, found, git_commit()))
     click.echo(f"{out}: {len(found)} runs")
 
 
@@ -517,10 +517,10 @@
 ) -> None:
     import json
 
-    from corklift.lab.load import Load, Shape
+    from corklift.lab.load import LoadTest, Shape
 
     try:
-        tool = Load(
+        tool = LoadTest(
             Shape(balancers, servers, rate, seconds, hold, sockets=sockets, seed=seed),
             (lambda text: None) if as_json else click.echo,
         )
--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -19,7 +19,7 @@
 CountSource = Literal["settings", "followed", "heard"]
 
 
-def hard_day(balancers: int, seconds: float) -> Scenario:
+def hard_day_scenario(balancers: int, seconds: float) -> Scenario:
     """A third of the balancers is killed at once and comes back, a zone of servers is lost and comes back cold, then a release."""
     return Scenario(
         name="counted",
@@ -119,10 +119,10 @@
             self._used[seat.number] = uses
 
 
-def fallen(
+def run_hard_day(
     seed: int, way: CountSource, told: int, balancers: int, seconds: float = 34.0
 ) -> tuple[int, float]:
     """Servers that were pushed over, and what clients got."""
-    fleet = CountedFleet(hard_day(balancers, seconds), seed, way, told, (10.0, 30.0))
+    fleet = CountedFleet(hard_day_scenario(balancers, seconds), seed, way, told, (10.0, 30.0))
     fleet.run()
     return fleet.rules.violation_counts[4], fleet.service
--- a/corklift/lab/experiment.py
+++ b/corklift/lab/experiment.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from corklift.lab.fleet import Fleet
-from corklift.lab.scenario import Experiment, Scenario, experiment, varied
+from corklift.lab.scenario import Experiment, Scenario, parse_experiment, with_value
 
 # Student's t for 95 % of a mean of so many differences; beyond them the normal's.
 T95 = (
@@ -53,17 +53,17 @@
         return json.dumps([self.policy, self.seed, dict(self.varied)], sort_keys=True)
 
 
-def planned_runs(given: Experiment) -> Iterator[Run]:
-    paths = list(given.vary)
-    for values in product(*(given.vary[path] for path in paths)):
-        for policy, seed in product(given.policies, given.seeds):
+def planned_runs(experiment: Experiment) -> Iterator[Run]:
+    paths = list(experiment.vary)
+    for values in product(*(experiment.vary[path] for path in paths)):
+        for policy, seed in product(experiment.policies, experiment.seeds):
             yield Run(policy, seed, tuple(zip(paths, values)))
 
 
-def scenario_for(given: Scenario, run: Run) -> Scenario:
+def scenario_for(scenario: Scenario, run: Run) -> Scenario:
     for path, value in run.varied:
-        given = varied(given, path, value)
-    return given
+        scenario = with_value(scenario, path, value)
+    return scenario
 
 
 def execute_run(scenario: Scenario, run: Run, series: bool = True) -> dict[str, Any]:
@@ -112,7 +112,7 @@
     return execute_run(scenario, Run(policy, seed, tuple(changes.items())))
 
 
-def commit() -> str:
+def git_commit() -> str:
     """Of the checkout that runs, or nothing."""
     told = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
@@ -124,9 +124,9 @@
     return told.stdout.strip()
 
 
-def run_experiment(given: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
+def run_experiment(experiment: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
     """Plays what the file does not hold yet, adding a line each; yields every result, old ones first."""
-    head = {"experiment": msgspec.to_builtins(given), "commit": commit()}
+    head = {"experiment": msgspec.to_builtins(experiment), "commit": git_commit()}
     held: dict[str, dict[str, Any]] = {}
     if os.path.exists(path):
         with open(path, encoding="utf-8") as file:
@@ -137,7 +137,7 @@
         held = {line["key"]: line for line in found[1:]}
         if found:
             head = found[0]
-    wanted = list(planned_runs(given))
+    wanted = list(planned_runs(experiment))
     with open(path, "w", encoding="utf-8") as file:
         # Written anew from what is whole: a line cut by an interruption is played again.
         file.write(json.dumps(head) + "\n")
@@ -146,7 +146,7 @@
                 file.write(json.dumps(held[run.key]) + "\n")
                 yield held[run.key]
         file.flush()
-        content = msgspec.json.encode(given.scenario)
+        content = msgspec.json.encode(experiment.scenario)
         left = [run.key for run in wanted if run.key not in held]
         with ProcessPoolExecutor(processes) as pool:
             for result in pool.map(_play, [content] * len(left), left):
@@ -155,15 +155,15 @@
                 yield result
 
 
-def read(path: str) -> tuple[Experiment, list[dict[str, Any]]]:
+def read_results(path: str) -> tuple[Experiment, list[dict[str, Any]]]:
     with open(path, encoding="utf-8") as file:
         head, *lines = [json.loads(line) for line in file if line.endswith("\n")]
     return msgspec.convert(head["experiment"], Experiment), lines
 
 
-def load(path: str) -> Experiment:
+def load_experiment(path: str) -> Experiment:
     with open(path, "rb") as file:
-        return experiment(file.read())
+        return parse_experiment(file.read())
 
 
 class Difference(NamedTuple):
@@ -177,7 +177,7 @@
     pairs: int
 
 
-def interval(values: list[float]) -> tuple[float, float, float]:
+def confidence_interval(values: list[float]) -> tuple[float, float, float]:
     """Mean, and the bounds of its 95 % interval."""
     number = len(values)
     mean = sum(values) / number
@@ -188,7 +188,7 @@
     return mean, mean - reach, mean + reach
 
 
-def differences(
+def paired_differences(
     results: Iterable[dict[str, Any]], against: str, figure: str = "service"
 ) -> list[Difference]:
     """Every policy against one, pair by pair: the same seed and the same varied keys."""
@@ -201,5 +201,5 @@
     for policy, values in table.items():
         apart = [value - base[pair] for pair, value in values.items() if pair in base]
         if policy != against and apart:
-            found.append(Difference(policy, against, *interval(apart), len(apart)))
+            found.append(Difference(policy, against, *confidence_interval(apart), len(apart)))
     return found
--- a/corklift/lab/load.py
+++ b/corklift/lab/load.py
@@ -28,9 +28,9 @@
 from corklift.standins.discovery import Discovery
 from corklift.standins.transcriber import Transcriber
 
-MOST_SECONDS, MOST_RATE, MOST_CLIENTS = 600.0, 5_000.0, 15_000
-WAIT = 3 * SECOND  # a client's own time limit
-DIRECT = 0.25  # of the logins go straight to a transcriber, for what a connection costs without a balancer
+MAX_SECONDS, MAX_RATE, MAX_CONNECTIONS = 600.0, 5_000.0, 15_000
+CLIENT_TIMEOUT = 3 * SECOND  # a client's own time limit
+DIRECT_SHARE = 0.25  # of the logins go straight to a transcriber, for what a connection costs without a balancer
 
 
 class Shape(NamedTuple):
@@ -45,18 +45,18 @@
     seed: int = 1
 
 
-class Load:
+class LoadTest:
     def __init__(self, shape: Shape, show: Callable[[str], None] = lambda text: None) -> None:
         if not (
-            0 < shape.seconds <= MOST_SECONDS
-            and 0 < shape.rate <= MOST_RATE
-            and shape.rate * shape.hold_s <= MOST_CLIENTS
+            0 < shape.seconds <= MAX_SECONDS
+            and 0 < shape.rate <= MAX_RATE
+            and shape.rate * shape.hold_s <= MAX_CONNECTIONS
             and 1 <= shape.balancers <= 16
             and 1 <= shape.servers <= 200
         ):
             raise ValueError(
-                f"the load is bounded: {MOST_SECONDS:.0f} s, {MOST_RATE:.0f} logins a second, "
-                f"{MOST_CLIENTS} connections, 16 balancers, 200 servers"
+                f"the load is bounded: {MAX_SECONDS:.0f} s, {MAX_RATE:.0f} logins a second, "
+                f"{MAX_CONNECTIONS} connections, 16 balancers, 200 servers"
             )
         self.shape, self._show, self._rng = shape, show, Random(shape.seed)
         self.problems: list[str] = []
@@ -191,7 +191,7 @@
 
     def _login(self, due: int, way: str, address: tuple[str, int], hold: int) -> None:
         self.late_starts.record_value(max(1, (self.scheduler.now() - due) // 1000))
-        until = due + WAIT
+        until = due + CLIENT_TIMEOUT
         stream = connect(self.scheduler, address, until)
         if stream is None:
             self.outcomes[f"{way}: no connection"] += 1
@@ -200,7 +200,7 @@
             line = b"OPEN %016x %x c=plain,d=%d\r\n" % (
                 self._rng.getrandbits(64),
                 self._rng.getrandbits(60),
-                WAIT // MS,
+                CLIENT_TIMEOUT // MS,
             )
             told = send_request(self.scheduler, stream, line, until)
             took = max(1, (self.scheduler.now() - due) // 1000)
@@ -241,7 +241,7 @@
             if due > self.scheduler.now():
                 self.scheduler.sleep(due - self.scheduler.now())
             number += 1
-            way = "direct" if rng.random() < DIRECT else "balancer"
+            way = "direct" if rng.random() < DIRECT_SHARE else "balancer"
             address = (
                 rng.choice(self._addresses)
                 if way == "balancer"
@@ -280,7 +280,7 @@
         }
         self.figures = {
             "placements_per_s": round(up / spent, 1),
-            "asked_per_s": round(shape.rate * (1 - DIRECT), 1),
+            "asked_per_s": round(shape.rate * (1 - DIRECT_SHARE), 1),
             "latency_ms": told,
             "added_ms_p50": round(told["balancer"]["p50"] - told["direct"]["p50"], 2),
             "added_ms_p99": round(told["balancer"]["p99"] - told["direct"]["p99"], 2),
--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -30,7 +30,7 @@
 ]  # a server's pressure as it is now, for the one policy that may see it
 
 
-class Plain(ABC):
+class BaselinePolicy(ABC):
     """A balancer that tries ready servers by `choose` until its hand-offs are used up. Probes once a second."""
 
     PROBES = True
@@ -164,14 +164,14 @@
         pass
 
 
-class Chance(Plain):
+class RandomChoice(BaselinePolicy):
     PROBES = False
 
     def choose(self, now: int, servers: list[int]) -> int:
         return self._rng.choice(servers)
 
 
-class InTurn(Plain):
+class RoundRobin(BaselinePolicy):
     PROBES = False
     _turn = 0
 
@@ -180,7 +180,7 @@
         return servers[self._turn % len(servers)]
 
 
-class LeastOwn(Plain):
+class LeastOwnConnections(BaselinePolicy):
     """Fewest connections of its own, as a proxy's least-connections draw sees them."""
 
     PROBES = False
@@ -192,7 +192,7 @@
         )
 
 
-class LowestReport(Plain):
+class LowestReport(BaselinePolicy):
     """Fewest connections by the last probe, however old: all balancers run to the same one."""
 
     def choose(self, now: int, servers: list[int]) -> int:
@@ -200,7 +200,7 @@
         return self._rng.choice([server for server in servers if self.seen(server) == least])
 
 
-class TwoChoices(Plain):
+class TwoChoices(BaselinePolicy):
     """Of two drawn at random, the one with fewer connections of its own."""
 
     PROBES = False
@@ -212,7 +212,7 @@
         )
 
 
-class InverseCounts(Plain):
+class InverseCounts(BaselinePolicy):
     """The paper's draw, with chance inverse to the count, and nothing else."""
 
     def choose(self, now: int, servers: list[int]) -> int:
@@ -221,7 +221,7 @@
         ]
 
 
-class TrueState(Plain):
+class TrueState(BaselinePolicy):
     """Sees each server as it is at this instant: the mark that others are held against."""
 
     PROBES = False
@@ -238,9 +238,9 @@
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "module": _module,
-    "random": Chance,
-    "round robin": InTurn,
-    "least connections": LeastOwn,
+    "random": RandomChoice,
+    "round robin": RoundRobin,
+    "least connections": LeastOwnConnections,
     "two choices": TwoChoices,
     "lowest report": LowestReport,
     "inverse counts": InverseCounts,
--- a/corklift/lab/report.py
+++ b/corklift/lab/report.py
@@ -15,7 +15,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402
 
-from corklift.lab.experiment import differences, interval  # noqa: E402
+from corklift.lab.experiment import confidence_interval, paired_differences  # noqa: E402
 from corklift.lab.scenario import Experiment  # noqa: E402
 
 STYLE = (
@@ -25,14 +25,14 @@
 )
 
 
-def _picture(figure: Any) -> str:
+def embed_figure(figure: Any) -> str:
     out = io.BytesIO()
     figure.savefig(out, format="png", dpi=90, bbox_inches="tight")
     pyplot.close(figure)
     return f'<img src="data:image/png;base64,{base64.b64encode(out.getvalue()).decode()}">'
 
 
-def _over_time(results: list[dict[str, Any]], policies: list[str], troubles: list[Any]) -> str:
+def _plot_service(results: list[dict[str, Any]], policies: list[str], troubles: list[Any]) -> str:
     figure, axis = pyplot.subplots(figsize=(10, 3))
     for policy in policies:
         mine = [
@@ -55,10 +55,10 @@
     axis.set_ylabel("answers in time")
     axis.set_ylim(0, 1.05)
     axis.legend(fontsize=8)
-    return _picture(figure)
+    return embed_figure(figure)
 
 
-def _heat(results: list[dict[str, Any]], policy: str) -> str:
+def _plot_utilisation(results: list[dict[str, Any]], policy: str) -> str:
     found = next(
         (result for result in results if result["policy"] == policy and result["series"]), None
     )
@@ -78,15 +78,15 @@
     axis.set_ylabel("server")
     axis.set_title(f"load over what it can do: {policy}, seed {found['seed']}", fontsize=9)
     figure.colorbar(image)
-    return _picture(figure)
+    return embed_figure(figure)
 
 
-def page(given: Experiment, results: list[dict[str, Any]], commit: str) -> str:
+def render_page(experiment: Experiment, results: list[dict[str, Any]], commit: str) -> str:
     policies = list(dict.fromkeys(result["policy"] for result in results))
     rows = []
     for policy in policies:
         mine = [result for result in results if result["policy"] == policy]
-        mean, low, high = interval([result["service"] for result in mine])
+        mean, low, high = confidence_interval([result["service"] for result in mine])
         broken = sum(sum(result["rules"].values()) for result in mine)
         waited = max(result["waited_s"]["p99"] for result in mine)
         moved = sum(result["tally"].get("moved", 0) for result in mine)
@@ -97,7 +97,7 @@
     apart = "".join(
         f"<li>{html.escape(found.policy)} against {html.escape(found.against)}: {found.mean:+.4f} "
         f"({found.low:+.4f} to {found.high:+.4f}, {found.pairs} pairs)</li>"
-        for found in differences(results, policies[0])
+        for found in paired_differences(results, policies[0])
     )
     breaks = "".join(
         f"<h3>{html.escape(result['policy'])}, seed {result['seed']}, rule {rule}</h3><pre>"
@@ -107,13 +107,13 @@
         for rule, (_, _, trace) in result["first_breaks"].items()
     )[:20_000]
     return (
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(given.scenario.name)}</title><style>{STYLE}</style>"
-        f"<h1>{html.escape(given.scenario.name)}</h1><p>{len(results)} runs, seeds {given.seeds}, commit {commit}. All simulated."
+        f"<!doctype html><meta charset=utf-8><title>{html.escape(experiment.scenario.name)}</title><style>{STYLE}</style>"
+        f"<h1>{html.escape(experiment.scenario.name)}</h1><p>{len(results)} runs, seeds {experiment.seeds}, commit {commit}. All simulated."
         "</p><table><tr><th>policy<th>service<th>95 %<th>rules broken<th>waited p99, s<th>moved</tr>"
         + "".join(rows)
         + f"</table><h2>Differences, pair by pair</h2><ul>{apart}</ul><h2>Service over time</h2>"
-        + _over_time(results, policies, given.scenario.troubles)
+        + _plot_service(results, policies, experiment.scenario.troubles)
         + "<h2>Load of each server</h2>"
-        + "".join(_heat(results, policy) for policy in policies[:3])
+        + "".join(_plot_utilisation(results, policy) for policy in policies[:3])
         + (f"<h2>First breaks</h2>{breaks}" if breaks else "")
     )
--- a/corklift/lab/scenario.py
+++ b/corklift/lab/scenario.py
@@ -167,7 +167,7 @@
     ] = {}  # a key's path: its values
 
 
-def experiment(content: bytes) -> Experiment:
+def parse_experiment(content: bytes) -> Experiment:
     """Raises:
     ScenarioError: names the key that is wrong.
     """
@@ -190,7 +190,7 @@
             raise ScenarioError(f"policies names {name!r}; there are {', '.join(POLICIES)}")
     for path, values in found.vary.items():
         for value in values:
-            varied(found.scenario, path, value)
+            with_value(found.scenario, path, value)
     return found
 
 
@@ -199,7 +199,7 @@
     return f"{key}: {text}"
 
 
-def varied(scenario: Scenario, path: str, value: float | int | str) -> Scenario:
+def with_value(scenario: Scenario, path: str, value: float | int | str) -> Scenario:
     """The scenario with one key set to another value: `servers.number`, `workloads.0.rate`.
 
     Raises:
--- a/corklift/rig/report.py
+++ b/corklift/rig/report.py
@@ -9,7 +9,7 @@
 import json
 from collections import Counter
 
-from corklift.lab.report import STYLE, _picture, pyplot
+from corklift.lab.report import STYLE, embed_figure, pyplot
 from corklift.net.limits import SECOND
 from corklift.rig.checker import events_around, fault_periods, find_violations
 from corklift.rig.fleet import Event
@@ -96,7 +96,7 @@
     axis.set_yticks(range(len(names)), names)
     axis.set_xlabel("s")
     axis.legend(fontsize=7, loc="upper left", bbox_to_anchor=(1, 1))
-    return _picture(figure)
+    return embed_figure(figure)
 
 
 def _service(events: list[Event], began: int, ended: int) -> str:
@@ -116,4 +116,4 @@
     axis.set_xlabel("s")
     axis.set_ylabel("answers a second")
     axis.legend(fontsize=8)
-    return _picture(figure)
+    return embed_figure(figure)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,9 +14,9 @@
 from corklift.lab.clock import MS, SECOND, Clock
 from corklift.lab.experiment import (
     Run,
-    differences,
+    confidence_interval,
     execute_run,
-    interval,
+    paired_differences,
     planned_runs,
     run_experiment,
 )
@@ -31,8 +31,8 @@
     ScenarioError,
     Servers,
     WorkloadTable,
-    experiment,
-    varied,
+    parse_experiment,
+    with_value,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -221,9 +221,9 @@
 
 
 def test_the_load_tool_measures_a_real_balancer_and_its_limit():
-    from corklift.lab.load import Load, Shape
+    from corklift.lab.load import LoadTest, Shape
 
-    figures = Load(Shape(rate=80.0, seconds=3.0, hold_s=4.0, servers=2, sockets=200)).run()
+    figures = LoadTest(Shape(rate=80.0, seconds=3.0, hold_s=4.0, servers=2, sockets=200)).run()
     assert figures["balancers_alive"] and figures["outcomes"]["balancer: UP"] > 30
     assert (
         figures["outcomes"].get("balancer: BUSY", 0) > 10
@@ -234,7 +234,7 @@
     )
     assert not [name for name in figures["outcomes"] if "no answer" in name]
     with pytest.raises(ValueError, match="bounded"):
-        Load(Shape(rate=1e6))
+        LoadTest(Shape(rate=1e6))
 
 
 def test_equal_states_have_equal_digests_whatever_the_time():
@@ -276,14 +276,14 @@
     ],
 )
 def test_a_wrong_key_unit_or_range_is_refused_by_its_name(change, key):
-    assert experiment(GOOD.encode()).scenario.seconds == 20.0
+    assert parse_experiment(GOOD.encode()).scenario.seconds == 20.0
     with pytest.raises(ScenarioError) as problem:
-        experiment(GOOD.replace(*change).encode())
+        parse_experiment(GOOD.replace(*change).encode())
     assert key in str(problem.value)
 
 
 def test_an_experiment_that_was_interrupted_goes_on_and_its_pairs_are_compared(tmp_path):
-    given = experiment(
+    given = parse_experiment(
         b'seeds = [1, 2]\npolicies = ["module", "random"]\nvary = { "servers.number" = [4, 6] }\n'
         b"[scenario]\nseconds = 4.0\nwarm_s = 0.5\n"
     )
@@ -302,18 +302,18 @@
         json.dumps(r, sort_keys=True) for r in whole
     )
     assert len(set(played)) == 8
-    (found,) = differences(whole, "module")
+    (found,) = paired_differences(whole, "module")
     assert found.policy == "random" and found.pairs == 4 and found.low <= found.mean <= found.high
-    other = experiment(b"[scenario]\nseconds = 4.0\n")
+    other = parse_experiment(b"[scenario]\nseconds = 4.0\n")
     with pytest.raises(ValueError, match="another experiment"):
         list(run_experiment(other, path, 1))
-    mean, low, high = interval([1.0, 2.0, 3.0])
+    mean, low, high = confidence_interval([1.0, 2.0, 3.0])
     assert mean == 2.0 and high - mean == pytest.approx(4.30 / 3**0.5)
 
 
 def test_keys_are_varied_by_their_path():
-    assert varied(SMALL, "servers.number", 9).servers.number == 9
-    assert varied(SMALL, "workloads.0.rate", 2.5).workloads[0].rate == 2.5
+    assert with_value(SMALL, "servers.number", 9).servers.number == 9
+    assert with_value(SMALL, "workloads.0.rate", 2.5).workloads[0].rate == 2.5
 
 
 def test_the_commands_run_compare_report_and_replay(tmp_path):
