--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -15,8 +15,8 @@
 class _Wrapped:
     """A policy with some of its methods changed."""
 
-    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
-        self.seat, self.policy = seat, policy
+    def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
+        self.balancer, self.policy = balancer, policy
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.policy, name)
@@ -26,7 +26,7 @@
     def hand_off_started(self, now: int, login: int, attempt: int, server: int, delay: int) -> None:
         self.policy.hand_off_started(now, login, attempt, server, delay)
         if login % 50 == 0:
-            self.seat.fleet.rules.login_answered(now, self.seat.number, login, "bounced")
+            self.balancer.fleet.rules.login_answered(now, self.balancer.number, login, "bounced")
 
 
 class AnswerLost(_Wrapped):
@@ -72,7 +72,7 @@
     """From the tenth second on no timer is due."""
 
     def timer_due(self, now: int, mark: int) -> None:
-        if now - self.seat.fleet.clock.started_at < 10_000_000_000:
+        if now - self.balancer.fleet.clock.started_at < 10_000_000_000:
             self.policy.timer_due(now, mark)
 
 
@@ -92,27 +92,27 @@
 class LateAnswer(_Wrapped):
     """A refusal is sat on until after the time limit."""
 
-    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
-        super().__init__(seat, policy)
-        bounce = seat.bounce
+    def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
+        super().__init__(balancer, policy)
+        bounce = balancer.bounce
 
         def late(login: int, retry_in: int) -> None:
-            way = seat.logins.get(login)
-            if way is None or login % 20:
+            login_state = balancer.logins.get(login)
+            if login_state is None or login % 20:
                 bounce(login, retry_in)
             else:
-                seat.fleet.clock.call_at(
-                    way.request.time_limit_at + 1_000_000, bounce, login, retry_in
+                balancer.fleet.clock.call_at(
+                    login_state.request.time_limit_at + 1_000_000, bounce, login, retry_in
                 )
 
-        seat.bounce = late  # type: ignore[method-assign]
+        balancer.bounce = late  # type: ignore[method-assign]
 
 
 class TaggedAnywhere(_Wrapped):
     """A tagged login's repeat goes where it is not recognised."""
 
-    def __init__(self, seat: EmulatedBalancer, policy: Any) -> None:
-        super().__init__(seat, policy)
+    def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
+        super().__init__(balancer, policy)
         retry_policy = getattr(policy, "_retry_policy", None)
         if retry_policy is not None:
             retry_policy.server_filter = lambda state: lambda server: True
