--- a/tests/harness.py
+++ b/tests/harness.py
@@ -174,7 +174,7 @@
 
 
 class VirtualPoll:
-    """Polls real sockets; if none is ready, advances the virtual time to the next timer."""
+    """Polls real sockets; if none is ready within 2 ms, advances the virtual time to a timer."""
 
     def __init__(self, harness: BalancerHarness) -> None:
         self._harness, self._poll = harness, select.poll()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -258,9 +258,9 @@
 
 
 def test_two_upgrades_under_load_reject_no_login_and_keep_overrides(tmp_path):
-    harness = BalancerHarness(
-        "up", "up", "up"
-    )  # for its sockets; a script serves them in real time
+    # Only the sockets and the configuration of the harness are used: a script plays the servers and
+    # discovery in real time.
+    harness = BalancerHarness("up", "up", "up")
     harness.process.relay._listeners[0].close()
     config = tmp_path / "config.json"
     listener = socket.create_server(("127.0.0.1", 0), backlog=256)
