--- a/corklift/lab/policies.py
+++ b/corklift/lab/policies.py
@@ -25,12 +25,12 @@
 from corklift.lab.clock import SECOND
 from corklift.policy import Balancer
 
-Truth = Callable[
+TrueUtilisation = Callable[
     [int], float
 ]  # a server's pressure as it is now, for the one policy that may see it
 
 
-class Plain(ABC):
+class BaselinePolicy(ABC):
     """A balancer that tries ready servers by `choose` until its hand-offs are used up. Probes once a second."""
 
     PROBES = True
@@ -41,13 +41,13 @@
         rng: Random,
         *,
         now: int,
-        truth: Truth,
+        true_utilisation: TrueUtilisation,
         workloads: list[Workload],
         max_hand_offs: int,
         max_retry_after: int,
         **_: Any,
     ) -> None:
-        self._host, self._rng, self._truth = host, rng, truth
+        self._host, self._rng, self._true_utilisation = host, rng, true_utilisation
         self._workloads, self._most, self._retry_after = workloads, max_hand_offs, max_retry_after
         self._ready: dict[int, ListedServer] = {}
         self._counts: dict[int, float] = {}
@@ -164,14 +164,14 @@
         pass
 
 
-class Chance(Plain):
+class RandomChoice(BaselinePolicy):
     PROBES = False
 
     def choose(self, now: int, servers: list[int]) -> int:
         return self._rng.choice(servers)
 
 
-class InTurn(Plain):
+class RoundRobin(BaselinePolicy):
     PROBES = False
     _turn = 0
 
@@ -180,7 +180,7 @@
         return servers[self._turn % len(servers)]
 
 
-class LeastOwn(Plain):
+class LeastOwnConnections(BaselinePolicy):
     """Fewest connections of its own, as a proxy's least-connections draw sees them."""
 
     PROBES = False
@@ -192,7 +192,7 @@
         )
 
 
-class LowestReport(Plain):
+class LowestReport(BaselinePolicy):
     """Fewest connections by the last probe, however old: all balancers run to the same one."""
 
     def choose(self, now: int, servers: list[int]) -> int:
@@ -200,7 +200,7 @@
         return self._rng.choice([server for server in servers if self.seen(server) == least])
 
 
-class TwoChoices(Plain):
+class TwoChoices(BaselinePolicy):
     """Of two drawn at random, the one with fewer connections of its own."""
 
     PROBES = False
@@ -212,7 +212,7 @@
         )
 
 
-class InverseCounts(Plain):
+class InverseCounts(BaselinePolicy):
     """The paper's draw, with chance inverse to the count, and nothing else."""
 
     def choose(self, now: int, servers: list[int]) -> int:
@@ -221,24 +221,26 @@
         ]
 
 
-class TrueState(Plain):
+class TrueState(BaselinePolicy):
     """Sees each server as it is at this instant: the mark that others are held against."""
 
     PROBES = False
 
     def choose(self, now: int, servers: list[int]) -> int:
-        return min(servers, key=lambda server: (self._truth(server), server))
+        return min(servers, key=lambda server: (self._true_utilisation(server), server))
 
 
-def _module(host: Host, rng: Random, *, truth: Truth, **settings: Any) -> Balancer:
+def _module(
+    host: Host, rng: Random, *, true_utilisation: TrueUtilisation, **settings: Any
+) -> Balancer:
     return Balancer(host, rng, **settings)
 
 
 POLICIES: dict[str, Callable[..., Any]] = {
     "module": _module,
-    "random": Chance,
-    "round robin": InTurn,
-    "least connections": LeastOwn,
+    "random": RandomChoice,
+    "round robin": RoundRobin,
+    "least connections": LeastOwnConnections,
     "two choices": TwoChoices,
     "lowest report": LowestReport,
     "inverse counts": InverseCounts,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,14 @@
 from corklift.interface import Outcome, Status
 from corklift.lab import explore
 from corklift.lab.clock import MS, SECOND, Clock
-from corklift.lab.experiment import Run, carry_out, differences, interval, play, runs
+from corklift.lab.experiment import (
+    Run,
+    confidence_interval,
+    execute_run,
+    paired_differences,
+    planned_runs,
+    run_experiment,
+)
 from corklift.lab.faults import FAULTS
 from corklift.lab.fleet import Fleet
 from corklift.lab.policies import POLICIES
@@ -24,8 +31,8 @@
     ScenarioError,
     Servers,
     WorkloadTable,
-    experiment,
-    varied,
+    parse_experiment,
+    with_value,
 )
 
 ROOT = Path(__file__).parent.parent
@@ -51,18 +58,20 @@
 
 def test_due_at_one_instant_runs_in_the_order_of_asking_and_the_past_is_now():
     clock, seen = Clock(), []
-    clock.at(clock.now + 5, seen.append, "b")
-    clock.at(clock.now + 5, seen.append, "c")
-    clock.at(clock.now - 10**9, seen.append, "a")
-    clock.at(clock.now + 5, lambda: clock.after(-7, seen.append, "d"))
-    clock.run(clock.now + 5)
+    clock.call_at(clock.now + 5, seen.append, "b")
+    clock.call_at(clock.now + 5, seen.append, "c")
+    clock.call_at(clock.now - 10**9, seen.append, "a")
+    clock.call_at(clock.now + 5, lambda: clock.call_later(-7, seen.append, "d"))
+    clock.run_until(clock.now + 5)
     assert seen == ["a", "b", "c", "d"] and clock.pending == 0
 
 
 @pytest.mark.parametrize("policy", POLICIES)
 def test_one_seed_is_one_history(policy):
     scenario = troubled("release", "client drop", "balancer killed")
-    first, again, other = (play(scenario, Run(policy, seed, ()), False) for seed in (3, 3, 4))
+    first, again, other = (
+        execute_run(scenario, Run(policy, seed, ()), False) for seed in (3, 3, 4)
+    )
     assert first == again and first["history"] != other["history"]
 
 
@@ -90,7 +99,7 @@
     calm, fleet = Fleet(SMALL, "module", 2), Fleet(troubled(kind, part=0.34), "module", 2)
     calm.run()
     fleet.run()
-    assert not fleet.rules.broken, fleet.rules.first
+    assert not fleet.rules.violation_counts, fleet.rules.first_violations
     assert fleet.clock.history != calm.clock.history and fleet.tally["fulfilled"] > 60
     assert 0.4 < fleet.service <= 1.0
 
@@ -103,16 +112,18 @@
         }
         fleet = Fleet(Scenario(**table), "module", 5)
         fleet.run()
-        assert not fleet.rules.broken and fleet.clock.now - fleet.clock.began == int(
+        assert not fleet.rules.violation_counts and fleet.clock.now - fleet.clock.started_at == int(
             seconds * SECOND
         )
-    assert fleet.rules.on_their_way <= fleet.standing + 5  # no login's state stays behind
+    assert (
+        fleet.rules.open_login_count <= fleet.open_connections + 5
+    )  # no login's state stays behind
 
 
 def test_without_faults_no_check_raises_an_alarm():
     fleet = Fleet(FAULTY, "module", 1)
     fleet.run()
-    assert not fleet.rules.broken and not fleet.design_breaks()
+    assert not fleet.rules.violation_counts and not fleet.design_violations()
 
 
 @pytest.mark.parametrize("fault", FAULTS)
@@ -120,8 +131,12 @@
     spoil, check = FAULTS[fault]
     fleet = Fleet(FAULTY, "module", 1, spoil)
     fleet.run()
-    assert check in {f"rule {rule}" for rule in fleet.rules.broken} | fleet.design_breaks().keys()
-    for found in fleet.rules.first.values():
+    assert (
+        check
+        in {f"rule {rule}" for rule in fleet.rules.violation_counts}
+        | fleet.design_violations().keys()
+    )
+    for found in fleet.rules.first_violations.values():
         assert found.what in found.trace[-1] and len(found.trace) <= 40
 
 
@@ -206,9 +221,9 @@
 
 
 def test_the_load_tool_measures_a_real_balancer_and_its_limit():
-    from corklift.lab.load import Load, Shape
+    from corklift.lab.load import LoadTest, Shape
 
-    figures = Load(Shape(rate=80.0, seconds=3.0, hold_s=4.0, servers=2, sockets=200)).run()
+    figures = LoadTest(Shape(rate=80.0, seconds=3.0, hold_s=4.0, servers=2, sockets=200)).run()
     assert figures["balancers_alive"] and figures["outcomes"]["balancer: UP"] > 30
     assert (
         figures["outcomes"].get("balancer: BUSY", 0) > 10
@@ -219,7 +234,7 @@
     )
     assert not [name for name in figures["outcomes"] if "no answer" in name]
     with pytest.raises(ValueError, match="bounded"):
-        Load(Shape(rate=1e6))
+        LoadTest(Shape(rate=1e6))
 
 
 def test_equal_states_have_equal_digests_whatever_the_time():
@@ -261,44 +276,44 @@
     ],
 )
 def test_a_wrong_key_unit_or_range_is_refused_by_its_name(change, key):
-    assert experiment(GOOD.encode()).scenario.seconds == 20.0
+    assert parse_experiment(GOOD.encode()).scenario.seconds == 20.0
     with pytest.raises(ScenarioError) as problem:
-        experiment(GOOD.replace(*change).encode())
+        parse_experiment(GOOD.replace(*change).encode())
     assert key in str(problem.value)
 
 
 def test_an_experiment_that_was_interrupted_goes_on_and_its_pairs_are_compared(tmp_path):
-    given = experiment(
+    given = parse_experiment(
         b'seeds = [1, 2]\npolicies = ["module", "random"]\nvary = { "servers.number" = [4, 6] }\n'
         b"[scenario]\nseconds = 4.0\nwarm_s = 0.5\n"
     )
     path = str(tmp_path / "out.jsonl")
-    assert len(list(runs(given))) == 8
-    whole = list(carry_out(given, path, 2))
+    assert len(list(planned_runs(given))) == 8
+    whole = list(run_experiment(given, path, 2))
     lines = Path(path).read_text().splitlines(keepends=True)
     assert len(lines) == 9
     Path(path).write_text("".join(lines[:5]) + lines[5][:100])  # cut within a line
     played = []
     again = []
-    for result in carry_out(given, path, 1):
+    for result in run_experiment(given, path, 1):
         again.append(result)
         played.append(result["key"])
     assert sorted(json.dumps(r, sort_keys=True) for r in again) == sorted(
         json.dumps(r, sort_keys=True) for r in whole
     )
     assert len(set(played)) == 8
-    (found,) = differences(whole, "module")
+    (found,) = paired_differences(whole, "module")
     assert found.policy == "random" and found.pairs == 4 and found.low <= found.mean <= found.high
-    other = experiment(b"[scenario]\nseconds = 4.0\n")
+    other = parse_experiment(b"[scenario]\nseconds = 4.0\n")
     with pytest.raises(ValueError, match="another experiment"):
-        list(carry_out(other, path, 1))
-    mean, low, high = interval([1.0, 2.0, 3.0])
+        list(run_experiment(other, path, 1))
+    mean, low, high = confidence_interval([1.0, 2.0, 3.0])
     assert mean == 2.0 and high - mean == pytest.approx(4.30 / 3**0.5)
 
 
 def test_keys_are_varied_by_their_path():
-    assert varied(SMALL, "servers.number", 9).servers.number == 9
-    assert varied(SMALL, "workloads.0.rate", 2.5).workloads[0].rate == 2.5
+    assert with_value(SMALL, "servers.number", 9).servers.number == 9
+    assert with_value(SMALL, "workloads.0.rate", 2.5).workloads[0].rate == 2.5
 
 
 def test_the_commands_run_compare_report_and_replay(tmp_path):
@@ -345,7 +360,7 @@
     )
     fleet.run()
     assert (
-        fleet.standing > 4000
-        and fleet.clock.pending < 3 * fleet.standing + 2000
+        fleet.open_connections > 4000
+        and fleet.clock.pending < 3 * fleet.open_connections + 2000
         and fleet.clock.now % MS == 0
     )
