--- a/tests/processes/test_peers.py
+++ b/tests/processes/test_peers.py
@@ -363,4 +363,4 @@
         )
         assert rig.balancer_count("b1") == 3
 
-    run_rig(scenario, Shape(balancers=3, rate=0, told=1))
+    run_rig(scenario, Shape(balancers=3, rate=0, configured_balancers=1))
