--- a/corklift/lab/__init__.py
+++ b/corklift/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The lab: fleets in virtual time, experiments, exploration. It drives the product's own decisions and holds none."""
+"""Simulation around the real decisions: fleets in virtual time, experiments and exploration."""
--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -1,6 +1,6 @@
-"""Deliberate faults, put in at run time, to see that the checks find them.
+"""Deliberate faults that tests inject to prove that the checks find them.
 
-Each wraps what a seat drives or what it may do. Owns nothing. Must never be used outside the lab.
+Each fault wraps the policy of an emulated balancer or the balancer itself. For use in the lab only.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from corklift.lab.fleet import EmulatedBalancer
 
 
-class _Wrapped:
-    """A policy with some of its methods changed."""
+class _PolicyWrapper:
+    """Passes every call on to the policy; a fault overrides some methods."""
 
     def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
         self.balancer, self.policy = balancer, policy
@@ -22,23 +22,25 @@
         return getattr(self.policy, name)
 
 
-class AnswerTwice(_Wrapped):
+class AnswerTwice(_PolicyWrapper):
+    """Some logins get a second answer."""
+
     def hand_off_started(self, now: int, login: int, attempt: int, server: int, delay: int) -> None:
         self.policy.hand_off_started(now, login, attempt, server, delay)
         if login % 50 == 0:
             self.balancer.fleet.rules.login_answered(now, self.balancer.number, login, "bounced")
 
 
-class AnswerLost(_Wrapped):
-    """Every fiftieth login is forgotten as it comes."""
+class LoseLogins(_PolicyWrapper):
+    """Every fiftieth login never reaches the policy."""
 
     def login_arrived(self, now: int, login: Any) -> None:
         if login.login % 50:
             self.policy.login_arrived(now, login)
 
 
-class ResendOnceOnly(_Wrapped):
-    """What may have run is taken for what surely has not."""
+class ResendOnceOnlyLogins(_PolicyWrapper):
+    """Reports hand-offs that may have run as certainly not run."""
 
     def hand_off_ended(
         self, now: int, login: int, closed: bool, server: int, outcome: Outcome, *rest: Any
@@ -48,7 +50,9 @@
         self.policy.hand_off_ended(now, login, closed, server, outcome, *rest)
 
 
-class DrainNotHeard(_Wrapped):
+class IgnoreDrains(_PolicyWrapper):
+    """Lists draining servers as ready."""
+
     def servers_listed(self, now: int, scope: Any, revision: int, lines: Any) -> None:
         self.policy.servers_listed(
             now,
@@ -61,42 +65,46 @@
         )
 
 
-class ColdTakenForWarm(_Wrapped):
+class TreatColdAsWarm(_PolicyWrapper):
+    """Hides the start times of servers, so that none looks cold."""
+
     def servers_listed(self, now: int, scope: Any, revision: int, lines: Any) -> None:
         self.policy.servers_listed(
             now, scope, revision, tuple(line._replace(started_at=0) for line in lines)
         )
 
 
-class TimerLost(_Wrapped):
-    """From the tenth second on no timer is due."""
+class LoseTimers(_PolicyWrapper):
+    """Drops every timer from the tenth second on."""
 
     def timer_due(self, now: int, mark: int) -> None:
         if now - self.balancer.fleet.clock.started_at < 10_000_000_000:
             self.policy.timer_due(now, mark)
 
 
-class CountKept(_Wrapped):
-    """A connection's end is not told: its count is never taken off."""
+class KeepConnectionCounts(_PolicyWrapper):
+    """Hides the end of some connections, which stay counted for ever."""
 
     def hand_off_ended(self, now: int, login: int, closed: bool, *rest: Any) -> None:
         if not closed or login % 10:
             self.policy.hand_off_ended(now, login, closed, *rest)
 
 
-class GroupSplit(_Wrapped):
+class IgnoreGroups(_PolicyWrapper):
+    """Removes the group from each login."""
+
     def login_arrived(self, now: int, login: Any) -> None:
         self.policy.login_arrived(now, login._replace(group=0))
 
 
-class LateAnswer(_Wrapped):
-    """A refusal is sat on until after the time limit."""
+class BounceTooLate(_PolicyWrapper):
+    """Delays some bounces until after the time limit."""
 
     def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
         super().__init__(balancer, policy)
         bounce = balancer.bounce
 
-        def late(login: int, retry_in: int) -> None:
+        def bounce_late(login: int, retry_in: int) -> None:
             login_state = balancer.logins.get(login)
             if login_state is None or login % 20:
                 bounce(login, retry_in)
@@ -105,11 +113,11 @@
                     login_state.request.time_limit_at + 1_000_000, bounce, login, retry_in
                 )
 
-        balancer.bounce = late  # type: ignore[method-assign]
+        balancer.bounce = bounce_late  # type: ignore[method-assign]
 
 
-class TaggedAnywhere(_Wrapped):
-    """A tagged login's repeat goes where it is not recognised."""
+class ResendTaggedAnywhere(_PolicyWrapper):
+    """Allows retries of tagged logins on servers that do not recognise the tag."""
 
     def __init__(self, balancer: EmulatedBalancer, policy: Any) -> None:
         super().__init__(balancer, policy)
@@ -118,16 +126,16 @@
             retry_policy.server_filter = lambda state: lambda server: True
 
 
-# The fault, and the check that must find it.
+# Each fault, and the check that has to find it.
 FAULTS: dict[str, tuple[Callable[[EmulatedBalancer, Any], Any], str]] = {
     "an answer twice": (AnswerTwice, "rule 1"),
-    "a lost answer": (AnswerLost, "rule 1"),
-    "an answer after its time": (LateAnswer, "rule 1"),
-    "a resend of a once-only login": (ResendOnceOnly, "rule 2"),
-    "a tagged repeat anywhere": (TaggedAnywhere, "rule 2"),
-    "a hand-off after the drain's grace": (DrainNotHeard, "rule 3"),
-    "a cold server flooded": (ColdTakenForWarm, "rule 4"),
-    "a timer lost": (TimerLost, "probing"),
-    "a count never taken off": (CountKept, "counts"),
-    "a group split": (GroupSplit, "groups"),
+    "a lost answer": (LoseLogins, "rule 1"),
+    "an answer after its time": (BounceTooLate, "rule 1"),
+    "a resend of a once-only login": (ResendOnceOnlyLogins, "rule 2"),
+    "a tagged repeat anywhere": (ResendTaggedAnywhere, "rule 2"),
+    "a hand-off after the drain's grace": (IgnoreDrains, "rule 3"),
+    "a cold server flooded": (TreatColdAsWarm, "rule 4"),
+    "a timer lost": (LoseTimers, "probing"),
+    "a count never taken off": (KeepConnectionCounts, "counts"),
+    "a group split": (IgnoreGroups, "groups"),
 }
