--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -62,11 +62,13 @@
             "/admin/stats": ("GET", lambda request: AdminResponse(200, balancer.stats())),
             "/admin/cordon": (
                 "POST",
-                lambda request: self._member(request, balancer.take_out_of_service, "out"),
+                lambda request: self._apply_to_member(request, balancer.take_out_of_service, "out"),
             ),
             "/admin/uncordon": (
                 "POST",
-                lambda request: self._member(request, balancer.restore_to_service, "free to serve"),
+                lambda request: self._apply_to_member(
+                    request, balancer.restore_to_service, "free to serve"
+                ),
             ),
         }
 
@@ -94,7 +96,7 @@
             else AdminResponse(503, "It does not serve.\n")
         )
 
-    def _member(
+    def _apply_to_member(
         self, request: HttpRequest, operation: Callable[[str], bool], state_name: str
     ) -> AdminResponse:
         name = request.json_object().get("member")
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -237,7 +237,7 @@
     def _set_backoff(self, limits: Limits) -> None:
         """Resets both delays: short ones after faults, long ones after an overload.
 
-        A fault is usually over soon; an overloaded discovery is kept so by calls.
+        A fault is usually over soon; further calls would keep an overloaded discovery overloaded.
         """
         self._fault_backoff = Backoff(self._rng, limits.watch_pause, limits.watch_pause_most)
         self._overload_backoff = Backoff(
