--- a/tests/processes/test_power.py
+++ b/tests/processes/test_power.py
@@ -1,6 +1,7 @@
-"""Real balancers that lose power, disks or peers: where they place logins and what they remember.
+"""Tests of `serve` processes that lose power, disks or peers: placements, stored facts, replies to
+operators.
 
-Each test waits for events with wide limits, and asserts their order and number.
+Each test waits for the expected events with generous timeouts, and asserts their order and number.
 """
 
 import os
@@ -12,36 +13,34 @@
 from corklift.rig.power_days import DISK_PLANS, PowerLossCase, run_case
 from corklift.standins.client import connect, send_request
 
-FIVE = Shape(rate=30.0, store=True)
+FIVE_BALANCERS = Shape(rate=30.0, store=True)
 
 
-def run_rig(conduct, shape=FIVE, mutants=None):
-    rig = Rig(shape, mutants)
+def run_rig(scenario, shape=FIVE_BALANCERS, spoil=None):
+    """Runs a scenario once all balancers serve; returns the rig and the violations of its rules."""
+    rig = Rig(shape, spoil)
 
-    def conduct_and_finish(rig):
+    def run_scenario(rig):
         rig.wait_until(
-            lambda: all(recovery_step(rig, name) in ("open", "full") for name in rig.serving), 60
+            lambda: all(phase(rig, name) in ("open", "full") for name in rig.serving), 60
         )
-        conduct(rig)
+        scenario(rig)
         rig.record("finish")
 
-    rig.run(conduct_and_finish)
+    rig.run(run_scenario)
     assert rig.problems == [] and not [
         event for event in rig.events if event.what.startswith("exception")
     ]
     return rig, find_violations(rig.events, max(event.at for event in rig.events))
 
 
-def recovery_step(rig, name):
-    events = [
-        event
-        for event in rig.events_from(name, "recovery")
-        if event.at > last_started_at(rig, name)
-    ]
+def phase(rig, name):
+    """Returns the recovery phase that a balancer has logged last since its start; empty: none."""
+    events = [event for event in rig.events_from(name, "recovery") if event.at > started(rig, name)]
     return events[-1].fields["step"] if events else ""
 
 
-def last_started_at(rig, name):
+def started(rig, name):
     return max(
         (
             event.at
@@ -54,20 +53,20 @@
 
 def wait_until_serving(rig, *names):
     rig.wait_until(
-        lambda: all(recovery_step(rig, name) in ("open", "full") for name in names),
-        60,
-        f"{names} serve",
+        lambda: all(phase(rig, name) in ("open", "full") for name in names), 60, f"{names} serve"
     )
 
 
-def count_logins(rig, server, since):
+def placement_count(rig, server, since):
+    """Returns how many logins were placed at a server since a time."""
     return sum(
         event.what == "placed" and event.source == server and event.at > since
         for event in rig.events
     )
 
 
-def admin_response(rig, name, path="stats"):
+def admin_get(rig, name, path="stats"):
+    """Returns the answer of a balancer's admin endpoint."""
     stream = connect(
         rig.scheduler, (rig.hosts[name], ADMIN_PORT), rig.scheduler.now() + 1_000_000_000
     )
@@ -84,15 +83,15 @@
         stream.close()
 
 
-def test_all_lose_their_power_while_discovery_is_mute():
-    day = PowerLossCase(2, 5, 3, 30.0, (), 5.0, old_list=True, drain=True, seconds=8.0)
-    seen, rig = run_case(day)
-    assert seen.violations == [] and seen.problems == [] and seen.confirmed_overrides >= 1
+def test_a_power_loss_of_the_whole_fleet_while_discovery_is_silent():
+    case = PowerLossCase(2, 5, 3, 30.0, (), 5.0, old_list=True, drain=True, seconds=8.0)
+    result, rig = run_case(case)
+    assert result.violations == [] and result.problems == [] and result.confirmed_overrides >= 1
     assert (
-        not seen.words_forgotten
-        and not seen.words_invented
-        and not seen.placed_out
-        and seen.restored_s >= 0
+        not result.words_forgotten
+        and not result.words_invented
+        and not result.placed_out
+        and result.restored_s >= 0
     )
     for name in rig.balancers:
         assert any(
@@ -102,32 +101,32 @@
         assert steps[:3] == ["ask", "look", "open"] and steps.count("ask") == 2
 
 
-def test_disks_that_lie_fail_fill_and_stall_with_a_second_loss_in_the_return():
-    day = PowerLossCase(
+def test_faulty_disks_with_a_second_power_loss_during_recovery():
+    case = PowerLossCase(
         5, 5, 4, 30.0, ("lies", "sound", "sound", "short", "sound"), 3.0, again_s=0.6, seconds=8.0
     )
-    seen, rig = run_case(day)
+    result, rig = run_case(case)
     assert (
-        seen.violations == []
-        and seen.problems == []
-        and not seen.words_forgotten
-        and not seen.words_invented
+        result.violations == []
+        and result.problems == []
+        and not result.words_forgotten
+        and not result.words_invented
     )
 
 
-def test_a_disk_that_stalls_or_fails_costs_no_login_and_is_told():
-    def conduct(rig):
+def test_a_stalled_or_failing_disk_costs_no_login_and_is_reported():
+    def scenario(rig):
         rig.set_disk_faults("b1", sync="stall:30")
         rig.set_disk_faults("b2", **DISK_PLANS["fails"])
         server = sorted(rig.servers)[0]
-        rig.mark_leaving(server)  # each balancer persists that
+        rig.mark_leaving(server)  # every balancer stores this
         rig.wait_until(lambda: rig.events_from("b2", "store", kind="disk"), 30)
-        assert rig.operator("b2", server, True) == 200  # three others persist it
-        assert "app.store_trouble:1|g" in admin_response(rig, "b2")
+        assert rig.operator("b2", server, True) == 200  # three other disks store it
+        assert "app.store_trouble:1|g" in admin_get(rig, "b2")
         rig.wait_until(
             lambda: any(
                 int(line.split(":")[1].split("|")[0]) > 1000
-                for line in admin_response(rig, "b1").split()
+                for line in admin_get(rig, "b1").split()
                 if line.startswith("app.store_waiting_ms")
             ),
             30,
@@ -144,14 +143,14 @@
         rig.set_disk_faults("b1")
         rig.set_disk_faults("b2")
         rig.operator("b2", server, True)
-        assert "app.store_trouble:0|g" in admin_response(rig, "b2")
+        assert "app.store_trouble:0|g" in admin_get(rig, "b2")
 
-    rig, violations = run_rig(conduct)
+    rig, violations = run_rig(scenario)
     assert violations == []
 
 
-def test_a_word_has_no_yes_where_too_few_can_keep_it():
-    def conduct(rig):
+def test_an_override_is_not_acknowledged_while_peers_are_unreachable():
+    def scenario(rig):
         server = sorted(rig.servers)[0]
         rig.apply_fault(
             rig.links_between(["b1"], [name for name in rig.balancers if name != "b1"]),
@@ -167,18 +166,18 @@
         rig.sleep(5)
         after = rig.scheduler.now()
         rig.sleep(2)
-        assert count_logins(rig, server, after) == 0 and since
+        assert placement_count(rig, server, after) == 0 and since
 
-    _, violations = run_rig(conduct)
+    _, violations = run_rig(scenario)
     assert violations == []
 
 
 def test_a_disk_of_last_week_is_overruled_by_one_that_lives():
-    def conduct(rig):
+    def scenario(rig):
         server = sorted(rig.servers)[0]
         base = os.path.join(rig._folder, "b3")
         assert rig.operator("b1", server, True) == 200
-        rig.wait_until(lambda: "app.servers_excluded:1" in admin_response(rig, "b3"))
+        rig.wait_until(lambda: "app.servers_excluded:1" in admin_get(rig, "b3"))
         rig.terminate("b3")
         rig.wait_until(lambda: not rig.balancers["b3"].alive)
         shutil.copytree(base, base + ".week")
@@ -186,30 +185,30 @@
         wait_until_serving(rig, "b3")
         rig.wait_until(lambda: "b3" in rig.serving)
         assert rig.operator("b2", server, False) == 200
-        rig.wait_until(lambda: "app.servers_excluded:0" in admin_response(rig, "b3"))
+        rig.wait_until(lambda: "app.servers_excluded:0" in admin_get(rig, "b3"))
         rig.terminate("b3")
         rig.wait_until(lambda: not rig.balancers["b3"].alive)
         shutil.rmtree(base)
         shutil.move(base + ".week", base)
-        marks = rig.scheduler.now()
+        restarted_at = rig.scheduler.now()
         rig.restart("b3")
         wait_until_serving(rig, "b3")
-        # The cordon on the old disk has been lifted since.
-        rig.wait_until(lambda: "app.servers_excluded:0" in admin_response(rig, "b3"))
-        told = rig.wait_until(
+        # The server of the old store's override has been restored to service since.
+        rig.wait_until(lambda: "app.servers_excluded:0" in admin_get(rig, "b3"))
+        reports = rig.wait_until(
             lambda: [
                 event.fields
                 for event in rig.events_from("b3", "store", kind="behind")
-                if event.at > marks
+                if event.at > restarted_at
             ],
             60,
         )
-        assert told[0]["had"] > told[0]["has"]
+        assert reports[0]["had"] > reports[0]["has"]
         rig.wait_until(
             lambda: [
                 event
                 for event in rig.events_from("b3", "store", kind="made good")
-                if event.at > marks
+                if event.at > restarted_at
             ],
             60,
         )
@@ -221,12 +220,12 @@
             )
         )
 
-    _, violations = run_rig(conduct)
+    _, violations = run_rig(scenario)
     assert violations == []
 
 
-def test_one_that_lost_its_memory_serves_once_a_peer_has_answered():
-    def conduct(rig):
+def test_a_balancer_that_lost_its_store_serves_once_a_peer_has_replied():
+    def scenario(rig):
         server = sorted(rig.servers)[0]
         assert rig.operator("b1", server, True) == 200
         rig.kill(*rig.balancers)
@@ -234,8 +233,8 @@
         shutil.rmtree(os.path.join(rig._folder, "b2"))
         since = rig.scheduler.now()
         rig.start("b2")
-        rig.wait_until(lambda: recovery_step(rig, "b2") == "ask")
-        for _ in range(5):  # each is bounced at once, with a time until a retry
+        rig.wait_until(lambda: phase(rig, "b2") == "ask")
+        for _ in range(5):  # each is rejected at once, with a time to retry
             stream = connect(
                 rig.scheduler,
                 ("127.0.0.1", rig.links["client", "b2"].port),
@@ -250,35 +249,35 @@
             assert line.startswith(b"BUSY ") and int(line.split()[1]) > 0
             stream.close()
         rig.sleep(2)
-        assert recovery_step(rig, "b2") == "ask" and "It does not serve" in admin_response(
-            rig, "b2", "health"
-        )
+        assert phase(rig, "b2") == "ask" and "It does not serve" in admin_get(rig, "b2", "health")
         rig.restart("b1")
         wait_until_serving(rig, "b1", "b2")
-        rig.wait_until(lambda: sum(count_logins(rig, other, since) for other in rig.servers) > 10)
-        assert count_logins(rig, server, since) == 0 and "It serves" in admin_response(
+        rig.wait_until(
+            lambda: sum(placement_count(rig, other, since) for other in rig.servers) > 10
+        )
+        assert placement_count(rig, server, since) == 0 and "It serves" in admin_get(
             rig, "b2", "health"
         )
 
-    _, violations = run_rig(conduct)
+    _, violations = run_rig(scenario)
     assert violations == []
 
 
 def test_whichever_subset_is_back_serves():
-    def conduct(rig):
+    def scenario(rig):
         names = sorted(rig.balancers)
         server = sorted(rig.servers)[0]
         assert rig.operator("b4", server, True) == 200
         rig.sleep(0.5)
         rig.send_command("discovery", silent=True)
         rig.cut_power(*names, *rig.servers)
-        rig.start("b5")  # alone, and while no server runs
-        rig.wait_until(lambda: recovery_step(rig, "b5") in ("look", "open"))
+        rig.start("b5")  # without any peer or server
+        rig.wait_until(lambda: phase(rig, "b5") in ("look", "open"))
         rig.start_server(sorted(rig.servers)[1])
         since = rig.scheduler.now()
         wait_until_serving(rig, "b5")
         rig.scheduler.spawn(rig._admit_when_ready, "b5")
-        rig.wait_until(lambda: sum(count_logins(rig, other, since) for other in rig.servers) > 5)
+        rig.wait_until(lambda: sum(placement_count(rig, other, since) for other in rig.servers) > 5)
         rig.start_server(server)
         for name in names[:4]:
             rig.restart(name)
@@ -290,7 +289,7 @@
                 for name in names
             )
         )
-        assert count_logins(rig, server, since) == 0
+        assert placement_count(rig, server, since) == 0
 
-    _, violations = run_rig(conduct)
+    _, violations = run_rig(scenario)
     assert violations == []
