--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -1,7 +1,9 @@
-"""A fleet in virtual time whose balancers' guards go by a count: of the settings, of membership, or of whom each hears.
+"""An emulated fleet whose balancers learn from emulated membership how many of them there are.
 
-Owns the tie between the emulated fleet and emulated members: who is killed there dies here, what stands there is held here. Must
-never hold a decision: the module places, the core of membership counts.
+Each balancer's guards depend on the number of balancers. This number comes from the settings, from
+the count that membership keeps, or from the members that a balancer currently sees as alive. The
+emulated members follow the emulated fleet: they start and die with its balancers and report its
+connections. Placement is decided by the decision module, and counting by the membership core.
 """
 
 from __future__ import annotations
@@ -15,12 +17,17 @@
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 from corklift.policy import Balancer
 
-STEP = 100 * MS  # at which the two worlds are brought together
+# Between two synchronisations of the emulated fleet and the emulated members.
+SYNC_INTERVAL = 100 * MS
 CountSource = Literal["settings", "followed", "heard"]
 
 
 def hard_day_scenario(balancers: int, seconds: float) -> Scenario:
-    """A third of the balancers is killed at once and comes back, a zone of servers is lost and comes back cold, then a release."""
+    """Returns a scenario that strains the guards.
+
+    A third of the balancers is killed at once and comes back, a zone of servers is lost and comes
+    back cold, and a release restarts half of the servers.
+    """
     return Scenario(
         name="counted",
         seconds=seconds,
@@ -37,30 +44,43 @@
 
 
 class CountedFleet(Fleet):
+    """A fleet with emulated membership."""
+
     def __init__(
-        self, scenario: Scenario, seed: int, way: CountSource, told: int, cut_s: tuple[float, float]
+        self,
+        scenario: Scenario,
+        seed: int,
+        count_source: CountSource,
+        configured_count: int,
+        cut_window_s: tuple[float, float],
     ) -> None:
-        """`told`: the settings' count; `cut_s`: from when to when a third of the balancers can't reach the others' calls."""
-        self.way, self.told = way, told
-        number = scenario.balancers.number
-        self.members = Net(Shape(number, settled=True, told=told), seed)
-        self._cut_s = cut_s
-        self._wanted: dict[int, dict[str, Any]] = {}
-        self._used: dict[int, int] = {}
+        """Builds the fleet and its members.
+
+        Args:
+            count_source: where the balancers take their count from.
+            configured_count: the number of balancers in the settings, which may be wrong.
+            cut_window_s: from when to when the members of zone 0 and the others are partitioned.
+        """
+        self.count_source, self.configured_count = count_source, configured_count
+        balancers = scenario.balancers.number
+        self.member_net = Net(Shape(balancers, settled=True, told=configured_count), seed)
+        self._cut_window_s = cut_window_s
+        self._settings: dict[int, dict[str, Any]] = {}
+        self._applied_counts: dict[int, int] = {}
         super().__init__(scenario, "module", seed)
-        self.members.now = self.clock.now
-        self.members.start()
-        self.clock.call_later(STEP, self._together)
-
-    def make_policy(self, seat: EmulatedBalancer) -> Any:
-        given = self.scenario
-        self._wanted[seat.number] = settings = dict(
-            zone=seat.zone,
-            balancers=self.told,
+        self.member_net.now = self.clock.now
+        self.member_net.start()
+        self.clock.call_later(SYNC_INTERVAL, self._synchronise)
+
+    def make_policy(self, balancer: EmulatedBalancer) -> Any:
+        scenario = self.scenario
+        self._settings[balancer.number] = settings = dict(
+            zone=balancer.zone,
+            balancers=self.configured_count,
             workloads=self.workloads,
             per_work=False,
-            cold=given.cold_rule(),
-            max_hand_offs=given.balancers.max_hand_offs,
+            cold=scenario.cold_rule(),
+            max_hand_offs=scenario.balancers.max_hand_offs,
             cancel_allowed=True,
             max_retry_after=MAX_RETRY_AFTER,
             probes_allowed=True,
@@ -72,57 +92,69 @@
             crossing_price=0.0,
             probe_price=0.0,
         )
-        self._used.pop(seat.number, None)
+        self._applied_counts.pop(balancer.number, None)
         return Balancer(
-            seat,
-            Random(f"{self.seed}/{seat.number}/{seat.start_count}"),
+            balancer,
+            Random(f"{self.seed}/{balancer.number}/{balancer.start_count}"),
             now=self.clock.now,
             **settings,
         )
 
-    def _together(self) -> None:
-        now, net = self.clock.now, self.members
-        self.clock.call_later(STEP, self._together)
-        since = (now - self.clock.started_at) / SECOND
-        side = {seat.number for seat in self.balancers if seat.zone == 0}
+    def _synchronise(self) -> None:
+        now, net = self.clock.now, self.member_net
+        self.clock.call_later(SYNC_INTERVAL, self._synchronise)
+        elapsed_s = (now - self.clock.started_at) / SECOND
+        cut_members = {balancer.number for balancer in self.balancers if balancer.zone == 0}
         net.cut = (
             {
-                (a.number, b.number)
-                for a in self.balancers
-                for b in self.balancers
-                if (a.number in side) != (b.number in side)
+                (one.number, other.number)
+                for one in self.balancers
+                for other in self.balancers
+                if (one.number in cut_members) != (other.number in cut_members)
             }
-            if self._cut_s[0] <= since < self._cut_s[1]
+            if self._cut_window_s[0] <= elapsed_s < self._cut_window_s[1]
             else set()
         )
-        for seat, member in zip(self.balancers, net.seats):
-            if seat.alive and not member.alive:
+        for balancer, member in zip(self.balancers, net.seats):
+            if balancer.alive and not member.alive:
                 member.start()
-            elif member.alive and not seat.alive:
+            elif member.alive and not balancer.alive:
                 member.kill()
         net.run((now - net.now) / net.shape.period)
-        servers = {str(box.number) for box in self.servers.values() if box.up}
-        for seat, member in zip(self.balancers, net.seats):
-            if not seat.alive:
+        servers_up = {str(server.number) for server in self.servers.values() if server.up}
+        for balancer, member in zip(self.balancers, net.seats):
+            if not balancer.alive:
                 continue
-            member.hold(sum(way.connection is not None for way in seat.logins.values()))
-            for box in self.servers.values():
-                if box.up and (now // STEP + box.number + seat.number) % 10 == 0:
-                    member.core.server_reported(now, str(box.number), len(box.connections), servers)
-            uses = {
-                "settings": self.told,
+            member.hold(
+                sum(login_state.connection is not None for login_state in balancer.logins.values())
+            )
+            for server in self.servers.values():
+                if server.up and (now // SYNC_INTERVAL + server.number + balancer.number) % 10 == 0:
+                    member.core.server_reported(
+                        now, str(server.number), len(server.connections), servers_up
+                    )
+            count = {
+                "settings": self.configured_count,
                 "followed": member.uses,
                 "heard": 1 + len(member.core.live_members),
-            }[self.way]
-            if self._used.get(seat.number, self.told) != uses:
-                seat.policy.settings_changed(now, **self._wanted[seat.number] | {"balancers": uses})
-            self._used[seat.number] = uses
+            }[self.count_source]
+            if self._applied_counts.get(balancer.number, self.configured_count) != count:
+                balancer.policy.settings_changed(
+                    now, **self._settings[balancer.number] | {"balancers": count}
+                )
+            self._applied_counts[balancer.number] = count
 
 
 def run_hard_day(
-    seed: int, way: CountSource, told: int, balancers: int, seconds: float = 34.0
+    seed: int,
+    count_source: CountSource,
+    configured_count: int,
+    balancers: int,
+    seconds: float = 34.0,
 ) -> tuple[int, float]:
-    """Servers that were pushed over, and what clients got."""
-    fleet = CountedFleet(hard_day_scenario(balancers, seconds), seed, way, told, (10.0, 30.0))
+    """Returns the number of servers that failed while cold, and the service."""
+    fleet = CountedFleet(
+        hard_day_scenario(balancers, seconds), seed, count_source, configured_count, (10.0, 30.0)
+    )
     fleet.run()
     return fleet.rules.violation_counts[4], fleet.service
--- a/corklift/lab/experiment.py
+++ b/corklift/lab/experiment.py
@@ -1,7 +1,7 @@
-"""Experiments: runs over policies, seeds and varied keys, spread over cores; results as JSON lines; paired differences.
+"""Experiments: independent runs over policies, seeds and varied keys, in parallel processes.
 
-A run is one line. Lines that a file holds already are not run again, so an experiment that was interrupted goes on. Owns
-the order of runs and the arithmetic of comparison. Must never let one run know of another.
+Each run writes one JSON line of results. Runs whose line is in the file already are skipped, so an
+interrupted experiment continues. Policies are compared by paired differences.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from corklift.lab.fleet import Fleet
 from corklift.lab.scenario import Experiment, Scenario, parse_experiment, with_value
 
-# Student's t for 95 % of a mean of so many differences; beyond them the normal's.
+# Two-sided 95 % quantiles of Student's t by degrees of freedom; beyond the table, the normal's.
 T95 = (
     0.0,
     12.71,
@@ -42,7 +42,7 @@
 
 
 class Run(NamedTuple):
-    """One run's name among the experiment's."""
+    """Identifies one run of an experiment."""
 
     policy: str
     seed: int
@@ -50,6 +50,7 @@
 
     @property
     def key(self) -> str:
+        """The run's key in the file of results."""
         return json.dumps([self.policy, self.seed, dict(self.varied)], sort_keys=True)
 
 
@@ -67,12 +68,12 @@
 
 
 def execute_run(scenario: Scenario, run: Run, series: bool = True) -> dict[str, Any]:
-    """One run's result, plain values only."""
+    """Executes a run and returns its result as values that JSON can hold."""
     fleet = Fleet(scenario_for(scenario, run), run.policy, run.seed)
     fleet.run()
     latencies = sorted(fleet.latencies)
-    at = lambda part: (
-        round(latencies[min(len(latencies) - 1, int(part * len(latencies)))], 4)
+    percentile = lambda fraction: (
+        round(latencies[min(len(latencies) - 1, int(fraction * len(latencies)))], 4)
         if latencies
         else 0.0
     )  # noqa: E731
@@ -89,67 +90,71 @@
             fleet.on_time / fleet.sampled_connections if fleet.sampled_connections else 1.0,
             6,
         ),
-        "rules": {
-            str(rule): number for rule, number in sorted(fleet.rules.violation_counts.items())
-        },
+        "rules": {str(rule): count for rule, count in sorted(fleet.rules.violation_counts.items())},
         "first_breaks": {
-            str(rule): [found.at / 1e9, found.what, list(found.trace)]
-            for rule, found in fleet.rules.first_violations.items()
+            str(rule): [violation.at / 1e9, violation.what, list(violation.trace)]
+            for rule, violation in fleet.rules.first_violations.items()
         },
         "design": fleet.design_violations(),
         "tally": dict(sorted(fleet.tally.items())),
         "history": fleet.clock.history,
         "events": fleet.clock.event_count,
         "standing": fleet.open_connections,
-        "waited_s": {"p50": at(0.5), "p99": at(0.99), "max": at(1.0)},
+        "waited_s": {"p50": percentile(0.5), "p99": percentile(0.99), "max": percentile(1.0)},
         "series": fleet.samples if series else [],
     }
 
 
-def _play(content: bytes, key: str) -> dict[str, Any]:
+def _execute_encoded_run(content: bytes, key: str) -> dict[str, Any]:
     scenario = msgspec.json.decode(content, type=Scenario)
     policy, seed, changes = json.loads(key)
     return execute_run(scenario, Run(policy, seed, tuple(changes.items())))
 
 
 def git_commit() -> str:
-    """Of the checkout that runs, or nothing."""
-    told = subprocess.run(
+    """Returns the commit of this checkout, or an empty string outside of one."""
+    result = subprocess.run(
         ["git", "rev-parse", "--short", "HEAD"],
         capture_output=True,
         text=True,
         cwd=os.path.dirname(__file__),
         check=False,
     )
-    return told.stdout.strip()
+    return result.stdout.strip()
 
 
 def run_experiment(experiment: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
-    """Plays what the file does not hold yet, adding a line each; yields every result, old ones first."""
-    head = {"experiment": msgspec.to_builtins(experiment), "commit": git_commit()}
-    held: dict[str, dict[str, Any]] = {}
+    """Executes the runs whose results are not in the file, and appends them.
+
+    Yields all results, those from the file first.
+
+    Raises:
+        ValueError: the file holds the results of another experiment.
+    """
+    header = {"experiment": msgspec.to_builtins(experiment), "commit": git_commit()}
+    finished: dict[str, dict[str, Any]] = {}
     if os.path.exists(path):
         with open(path, encoding="utf-8") as file:
             lines = [line for line in file if line.endswith("\n")]
-        found = [json.loads(line) for line in lines]
-        if found and found[0].get("experiment") != head["experiment"]:
+        records = [json.loads(line) for line in lines]
+        if records and records[0].get("experiment") != header["experiment"]:
             raise ValueError(f"{path} holds another experiment's results")
-        held = {line["key"]: line for line in found[1:]}
-        if found:
-            head = found[0]
-    wanted = list(planned_runs(experiment))
+        finished = {line["key"]: line for line in records[1:]}
+        if records:
+            header = records[0]
+    planned = list(planned_runs(experiment))
     with open(path, "w", encoding="utf-8") as file:
-        # Written anew from what is whole: a line cut by an interruption is played again.
-        file.write(json.dumps(head) + "\n")
-        for run in wanted:
-            if run.key in held:
-                file.write(json.dumps(held[run.key]) + "\n")
-                yield held[run.key]
+        # Only complete lines are kept: a run whose line was cut by an interruption is repeated.
+        file.write(json.dumps(header) + "\n")
+        for run in planned:
+            if run.key in finished:
+                file.write(json.dumps(finished[run.key]) + "\n")
+                yield finished[run.key]
         file.flush()
         content = msgspec.json.encode(experiment.scenario)
-        left = [run.key for run in wanted if run.key not in held]
+        remaining = [run.key for run in planned if run.key not in finished]
         with ProcessPoolExecutor(processes) as pool:
-            for result in pool.map(_play, [content] * len(left), left):
+            for result in pool.map(_execute_encoded_run, [content] * len(remaining), remaining):
                 file.write(json.dumps(result) + "\n")
                 file.flush()
                 yield result
@@ -157,8 +162,8 @@
 
 def read_results(path: str) -> tuple[Experiment, list[dict[str, Any]]]:
     with open(path, encoding="utf-8") as file:
-        head, *lines = [json.loads(line) for line in file if line.endswith("\n")]
-    return msgspec.convert(head["experiment"], Experiment), lines
+        header, *lines = [json.loads(line) for line in file if line.endswith("\n")]
+    return msgspec.convert(header["experiment"], Experiment), lines
 
 
 def load_experiment(path: str) -> Experiment:
@@ -167,39 +172,42 @@
 
 
 class Difference(NamedTuple):
-    """Of two policies over the same seeds and keys."""
+    """The mean difference of two policies over the same seeds and varied keys."""
 
     policy: str
     against: str
     mean: float
-    low: float  # of the 95 % interval of the mean
+    # Bounds of the 95 % confidence interval of the mean.
+    low: float
     high: float
     pairs: int
 
 
 def confidence_interval(values: list[float]) -> tuple[float, float, float]:
-    """Mean, and the bounds of its 95 % interval."""
-    number = len(values)
-    mean = sum(values) / number
-    if number < 2:
+    """Returns the mean and the bounds of its 95 % confidence interval."""
+    count = len(values)
+    mean = sum(values) / count
+    if count < 2:
         return mean, mean, mean
-    spread = sqrt(sum((value - mean) ** 2 for value in values) / (number - 1))
-    reach = (T95[number - 1] if number <= len(T95) else 1.96) * spread / sqrt(number)
-    return mean, mean - reach, mean + reach
+    deviation = sqrt(sum((value - mean) ** 2 for value in values) / (count - 1))
+    margin = (T95[count - 1] if count <= len(T95) else 1.96) * deviation / sqrt(count)
+    return mean, mean - margin, mean + margin
 
 
 def paired_differences(
     results: Iterable[dict[str, Any]], against: str, figure: str = "service"
 ) -> list[Difference]:
-    """Every policy against one, pair by pair: the same seed and the same varied keys."""
-    table: dict[str, dict[str, float]] = {}
+    """Compares each policy with `against`, in pairs of runs with equal seed and varied keys."""
+    values_by_policy: dict[str, dict[str, float]] = {}
     for result in results:
         pair = json.dumps([result["seed"], result["varied"]], sort_keys=True)
-        table.setdefault(result["policy"], {})[pair] = result[figure]
-    base = table.get(against, {})
-    found = []
-    for policy, values in table.items():
-        apart = [value - base[pair] for pair, value in values.items() if pair in base]
-        if policy != against and apart:
-            found.append(Difference(policy, against, *confidence_interval(apart), len(apart)))
-    return found
+        values_by_policy.setdefault(result["policy"], {})[pair] = result[figure]
+    reference = values_by_policy.get(against, {})
+    comparisons = []
+    for policy, values in values_by_policy.items():
+        deltas = [value - reference[pair] for pair, value in values.items() if pair in reference]
+        if policy != against and deltas:
+            comparisons.append(
+                Difference(policy, against, *confidence_interval(deltas), len(deltas))
+            )
+    return comparisons
--- a/corklift/lab/report.py
+++ b/corklift/lab/report.py
@@ -1,7 +1,4 @@
-"""One HTML page of an experiment's results, with plots, that a person reads in a minute.
-
-Owns the page. Must never run anything.
-"""
+"""Renders the results of an experiment as one HTML page with tables and plots."""
 
 from __future__ import annotations
 
@@ -19,55 +16,63 @@
 from corklift.lab.scenario import Experiment  # noqa: E402
 
 STYLE = (
-    "body{font:15px sans-serif;max-width:960px;margin:2em auto;color:#222}table{border-collapse:collapse}"
-    "td,th{padding:3px 12px;border-bottom:1px solid #ddd;text-align:right}td:first-child,th:first-child{text-align:left}"
+    "body{font:15px sans-serif;max-width:960px;margin:2em auto;color:#222}"
+    "table{border-collapse:collapse}"
+    "td,th{padding:3px 12px;border-bottom:1px solid #ddd;text-align:right}"
+    "td:first-child,th:first-child{text-align:left}"
     "pre{background:#f5f5f5;padding:8px;overflow:auto}img{max-width:100%}.bad{color:#b00}"
 )
 
 
 def embed_figure(figure: Any) -> str:
-    out = io.BytesIO()
-    figure.savefig(out, format="png", dpi=90, bbox_inches="tight")
+    """Returns a figure as an HTML image with its data, and closes it."""
+    buffer = io.BytesIO()
+    figure.savefig(buffer, format="png", dpi=90, bbox_inches="tight")
     pyplot.close(figure)
-    return f'<img src="data:image/png;base64,{base64.b64encode(out.getvalue()).decode()}">'
+    return f'<img src="data:image/png;base64,{base64.b64encode(buffer.getvalue()).decode()}">'
 
 
-def _plot_service(results: list[dict[str, Any]], policies: list[str], troubles: list[Any]) -> str:
+def _plot_service(
+    results: list[dict[str, Any]], policies: list[str], disruptions: list[Any]
+) -> str:
     figure, axis = pyplot.subplots(figsize=(10, 3))
     for policy in policies:
-        mine = [
+        series_of_runs = [
             result["series"]
             for result in results
             if result["policy"] == policy and result["series"]
         ]
-        if mine:
-            length = min(map(len, mine))
+        if series_of_runs:
+            length = min(map(len, series_of_runs))
             axis.plot(
-                [mine[0][at][0] for at in range(length)],
-                [sum(series[at][2] for series in mine) / len(mine) for at in range(length)],
+                [series_of_runs[0][index][0] for index in range(length)],
+                [
+                    sum(series[index][2] for series in series_of_runs) / len(series_of_runs)
+                    for index in range(length)
+                ],
                 label=policy,
                 linewidth=1,
             )
-    for trouble in troubles:
+    for trouble in disruptions:
         axis.axvline(trouble.at_s, color="#999", linestyle=":", linewidth=1)
         axis.text(trouble.at_s, 0.02, " " + trouble.kind, rotation=90, fontsize=7, color="#666")
     axis.set_xlabel("s")
-    axis.set_ylabel("answers in time")
+    axis.set_ylabel("answer quality")
     axis.set_ylim(0, 1.05)
     axis.legend(fontsize=8)
     return embed_figure(figure)
 
 
 def _plot_utilisation(results: list[dict[str, Any]], policy: str) -> str:
-    found = next(
+    run = next(
         (result for result in results if result["policy"] == policy and result["series"]), None
     )
-    if found is None:
+    if run is None:
         return ""
     figure, axis = pyplot.subplots(figsize=(10, 3))
-    series = found["series"]
+    series = run["series"]
     image = axis.imshow(
-        list(zip(*(pressures for _, pressures, _ in series))),
+        list(zip(*(utilisations for _, utilisations, _ in series))),
         aspect="auto",
         vmin=0,
         vmax=1.2,
@@ -76,30 +81,33 @@
     )
     axis.set_xlabel("s")
     axis.set_ylabel("server")
-    axis.set_title(f"load over what it can do: {policy}, seed {found['seed']}", fontsize=9)
+    axis.set_title(f"utilisation: {policy}, seed {run['seed']}", fontsize=9)
     figure.colorbar(image)
     return embed_figure(figure)
 
 
 def render_page(experiment: Experiment, results: list[dict[str, Any]], commit: str) -> str:
+    """Returns the page for an experiment and the results of its runs."""
     policies = list(dict.fromkeys(result["policy"] for result in results))
     rows = []
     for policy in policies:
-        mine = [result for result in results if result["policy"] == policy]
-        mean, low, high = confidence_interval([result["service"] for result in mine])
-        broken = sum(sum(result["rules"].values()) for result in mine)
-        waited = max(result["waited_s"]["p99"] for result in mine)
-        moved = sum(result["tally"].get("moved", 0) for result in mine)
+        runs = [result for result in results if result["policy"] == policy]
+        mean, low, high = confidence_interval([result["service"] for result in runs])
+        violation_count = sum(sum(result["rules"].values()) for result in runs)
+        waiting_time = max(result["waited_s"]["p99"] for result in runs)
+        moves = sum(result["tally"].get("moved", 0) for result in runs)
         rows.append(
             f"<tr><td>{html.escape(policy)}</td><td>{mean:.4f}</td><td>{low:.4f} to {high:.4f}</td>"
-            f"<td class={'bad' if broken else 'good'}>{broken}</td><td>{waited:.2f}</td><td>{moved}</td></tr>"
+            f"<td class={'bad' if violation_count else 'good'}>{violation_count}</td>"
+            f"<td>{waiting_time:.2f}</td><td>{moves}</td></tr>"
         )
-    apart = "".join(
-        f"<li>{html.escape(found.policy)} against {html.escape(found.against)}: {found.mean:+.4f} "
-        f"({found.low:+.4f} to {found.high:+.4f}, {found.pairs} pairs)</li>"
-        for found in paired_differences(results, policies[0])
+    differences = "".join(
+        f"<li>{html.escape(difference.policy)} against {html.escape(difference.against)}: "
+        f"{difference.mean:+.4f} "
+        f"({difference.low:+.4f} to {difference.high:+.4f}, {difference.pairs} pairs)</li>"
+        for difference in paired_differences(results, policies[0])
     )
-    breaks = "".join(
+    violations = "".join(
         f"<h3>{html.escape(result['policy'])}, seed {result['seed']}, rule {rule}</h3><pre>"
         + html.escape("\n".join(trace[-12:]))
         + "</pre>"
@@ -107,13 +115,15 @@
         for rule, (_, _, trace) in result["first_breaks"].items()
     )[:20_000]
     return (
-        f"<!doctype html><meta charset=utf-8><title>{html.escape(experiment.scenario.name)}</title><style>{STYLE}</style>"
-        f"<h1>{html.escape(experiment.scenario.name)}</h1><p>{len(results)} runs, seeds {experiment.seeds}, commit {commit}. All simulated."
-        "</p><table><tr><th>policy<th>service<th>95 %<th>rules broken<th>waited p99, s<th>moved</tr>"
+        "<!doctype html><meta charset=utf-8>"
+        f"<title>{html.escape(experiment.scenario.name)}</title><style>{STYLE}</style>"
+        f"<h1>{html.escape(experiment.scenario.name)}</h1>"
+        f"<p>{len(results)} runs, seeds {experiment.seeds}, commit {commit}. All simulated.</p>"
+        "<table><tr><th>policy<th>service<th>95 %<th>rule violations<th>wait p99, s<th>moves</tr>"
         + "".join(rows)
-        + f"</table><h2>Differences, pair by pair</h2><ul>{apart}</ul><h2>Service over time</h2>"
+        + f"</table><h2>Paired differences</h2><ul>{differences}</ul><h2>Service over time</h2>"
         + _plot_service(results, policies, experiment.scenario.troubles)
-        + "<h2>Load of each server</h2>"
+        + "<h2>Utilisation of each server</h2>"
         + "".join(_plot_utilisation(results, policy) for policy in policies[:3])
-        + (f"<h2>First breaks</h2>{breaks}" if breaks else "")
+        + (f"<h2>First violations</h2>{violations}" if violations else "")
     )
