--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -129,27 +129,27 @@
         }
     figures["rule_breaks"], figures["service"] = rules, service
     shapes = {
-        "repeatable": explore.Small(),
-        "once-only": explore.Small(effect="once-only"),
-        "tagged": explore.Small(effect="tagged"),
-        "two balancers": explore.Small(balancers=2),
-        "a cold server of three": explore.Small(servers=3, cold=True, part=0.6),
+        "repeatable": explore.PlacementShape(),
+        "once-only": explore.PlacementShape(effect="once-only"),
+        "tagged": explore.PlacementShape(effect="tagged"),
+        "two balancers": explore.PlacementShape(balancers=2),
+        "a cold server of three": explore.PlacementShape(servers=3, cold=True, part=0.6),
     }
     states, depths, examples = {}, {}, []
     for name, shape in shapes.items():
-        make = lambda shape=shape: explore.Placing(shape)  # noqa: E731
+        make = lambda shape=shape: explore.PlacementWorld(shape)  # noqa: E731
         found_ = explore.explore(make, 6 if given.quick else 9, 1_500 if given.quick else 40_000)
-        walked = explore.wander(make, 60 if given.quick else 5_000, 60, given.seed)
+        walked = explore.random_walks(make, 60 if given.quick else 5_000, 60, given.seed)
         states[name], depths[name] = found_.states, found_.depth
         examples += [one.what for one in (found_, walked) if one.what]
     for name, shape_ in {
-        "views": explore.Followed(),
-        "views, incremental": explore.Followed(True),
+        "views": explore.SubscriptionShape(),
+        "views, incremental": explore.SubscriptionShape(True),
     }.items():
-        make_ = lambda shape_=shape_: explore.Following(shape_)  # noqa: E731
+        make_ = lambda shape_=shape_: explore.SubscriptionWorld(shape_)  # noqa: E731
         found_ = explore.explore(make_, 7 if given.quick else 12, 1_500 if given.quick else 40_000)
-        walked = explore.wander(
-            lambda shape_=shape_: explore.Following(
+        walked = explore.random_walks(
+            lambda shape_=shape_: explore.SubscriptionWorld(
                 shape_._replace(changes=8, refusals=2, losses=3)
             ),
             60 if given.quick else 5_000,
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -425,32 +425,32 @@
     out: str | None,
 ) -> None:
     from corklift.lab import explore as lab_explore
-    from corklift.lab.explore_members import Fleet
-    from corklift.lab.explore_recovery import Returns
+    from corklift.lab.explore_members import MembershipShape
+    from corklift.lab.explore_recovery import RecoveryShape
 
     shape = (
-        lab_explore.Small(balancers=balancers, servers=servers, effect=effect)
+        lab_explore.PlacementShape(balancers=balancers, servers=servers, effect=effect)
         if world == "placing"
-        else Fleet()
+        else MembershipShape()
         if world == "members"
-        else Returns()
+        else RecoveryShape()
         if world == "recovery"
-        else lab_explore.Followed(incremental)
+        else lab_explore.SubscriptionShape(incremental)
     )
-    make = lambda: lab_explore.world(world, shape._asdict())  # noqa: E731
+    make = lambda: lab_explore.make_world(world, shape._asdict())  # noqa: E731
     found = lab_explore.explore(make, depth, states)
     click.echo(
         f"{found.states} states to depth {found.depth}, {found.steps} events played"
         + ("" if found.complete else ", not all orders explored")
     )
     if not found.what and walks:
-        found = lab_explore.wander(make, walks, 60, 1)
+        found = lab_explore.random_walks(make, walks, 60, 1)
         click.echo(f"{walks} walks, {found.steps} events played")
     if found.what:
         click.echo(found.what + "\n" + "\n".join(found.trace))
         if out:
             with open(out, "w", encoding="utf-8") as file:
-                file.write(lab_explore.written(world, shape, found))
+                file.write(lab_explore.counterexample_json(world, shape, found))
         sys.exit(1)
 
 
@@ -463,17 +463,17 @@
 
     with open(file, encoding="utf-8") as content:
         counterexample = json.load(content)
-    world = lab_explore.world(counterexample["world"], counterexample["shape"])
+    world = lab_explore.make_world(counterexample["world"], counterexample["shape"])
     for label in counterexample["path"]:
         if label not in world.enabled():
             click.echo(f"skipped, not possible here: {label}")
             continue
         world.play(label)
-        if world.broken():
+        if world.violation():
             break
     click.echo("\n".join(world.trace()))
-    click.echo(world.broken() or "nothing is broken")
-    sys.exit(1 if world.broken() else 0)
+    click.echo(world.violation() or "nothing is broken")
+    sys.exit(1 if world.violation() else 0)
 
 
 @lab.command(
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -39,12 +39,12 @@
 
     def enabled(self) -> list[str]: ...
     def play(self, label: str) -> None: ...
-    def broken(self) -> str | None: ...
+    def violation(self) -> str | None: ...
     def state(self) -> object: ...
     def trace(self) -> list[str]: ...
 
 
-class Fixed(Random):
+class FixedRandom(Random):
     """Chance that is no chance: each draw falls at the same part of what there is."""
 
     def __init__(self, part: float) -> None:
@@ -60,7 +60,7 @@
         )  # the library's own asks again while a number is too large: here for ever
 
 
-class Small(NamedTuple):
+class PlacementShape(NamedTuple):
     """A small world's shape."""
 
     balancers: int = 1
@@ -78,7 +78,7 @@
 class _Seat:
     """The host of one balancer of the small world."""
 
-    def __init__(self, world: Placing, number: int) -> None:
+    def __init__(self, world: PlacementWorld, number: int) -> None:
         self.world, self.number = world, number
         self.timers: list[tuple[int, int]] = []
         self.probes: list[int] = []
@@ -133,10 +133,10 @@
         pass
 
 
-class Placing:
+class PlacementWorld:
     """The decision module in a small world."""
 
-    def __init__(self, shape: Small, spoil: Callable[[Any, Any], Any] | None = None) -> None:
+    def __init__(self, shape: PlacementShape, spoil: Callable[[Any, Any], Any] | None = None) -> None:
         self.shape, self._spoil = shape, spoil
         self.now = 1_000 * SECOND
         self.rules = RuleChecker(self.now)
@@ -166,7 +166,7 @@
     def _start(self, seat: _Seat) -> None:
         policy = Balancer(
             seat,
-            Fixed(self.shape.part),
+            FixedRandom(self.shape.part),
             now=self.now,
             zone=0,
             balancers=self.shape.balancers,
@@ -347,7 +347,7 @@
             self.rules.login_done(seat.number, login)
             seat.policy.hand_off_ended(self.now, login, True, server, outcome, 0, 0, None)
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         for rule, found in sorted(self.rules.first_violations.items()):
             return f"rule {rule}: {found.what}"
         for balancer, login in sorted(self.waiting):
@@ -420,7 +420,7 @@
             out.append("}")
         elif isinstance(thing, (set, frozenset)):
             out.append(repr(sorted(map(repr, thing))))
-        elif isinstance(thing, (Random, _Seat, Following, type)):
+        elif isinstance(thing, (Random, _Seat, SubscriptionWorld, type)):
             out.append(type(thing).__name__)
         elif id(thing) in met:
             out.append(f"#{met[id(thing)]}")
@@ -444,7 +444,7 @@
     return xxh3_128_hexdigest(" ".join(out).encode())
 
 
-class Found(NamedTuple):
+class ExplorationResult(NamedTuple):
     states: int
     depth: int
     steps: int  # events played, those played again to come back to a state included
@@ -454,54 +454,54 @@
     trace: tuple[str, ...]
 
 
-def _played(make: Callable[[], World], path: Iterable[str]) -> World:
+def _replay(make: Callable[[], World], path: Iterable[str]) -> World:
     world = make()
     for label in path:
         world.play(label)
     return world
 
 
-def breaks(make: Callable[[], World], path: Iterable[str]) -> str | None:
+def first_violation(make: Callable[[], World], path: Iterable[str]) -> str | None:
     """What breaks on the way; labels that can't happen then are passed over."""
     world = make()
     for label in path:
         if label in world.enabled():
             world.play(label)
-            found = world.broken()
+            found = world.violation()
             if found:
                 return found
     return None
 
 
-def cut_down(make: Callable[[], World], path: tuple[str, ...]) -> tuple[str, ...]:
+def minimise(make: Callable[[], World], path: tuple[str, ...]) -> tuple[str, ...]:
     """The path without the steps that the break does not need."""
-    kind = (breaks(make, path) or "").partition(":")[0]
+    kind = (first_violation(make, path) or "").partition(":")[0]
     at = 0
     while at < len(path):
         less = path[:at] + path[at + 1 :]
-        if (breaks(make, less) or "").partition(":")[0] == kind:
+        if (first_violation(make, less) or "").partition(":")[0] == kind:
             path = less
         else:
             at += 1
     return path
 
 
-def _counterexample(
+def _minimised_result(
     make: Callable[[], World], path: tuple[str, ...], states: int, depth: int, steps: int
-) -> Found:
-    path = cut_down(make, path)
+) -> ExplorationResult:
+    path = minimise(make, path)
     world = make()
     what = None
     for label in path:
         if label in world.enabled():
             world.play(label)
-            what = world.broken()
+            what = world.violation()
             if what:
                 break
-    return Found(states, depth, steps, False, path, what or "", tuple(world.trace()))
+    return ExplorationResult(states, depth, steps, False, path, what or "", tuple(world.trace()))
 
 
-def explore(make: Callable[[], World], depth: int, most: int = 200_000) -> Found:
+def explore(make: Callable[[], World], depth: int, most: int = 200_000) -> ExplorationResult:
     """Every order of events to the depth, in breadth; stops at the first break, or at so many states."""
     seen = {_digest(make())}
     edge: list[tuple[str, ...]] = [()]
@@ -509,24 +509,24 @@
     for level in range(1, depth + 1):
         further: list[tuple[str, ...]] = []
         for path in edge:
-            for label in _played(make, path).enabled():
-                world = _played(make, (*path, label))
+            for label in _replay(make, path).enabled():
+                world = _replay(make, (*path, label))
                 steps += len(path) + 1
-                if world.broken():
-                    return _counterexample(make, (*path, label), len(seen), level, steps)
+                if world.violation():
+                    return _minimised_result(make, (*path, label), len(seen), level, steps)
                 digest = _digest(world)
                 if digest not in seen:
                     seen.add(digest)
                     further.append((*path, label))
                     if len(seen) >= most:
-                        return Found(len(seen), level, steps, False, (), "", ())
+                        return ExplorationResult(len(seen), level, steps, False, (), "", ())
         edge = further
         if not edge:
-            return Found(len(seen), level, steps, True, (), "", ())
-    return Found(len(seen), depth, steps, True, (), "", ())
+            return ExplorationResult(len(seen), level, steps, True, (), "", ())
+    return ExplorationResult(len(seen), depth, steps, True, (), "", ())
 
 
-def wander(make: Callable[[], World], walks: int, depth: int, seed: int) -> Found:
+def random_walks(make: Callable[[], World], walks: int, depth: int, seed: int) -> ExplorationResult:
     """Random walks, far deeper than every order can be looked at."""
     rng, steps = Random(seed), 0
     for _ in range(walks):
@@ -539,16 +539,16 @@
             path.append(label)
             world.play(label)
             steps += 1
-            if world.broken():
-                return _counterexample(make, tuple(path), 0, len(path), steps)
-    return Found(0, depth, steps, False, (), "", ())
+            if world.violation():
+                return _minimised_result(make, tuple(path), 0, len(path), steps)
+    return ExplorationResult(0, depth, steps, False, (), "", ())
 
 
 def _digest(world: World) -> str:
     return xxh3_128_hexdigest(repr(world.state()).encode())
 
 
-def written(kind: str, shape: NamedTuple, found: Found) -> str:
+def counterexample_json(kind: str, shape: NamedTuple, found: ExplorationResult) -> str:
     """A counterexample as a file that `replay` plays."""
     return json.dumps(
         {"world": kind, "shape": shape._asdict(), "path": found.counterexample, "what": found.what},
@@ -556,7 +556,7 @@
     )
 
 
-class Followed(NamedTuple):
+class SubscriptionShape(NamedTuple):
     """A small world of views: one control service, one proxy."""
 
     incremental: bool = False
@@ -565,12 +565,12 @@
     losses: int = 1
 
 
-class Following:
+class SubscriptionWorld:
     """The control service's views with one proxy that reads, accepts, refuses and breaks off whenever it likes."""
 
     CLUSTERS = ("a", "b")
 
-    def __init__(self, shape: Followed) -> None:
+    def __init__(self, shape: SubscriptionShape) -> None:
         from corklift.control.subscriptions import (
             Resource,
             ResourceKind,
@@ -722,7 +722,7 @@
                 problem,
             )
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         if self.wrong:
             return self.wrong
         stream = self.views.streams[self.number]
@@ -756,14 +756,14 @@
         return self.steps
 
 
-def world(kind: str, shape: dict[str, Any]) -> World:
+def make_world(kind: str, shape: dict[str, Any]) -> World:
     """A small world by its name and shape, as a counterexample's file holds them."""
     if kind == "members":
         from corklift.lab import explore_members
 
-        return explore_members.Small(explore_members.Fleet(**shape))
+        return explore_members.MembershipWorld(explore_members.MembershipShape(**shape))
     if kind == "recovery":
         from corklift.lab import explore_recovery
 
-        return explore_recovery.Small(explore_recovery.Returns(**shape))
-    return Placing(Small(**shape)) if kind == "placing" else Following(Followed(**shape))
+        return explore_recovery.RecoveryWorld(explore_recovery.RecoveryShape(**shape))
+    return PlacementWorld(PlacementShape(**shape)) if kind == "placing" else SubscriptionWorld(SubscriptionShape(**shape))
--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -16,7 +16,7 @@
 EPOCH = 1_000 * PERIOD
 
 
-class Fleet(NamedTuple):
+class MembershipShape(NamedTuple):
     """Its shape: how often each may happen."""
 
     members: int = 3
@@ -29,7 +29,7 @@
 
 
 class _Host:
-    def __init__(self, world: Small, number: int) -> None:
+    def __init__(self, world: MembershipWorld, number: int) -> None:
         self.world, self.number = world, number
         self.alive, self.left, self.life, self.used = False, False, 0, 0
         self.core: Any = None
@@ -88,10 +88,10 @@
         pass
 
 
-class Small:
+class MembershipWorld:
     """Three cores and what flies between them."""
 
-    def __init__(self, shape: Fleet, make: Callable[..., Any] = Membership) -> None:
+    def __init__(self, shape: MembershipShape, make: Callable[..., Any] = Membership) -> None:
         self.shape, self.make, self.now = shape, make, EPOCH
         self.flying: list[tuple[str, int, int, int, int, Message]] = []
         self.wrong: str | None = None
@@ -216,7 +216,7 @@
             ):
                 self.wrong = f"m{seat.number} counts {seat.used} where {placing - coming} place"
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         return self.wrong
 
     def state(self) -> object:
--- a/corklift/lab/explore_recovery.py
+++ b/corklift/lab/explore_recovery.py
@@ -25,7 +25,7 @@
 OUT = "s1"
 
 
-class Returns(NamedTuple):
+class RecoveryShape(NamedTuple):
     """Its shape: how often each may happen."""
 
     balancers: int = 3
@@ -37,7 +37,7 @@
 
 
 class _Seat(NullHost):
-    def __init__(self, world: Small, number: int) -> None:
+    def __init__(self, world: RecoveryWorld, number: int) -> None:
         self.world, self.number, self.name = world, number, f"b{number}"
         self.alive, self.life, self.boot = True, 1, 0
         self.disk: list[Fact] = []
@@ -76,10 +76,10 @@
         self.out = self.out - put_back | out
 
 
-class Small:
+class RecoveryWorld:
     """Three cores, their disks, and what flies between them."""
 
-    def __init__(self, shape: Returns, make: Any = Recovery) -> None:
+    def __init__(self, shape: RecoveryShape, make: Any = Recovery) -> None:
         self.shape, self.make, self.now = shape, make, EPOCH
         self.flying: list[tuple[str, int, int, int, int, Any]] = []
         self.steps: list[str] = []
@@ -278,7 +278,7 @@
             if seat.core._requests or seat.core._query_deadline > now + 10 * PERIOD:
                 self.wrong = f"{seat.name} waits, and nothing ends it"
 
-    def broken(self) -> str | None:
+    def violation(self) -> str | None:
         return self.wrong
 
     def state(self) -> object:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -159,10 +159,10 @@
 
 def test_exploration_meets_every_order_and_finds_a_fault_that_needs_five_events():
     clean = explore.explore(
-        lambda: explore.Placing(explore.Small(restarts=0, losses=0, logins=1)), 5, 3000
+        lambda: explore.PlacementWorld(explore.PlacementShape(restarts=0, losses=0, logins=1)), 5, 3000
     )
     assert clean.complete and not clean.what and clean.states > 50
-    make = lambda: explore.Placing(explore.Small(restarts=0, losses=0, logins=1), _Doubled)  # noqa: E731
+    make = lambda: explore.PlacementWorld(explore.PlacementShape(restarts=0, losses=0, logins=1), _Doubled)  # noqa: E731
     found = explore.explore(make, 7, 20_000)
     assert found.what.startswith("rule 1")
     assert [label.split()[0] for label in found.counterexample] == [
@@ -174,25 +174,25 @@
     ]
     for at in range(len(found.counterexample)):  # none of them can be left out
         assert (
-            explore.breaks(make, found.counterexample[:at] + found.counterexample[at + 1 :]) is None
+            explore.first_violation(make, found.counterexample[:at] + found.counterexample[at + 1 :]) is None
         )
-    walked = explore.wander(make, 500, 60, 1)
+    walked = explore.random_walks(make, 500, 60, 1)
     assert walked.what.startswith("rule 1") and len(walked.counterexample) == 5
 
 
 @pytest.mark.parametrize(
     "shape",
     [
-        explore.Small(),
-        explore.Small(effect="once-only"),
-        explore.Small(effect="tagged"),
-        explore.Small(balancers=2),
-        explore.Small(servers=3, cold=True, part=0.9),
+        explore.PlacementShape(),
+        explore.PlacementShape(effect="once-only"),
+        explore.PlacementShape(effect="tagged"),
+        explore.PlacementShape(balancers=2),
+        explore.PlacementShape(servers=3, cold=True, part=0.9),
     ],
 )
 def test_the_module_keeps_the_rules_in_small_worlds(shape):
-    found = explore.explore(lambda: explore.Placing(shape), 4, 800)
-    walked = explore.wander(lambda: explore.Placing(shape), 60, 60, 7)
+    found = explore.explore(lambda: explore.PlacementWorld(shape), 4, 800)
+    walked = explore.random_walks(lambda: explore.PlacementWorld(shape), 60, 60, 7)
     assert not found.what and not walked.what and found.states >= 100
 
 
@@ -200,8 +200,8 @@
 def test_views_keep_their_promises_in_a_small_world_and_a_drain_that_waits_is_found(
     incremental, monkeypatch
 ):
-    make = lambda: explore.Following(explore.Followed(incremental))  # noqa: E731
-    assert not explore.explore(make, 6, 600).what and not explore.wander(make, 200, 60, 1).what
+    make = lambda: explore.SubscriptionWorld(explore.SubscriptionShape(incremental))  # noqa: E731
+    assert not explore.explore(make, 6, 600).what and not explore.random_walks(make, 200, 60, 1).what
     from corklift.control.subscriptions import SubscriptionManager
 
     changed = SubscriptionManager.update_snapshot
@@ -217,7 +217,7 @@
     )
     monkeypatch.setattr(SubscriptionManager, "update_snapshot", changed)
     monkeypatch.setattr(SubscriptionManager, "stream_writable", lambda self, now, number: None)
-    assert explore.wander(make, 300, 60, 1).what.startswith("views: ")
+    assert explore.random_walks(make, 300, 60, 1).what.startswith("views: ")
 
 
 def test_the_load_tool_measures_a_real_balancer_and_its_limit():
@@ -238,7 +238,7 @@
 
 
 def test_equal_states_have_equal_digests_whatever_the_time():
-    one, other = (explore.Placing(explore.Small()) for _ in range(2))
+    one, other = (explore.PlacementWorld(explore.PlacementShape()) for _ in range(2))
     for world, order in ((one, (1, 2)), (other, (2, 1))):
         for server in order:
             world.status[server] = Status.DRAINING
@@ -338,9 +338,9 @@
     text = Path(page).read_text()
     assert text.count("<img src=") >= 3 and "All simulated" in text
     assert "states to depth 3" in call("explore", "--depth", "3", "--walks", "5")
-    make = lambda: explore.Placing(explore.Small(), _Doubled)  # noqa: E731
-    found = explore.wander(make, 500, 60, 1)
-    Path(trace).write_text(explore.written("placing", explore.Small(), found))
+    make = lambda: explore.PlacementWorld(explore.PlacementShape(), _Doubled)  # noqa: E731
+    found = explore.random_walks(make, 500, 60, 1)
+    Path(trace).write_text(explore.counterexample_json("placing", explore.PlacementShape(), found))
     assert "nothing is broken" in call("replay", trace)  # the fault is not in the module
     Path(file).write_text("[scenario]\nseconds = 0.0\n")
     assert "scenario.seconds" in call("run", file, code=1)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from corklift.lab.explore import explore, wander
-from corklift.lab.explore_members import Fleet, Small
+from corklift.lab.explore import explore, random_walks
+from corklift.lab.explore_members import MembershipShape, MembershipWorld
 from corklift.lab.peer_days import Day, play
 from corklift.lab.peers import Net, Shape
 from corklift.membership.core import Membership, MembershipConfig, updated_record
@@ -196,13 +196,13 @@
 
 
 def test_exploration_of_small_fleets_finds_no_violation():
-    found = explore(lambda: Small(Fleet()), 4, 2_500)
+    found = explore(lambda: MembershipWorld(MembershipShape()), 4, 2_500)
     assert not found.what, "\n".join([found.what, *found.trace])
-    found = wander(lambda: Small(Fleet()), 80, 60, 1)
+    found = random_walks(lambda: MembershipWorld(MembershipShape()), 80, 60, 1)
     assert not found.what, "\n".join([found.what, *found.trace])
-    found = wander(lambda: Small(Fleet(settled=False)), 60, 60, 2)
+    found = random_walks(lambda: MembershipWorld(MembershipShape(settled=False)), 60, 60, 2)
     assert not found.what, "\n".join([found.what, *found.trace])
-    assert wander(lambda: Small(Fleet(), CountsOnlyLiveMembers), 300, 60, 1).what
+    assert random_walks(lambda: MembershipWorld(MembershipShape(), CountsOnlyLiveMembers), 300, 60, 1).what
 
 
 def test_configuration_errors_name_the_key(tmp_path):
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -8,7 +8,7 @@
 
 from corklift.interface import ColdRule
 from corklift.lab import explore as lab_explore
-from corklift.lab.explore_recovery import Returns
+from corklift.lab.explore_recovery import RecoveryShape
 from corklift.lab.power import Day, play
 from corklift.recovery import core as recovery_core
 from corklift.recovery import facts as recovery_facts
@@ -564,10 +564,10 @@
 
 
 def test_exploration_of_a_small_fleet_finds_no_violation():
-    shape = Returns()
-    found = lab_explore.explore(lambda: lab_explore.world("recovery", shape._asdict()), 5, 3000)
+    shape = RecoveryShape()
+    found = lab_explore.explore(lambda: lab_explore.make_world("recovery", shape._asdict()), 5, 3000)
     assert not found.what, found.trace
-    found = lab_explore.wander(lambda: lab_explore.world("recovery", shape._asdict()), 300, 60, 1)
+    found = lab_explore.random_walks(lambda: lab_explore.make_world("recovery", shape._asdict()), 300, 60, 1)
     assert not found.what, found.trace
 
 
@@ -615,8 +615,8 @@
     for seed in range(1, 40):
         if mutant in (_skip_queries, _acknowledge_before_write):
             violations += bool(
-                lab_explore.wander(
-                    lambda: lab_explore.world("recovery", Returns()._asdict()), 100, 50, seed
+                lab_explore.random_walks(
+                    lambda: lab_explore.make_world("recovery", RecoveryShape()._asdict()), 100, 50, seed
                 ).what
             )
         else:
