--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -19,8 +19,8 @@
 
 from benchmarks.report import arguments, tell
 from corklift.lab.counted import CountSource, run_hard_day
-from corklift.lab.peer_days import Day, Found
-from corklift.lab.peers import Net, Shape
+from corklift.lab.peer_days import HistoryResult, MembershipHistory
+from corklift.lab.peers import EmulatedNetwork, NetworkShape
 from corklift.membership.core import MembershipConfig
 from corklift.rig.fleet import Rig
 from corklift.rig.fleet import Shape as RigShape
@@ -29,28 +29,28 @@
 CUTS = ("partition", "one way", "chain", "kill", "stop")
 
 
-def history(seed: int) -> Found:
-    return Day(seed).play()
+def history(seed: int) -> HistoryResult:
+    return MembershipHistory(seed).run()
 
 
-def cut(seed: int) -> Found:
+def cut(seed: int) -> HistoryResult:
     """Of partitions and what goes with them."""
-    return Day(seed, faults=CUTS).play()
+    return MembershipHistory(seed, faults=CUTS).run()
 
 
 def detection(given: tuple[int, int]) -> list[float]:
     """Periods from a kill until each survivor knew of it, in virtual time."""
     members, seed = given
-    net = Net(Shape(members, settled=True), seed)
+    net = EmulatedNetwork(NetworkShape(members, settled=True), seed)
     net.start()
     net.run(3)
     found: list[float] = []
-    for victim in net.rng.sample(net.seats, 3):
+    for victim in net.rng.sample(net.members, 3):
         name, life, began = victim.name, victim.core.own_record.instance_id, net.now
         victim.kill()
         net.run(30)
-        known = net.dead_at.get((name, life), {})
-        missing = sum(seat.alive for seat in net.seats) - len(known)
+        known = net.death_known_at.get((name, life), {})
+        missing = sum(member.alive for member in net.members) - len(known)
         found += [(at - began) / net.shape.period for at in known.values()] + [
             float("inf")
         ] * missing
@@ -59,28 +59,28 @@
 
 def false_dead(given: tuple[int, int]) -> int:
     members, seed = given
-    net = Net(Shape(members, settled=True, loss=0.1), seed)
+    net = EmulatedNetwork(NetworkShape(members, settled=True, loss=0.1), seed)
     net.start()
     rng = net.rng
     for _ in range(members // 4):
         a, b = rng.sample(range(members), 2)
         net.cut.add((a, b))
     for at in range(members // 2):
-        net.after(
+        net.call_after(
             3 + 2 * at,
-            lambda: net.stop(rng.choice(net.seats), MembershipConfig().min_suspicion / 2),
+            lambda: net.pause(rng.choice(net.members), MembershipConfig().min_suspicion / 2),
         )
     net.run(60)
-    return len(net.deaths)
+    return len(net.false_deaths)
 
 
 def idle_bytes(members: int) -> float:
-    net = Net(Shape(members, settled=True, bytes=True), 1)
+    net = EmulatedNetwork(NetworkShape(members, settled=True, bytes=True), 1)
     net.start()
     net.run(5)
-    before = sum(seat.sent_bytes for seat in net.seats)
+    before = sum(member.sent_bytes for member in net.members)
     net.run(15)
-    return (sum(seat.sent_bytes for seat in net.seats) - before) / members / 15
+    return (sum(member.sent_bytes for member in net.members) - before) / members / 15
 
 
 def real(processes: int, period_ms: int, seed: int, kills: int) -> dict[str, Any]:
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -25,12 +25,12 @@
 from corklift.rig import power_days as rig
 
 
-def emulated(seed: int) -> tuple[int, lab.Seen]:
-    return seed, lab.play(lab.Day.drawn(seed))
+def emulated(seed: int) -> tuple[int, lab.PowerLossResult]:
+    return seed, lab.run_case(lab.PowerLossCase.from_seed(seed))
 
 
-def large(job: tuple[lab.Day, lab.Kind]) -> lab.Seen:
-    return lab.play(*job)
+def large(job: tuple[lab.PowerLossCase, lab.Variant]) -> lab.PowerLossResult:
+    return lab.run_case(*job)
 
 
 def processes(
@@ -88,12 +88,14 @@
                 or seen.stuck
             ):
                 broken.append(f"virtual, seed {at}: {seen}"[:400])
-        whole = lab.Day(seed, *((60, 30, 150.0) if quick else (200, 90, 400.0)), 10.0, seconds=18.0)
+        whole = lab.PowerLossCase(
+            seed, *((60, 30, 150.0) if quick else (200, 90, 400.0)), 10.0, seconds=18.0
+        )
         sized = pool.map(
             large, [(whole, "serve"), (whole, "today"), *([] if quick else [(whole, "knows")])]
         )
         unlisted = [
-            (lab.Day(at, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind)
+            (lab.PowerLossCase(at, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind)
             for at in range(6 if quick else 24)
             for kind in ("serve", "today")
         ]
--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -11,7 +11,7 @@
 
 from corklift.lab.clock import MS, SECOND
 from corklift.lab.fleet import MAX_RETRY_AFTER, EmulatedBalancer, Fleet
-from corklift.lab.peers import Net, Shape
+from corklift.lab.peers import EmulatedNetwork, NetworkShape
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 from corklift.policy import Balancer
 
@@ -43,7 +43,7 @@
         """`told`: the settings' count; `cut_s`: from when to when a third of the balancers can't reach the others' calls."""
         self.way, self.told = way, told
         number = scenario.balancers.number
-        self.members = Net(Shape(number, settled=True, told=told), seed)
+        self.members = EmulatedNetwork(NetworkShape(number, settled=True, told=told), seed)
         self._cut_s = cut_s
         self._wanted: dict[int, dict[str, Any]] = {}
         self._used: dict[int, int] = {}
@@ -95,23 +95,23 @@
             if self._cut_s[0] <= since < self._cut_s[1]
             else set()
         )
-        for seat, member in zip(self.balancers, net.seats):
+        for seat, member in zip(self.balancers, net.members):
             if seat.alive and not member.alive:
                 member.start()
             elif member.alive and not seat.alive:
                 member.kill()
         net.run((now - net.now) / net.shape.period)
         servers = {str(box.number) for box in self.servers.values() if box.up}
-        for seat, member in zip(self.balancers, net.seats):
+        for seat, member in zip(self.balancers, net.members):
             if not seat.alive:
                 continue
-            member.hold(sum(way.connection is not None for way in seat.logins.values()))
+            member.set_connections(sum(way.connection is not None for way in seat.logins.values()))
             for box in self.servers.values():
                 if box.up and (now // STEP + box.number + seat.number) % 10 == 0:
                     member.core.server_reported(now, str(box.number), len(box.connections), servers)
             uses = {
                 "settings": self.told,
-                "followed": member.uses,
+                "followed": member.count_in_use,
                 "heard": 1 + len(member.core.live_members),
             }[self.way]
             if self._used.get(seat.number, self.told) != uses:
--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -136,7 +136,9 @@
 class PlacementWorld:
     """The decision module in a small world."""
 
-    def __init__(self, shape: PlacementShape, spoil: Callable[[Any, Any], Any] | None = None) -> None:
+    def __init__(
+        self, shape: PlacementShape, spoil: Callable[[Any, Any], Any] | None = None
+    ) -> None:
         self.shape, self._spoil = shape, spoil
         self.now = 1_000 * SECOND
         self.rules = RuleChecker(self.now)
@@ -766,4 +768,8 @@
         from corklift.lab import explore_recovery
 
         return explore_recovery.RecoveryWorld(explore_recovery.RecoveryShape(**shape))
-    return PlacementWorld(PlacementShape(**shape)) if kind == "placing" else SubscriptionWorld(SubscriptionShape(**shape))
+    return (
+        PlacementWorld(PlacementShape(**shape))
+        if kind == "placing"
+        else SubscriptionWorld(SubscriptionShape(**shape))
+    )
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -21,10 +21,10 @@
 
 SETTLED = 8 * SECOND  # after which a balancer that lives serves, if servers do
 LOOK = 250 * MS  # between two looks of a seat's driver
-Kind = Literal["serve", "today", "knows"]
+Variant = Literal["serve", "today", "knows"]
 
 
-class Day(NamedTuple):
+class PowerLossCase(NamedTuple):
     seed: int = 1
     balancers: int = 40
     servers: int = 20
@@ -49,7 +49,7 @@
     unlisted: int = 0  # instead of a cut: so many servers restart one after the other, away for a second or two, and no list tells
 
     @classmethod
-    def drawn(cls, seed: int, balancers: int = 12, servers: int = 6) -> Day:
+    def from_seed(cls, seed: int, balancers: int = 12, servers: int = 6) -> PowerLossCase:
         rng = Random(f"power {seed}")
         return cls(
             seed,
@@ -71,10 +71,10 @@
         )
 
 
-class Gate:
+class PolicyProxy:
     """A seat's decisions, with an eye on how logins go that the door let in."""
 
-    def __init__(self, seat: Powered, policy: Any) -> None:
+    def __init__(self, seat: RecoveringBalancer, policy: Any) -> None:
         self._seat, self._policy = seat, policy
 
     def __getattr__(self, name: str) -> Any:
@@ -108,10 +108,10 @@
             core.server_unresponsive(now, f"s{server}")
 
 
-class Powered(EmulatedBalancer):
+class RecoveringBalancer(EmulatedBalancer):
     """A balancer that comes back by its recovery."""
 
-    fleet: Power
+    fleet: PowerLossFleet
     core: Recovery | None = None
 
     @property
@@ -127,7 +127,7 @@
         self.let_in: set[int] = set()
         self.listing: list[ListedServer] | None = None
         self.again = False
-        self.policy = Gate(self, fleet.make_policy(self))
+        self.policy = PolicyProxy(self, fleet.make_policy(self))
         self.policy.servers_listed(fleet.clock.now, Scope.CACHED, 0, ())
         self.core = None
         if fleet.kind == "serve":
@@ -287,7 +287,7 @@
     # Host of the recovery
 
     def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
-        def arrive(other: Powered) -> StateReply:
+        def arrive(other: RecoveringBalancer) -> StateReply:
             assert other.core is not None
             return other.core.state_requested(self.fleet.clock.now, message)
 
@@ -395,8 +395,8 @@
         self.facts: list[tuple[int, Fact]] = []
 
 
-class Power(Fleet):
-    def __init__(self, day: Day, kind: Kind = "serve") -> None:
+class PowerLossFleet(Fleet):
+    def __init__(self, day: PowerLossCase, kind: Variant = "serve") -> None:
         self.day, self.kind = day, kind
         self.boots = [0] * day.balancers
         self.disks = [Disk(b"%16d" % number) for number in range(day.balancers)]
@@ -431,7 +431,9 @@
         super()._build()
         for seat in self.balancers:
             seat.alive = False
-        self.balancers = [Powered(self, seat.number, seat.zone) for seat in self.balancers]
+        self.balancers = [
+            RecoveringBalancer(self, seat.number, seat.zone) for seat in self.balancers
+        ]
         for seat in self.balancers:
             seat.start()
 
@@ -580,7 +582,7 @@
             self._stop_server(box)
             self.clock.call_later(span, self._boot, box)
 
-    def _cut_again(self, half: list[Powered]) -> None:
+    def _cut_again(self, half: list[RecoveringBalancer]) -> None:
         for seat in half:
             if seat.alive:
                 self._lose(seat)
@@ -590,7 +592,7 @@
         if seat.alive:
             self._kill_balancer(seat)
 
-    def _boot_seat(self, seat: Powered) -> None:
+    def _boot_seat(self, seat: RecoveringBalancer) -> None:
         if not seat.alive:
             self.boots[seat.number] += 1
             seat.start()
@@ -625,12 +627,12 @@
 
     # Calls of peers
 
-    def _reaches(self, name: str) -> Powered | None:
+    def _reaches(self, name: str) -> RecoveringBalancer | None:
         seat = self.balancers[int(name[1:])]
         lost = self.day.lost_calls and self.rng.random() < self.day.lost_calls
         return seat if seat.alive and seat.core is not None and not lost else None
 
-    def call(self, seat: Powered, name: str, arrive: Any, until: int, done: Any) -> None:
+    def call(self, seat: RecoveringBalancer, name: str, arrive: Any, until: int, done: Any) -> None:
         self._count(name)
         back = seat._mine(done)
 
@@ -644,7 +646,7 @@
         self.clock.call_later(self.delay(0, 1), there)
 
     def call_slow(
-        self, seat: Powered, name: str, message: Replicate, until: int, done: Any
+        self, seat: RecoveringBalancer, name: str, message: Replicate, until: int, done: Any
     ) -> None:
         self._count(name)
         told: list[bool] = []
@@ -710,7 +712,7 @@
             self.ups.append(self.clock.now)
 
 
-class Seen(NamedTuple):
+class PowerLossResult(NamedTuple):
     placed_out: int
     alone_on_a_lying_disk: bool  # the first balancer back, with nobody to ask for ten seconds: what it places is told apart
     what: str
@@ -725,8 +727,8 @@
     step_s: dict[str, float]
 
 
-def play(day: Day, kind: Kind = "serve") -> Seen:
-    fleet = Power(day, kind)
+def run_case(day: PowerLossCase, kind: Variant = "serve") -> PowerLossResult:
+    fleet = PowerLossFleet(day, kind)
     fleet.run()
     cut = fleet.cut_at
     ups = [at for at in fleet.ups if at >= cut]
@@ -761,7 +763,7 @@
         and fleet.clock.now - seat.started_at > SETTLED
         for seat in fleet.balancers
     )
-    return Seen(
+    return PowerLossResult(
         fleet.placed_out,
         fleet.lone_liar,
         fleet.first_placed_out,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -159,10 +159,14 @@
 
 def test_exploration_meets_every_order_and_finds_a_fault_that_needs_five_events():
     clean = explore.explore(
-        lambda: explore.PlacementWorld(explore.PlacementShape(restarts=0, losses=0, logins=1)), 5, 3000
+        lambda: explore.PlacementWorld(explore.PlacementShape(restarts=0, losses=0, logins=1)),
+        5,
+        3000,
     )
     assert clean.complete and not clean.what and clean.states > 50
-    make = lambda: explore.PlacementWorld(explore.PlacementShape(restarts=0, losses=0, logins=1), _Doubled)  # noqa: E731
+    make = lambda: explore.PlacementWorld(  # noqa: E731
+        explore.PlacementShape(restarts=0, losses=0, logins=1), _Doubled
+    )
     found = explore.explore(make, 7, 20_000)
     assert found.what.startswith("rule 1")
     assert [label.split()[0] for label in found.counterexample] == [
@@ -174,7 +178,10 @@
     ]
     for at in range(len(found.counterexample)):  # none of them can be left out
         assert (
-            explore.first_violation(make, found.counterexample[:at] + found.counterexample[at + 1 :]) is None
+            explore.first_violation(
+                make, found.counterexample[:at] + found.counterexample[at + 1 :]
+            )
+            is None
         )
     walked = explore.random_walks(make, 500, 60, 1)
     assert walked.what.startswith("rule 1") and len(walked.counterexample) == 5
@@ -201,7 +208,9 @@
     incremental, monkeypatch
 ):
     make = lambda: explore.SubscriptionWorld(explore.SubscriptionShape(incremental))  # noqa: E731
-    assert not explore.explore(make, 6, 600).what and not explore.random_walks(make, 200, 60, 1).what
+    assert (
+        not explore.explore(make, 6, 600).what and not explore.random_walks(make, 200, 60, 1).what
+    )
     from corklift.control.subscriptions import SubscriptionManager
 
     changed = SubscriptionManager.update_snapshot
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,8 +8,8 @@
 
 from corklift.lab.explore import explore, random_walks
 from corklift.lab.explore_members import MembershipShape, MembershipWorld
-from corklift.lab.peer_days import Day, play
-from corklift.lab.peers import Net, Shape
+from corklift.lab.peer_days import MembershipHistory, run_history
+from corklift.lab.peers import EmulatedNetwork, NetworkShape
 from corklift.membership.core import Membership, MembershipConfig, updated_record
 from corklift.membership.count import BalancerCount, SlidingMinimum
 from corklift.membership.messages import (
@@ -30,7 +30,7 @@
 
 
 def test_histories_violate_no_rule():
-    found = [play(seed) for seed in range(110)]
+    found = [run_history(seed) for seed in range(110)]
     assert [(day.seed, day.problems) for day in found if day.problems] == []
     assert sum(day.too_low_s > 0 for day in found) <= sum(
         "double" in " ".join(day.faults) for day in found
@@ -76,11 +76,11 @@
     [CountsOnlyLiveMembers, NeverRefutes, NeverRetriesDead, AcceptsOutdatedRecords, AdmitsEveryone],
 )
 def test_histories_detect_mutants(mutant):
-    assert any(play(seed, mutant).problems for seed in range(40))
+    assert any(run_history(seed, mutant).problems for seed in range(40))
 
 
 def settled_net(members, seed=1, **options):
-    net = Net(Shape(members, settled=True, **options), seed)
+    net = EmulatedNetwork(NetworkShape(members, settled=True, **options), seed)
     net.start()
     net.run(3)
     return net
@@ -88,31 +88,35 @@
 
 def test_a_dead_member_is_known_to_all_and_counted_until_operators_forget_it():
     net = settled_net(12)
-    net.keep_looking()
-    dead = net.seats[5]
+    net.start_observing()
+    dead = net.members[5]
     instance_id = dead.core.own_record.instance_id
     dead.kill()
     net.run(30)
-    assert set(net.dead_at[dead.name, instance_id]) == {seat.number for seat in net.seats} - {5}
+    assert set(net.death_known_at[dead.name, instance_id]) == {
+        member.number for member in net.members
+    } - {5}
     # Connections come and go, so the dead member may still be placing some.
-    assert {seat.uses for seat in net.seats if seat.alive} == {12}
-    for seat in net.seats:
-        if seat.alive:
-            assert seat.core.forget(net.now, dead.name)
+    assert {member.count_in_use for member in net.members if member.alive} == {12}
+    for member in net.members:
+        if member.alive:
+            assert member.core.forget(net.now, dead.name)
     net.run(30)  # every member calls every other once more, and none knows that it is back
-    assert {seat.uses for seat in net.seats if seat.alive} == {11} and net.too_low == 0
+    assert {member.count_in_use for member in net.members if member.alive} == {
+        11
+    } and net.undercount_time == 0
 
 
 def test_packet_loss_one_way_links_and_short_pauses_cause_no_false_death():
     net = settled_net(20, loss=0.1)
     net.cut |= {(3, 4), (7, 1), (2, 9)}
     for at in range(10):
-        net.after(
+        net.call_after(
             4 * at,
-            lambda at=at: net.stop(net.seats[at], MembershipConfig().min_suspicion * 1.3 / 2),
+            lambda at=at: net.pause(net.members[at], MembershipConfig().min_suspicion * 1.3 / 2),
         )
     net.run(80)
-    assert net.deaths == []
+    assert net.false_deaths == []
 
 
 def test_the_sliding_minimum_never_exceeds_the_true_one():
@@ -164,13 +168,13 @@
 
 def test_a_paused_balancer_counts_all_members_again_before_it_places():
     net = settled_net(4)
-    core = net.seats[0].core
+    core = net.members[0].core
     core._merge_record(net.now, updated_record(core.table["b3"], state=MemberState.DEAD))
     core.count._max_dead_placing = 0
     core._update_count()
-    assert net.seats[0].uses == 3
+    assert net.members[0].count_in_use == 3
     core.detect_pause(net.now + 20 * SECOND)
-    assert net.seats[0].uses == 4
+    assert net.members[0].count_in_use == 4
 
 
 def test_messages_of_newer_and_faulty_peers():
@@ -181,8 +185,8 @@
     assert decode(longer).sender == record
     net = settled_net(3)
     answers = {}
-    net.seats[0].calls[99] = lambda answer: answers.setdefault(99, answer)
-    net.seats[0].core.request_received(net.now, 99, Message("dance", record))
+    net.members[0].calls[99] = lambda answer: answers.setdefault(99, answer)
+    net.members[0].core.request_received(net.now, 99, Message("dance", record))
     assert answers[99].kind == UNKNOWN and "dance" in answers[99].reason
     for bad in (
         b"",
@@ -202,7 +206,9 @@
     assert not found.what, "\n".join([found.what, *found.trace])
     found = random_walks(lambda: MembershipWorld(MembershipShape(settled=False)), 60, 60, 2)
     assert not found.what, "\n".join([found.what, *found.trace])
-    assert random_walks(lambda: MembershipWorld(MembershipShape(), CountsOnlyLiveMembers), 300, 60, 1).what
+    assert random_walks(
+        lambda: MembershipWorld(MembershipShape(), CountsOnlyLiveMembers), 300, 60, 1
+    ).what
 
 
 def test_configuration_errors_name_the_key(tmp_path):
@@ -226,4 +232,4 @@
 
 
 def test_a_history_is_reproducible():
-    assert Day(77).play() == Day(77).play()
+    assert MembershipHistory(77).run() == MembershipHistory(77).run()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,7 +9,7 @@
 from corklift.interface import ColdRule
 from corklift.lab import explore as lab_explore
 from corklift.lab.explore_recovery import RecoveryShape
-from corklift.lab.power import Day, play
+from corklift.lab.power import PowerLossCase, run_case
 from corklift.recovery import core as recovery_core
 from corklift.recovery import facts as recovery_facts
 from corklift.recovery.admission import AdmissionControl, retry_after
@@ -501,7 +501,7 @@
 def test_servers_that_restart_within_two_seconds_without_a_list_change_are_not_overloaded():
     fallen = {
         kind: sum(
-            play(Day(seed, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind).fallen
+            run_case(PowerLossCase(seed, 4, 8, 40.0, 10.0, seconds=30.0, unlisted=8), kind).fallen
             for seed in range(4)
         )
         for kind in ("serve", "today")
@@ -546,7 +546,7 @@
 
 def test_simulated_power_losses_violate_no_rule():
     for seed in range(1, 13):
-        seen = play(Day.drawn(seed))
+        seen = run_case(PowerLossCase.from_seed(seed))
         assert (
             not seen.rules
             and not seen.words_forgotten
@@ -557,17 +557,21 @@
 
 
 def test_forty_balancers_recover_sooner_than_without_recovery_and_respect_overrides():
-    day = Day(3, seconds=20.0)
-    mine, today = play(day), play(day, "today")
+    day = PowerLossCase(3, seconds=20.0)
+    mine, today = run_case(day), run_case(day, "today")
     assert not mine.placed_out and not mine.rules and today.placed_out > 20
     assert mine.restored_s < today.restored_s and mine.calls_of_one < 40
 
 
 def test_exploration_of_a_small_fleet_finds_no_violation():
     shape = RecoveryShape()
-    found = lab_explore.explore(lambda: lab_explore.make_world("recovery", shape._asdict()), 5, 3000)
+    found = lab_explore.explore(
+        lambda: lab_explore.make_world("recovery", shape._asdict()), 5, 3000
+    )
     assert not found.what, found.trace
-    found = lab_explore.random_walks(lambda: lab_explore.make_world("recovery", shape._asdict()), 300, 60, 1)
+    found = lab_explore.random_walks(
+        lambda: lab_explore.make_world("recovery", shape._asdict()), 300, 60, 1
+    )
     assert not found.what, found.trace
 
 
@@ -616,11 +620,14 @@
         if mutant in (_skip_queries, _acknowledge_before_write):
             violations += bool(
                 lab_explore.random_walks(
-                    lambda: lab_explore.make_world("recovery", RecoveryShape()._asdict()), 100, 50, seed
+                    lambda: lab_explore.make_world("recovery", RecoveryShape()._asdict()),
+                    100,
+                    50,
+                    seed,
                 ).what
             )
         else:
-            seen = play(Day.drawn(seed))
+            seen = run_case(PowerLossCase.from_seed(seed))
             violations += bool(
                 seen.rules
                 or seen.placed_out
@@ -634,4 +641,4 @@
 
 def test_admission_without_a_budget_is_detected(monkeypatch):
     _without_budget(monkeypatch)
-    assert play(Day(1, 100, 30, 300.0, 10.0, seconds=14.0)).fallen
+    assert run_case(PowerLossCase(1, 100, 30, 300.0, 10.0, seconds=14.0)).fallen
