--- a/corklift/lab/counted.py
+++ b/corklift/lab/counted.py
@@ -13,7 +13,7 @@
 
 from corklift.lab.clock import MS, SECOND
 from corklift.lab.fleet import MAX_RETRY_AFTER, EmulatedBalancer, Fleet
-from corklift.lab.peers import Net, Shape
+from corklift.lab.peers import EmulatedNetwork, NetworkShape
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 from corklift.policy import Balancer
 
@@ -63,13 +63,15 @@
         """
         self.count_source, self.configured_count = count_source, configured_count
         balancers = scenario.balancers.number
-        self.member_net = Net(Shape(balancers, settled=True, told=configured_count), seed)
+        self.network = EmulatedNetwork(
+            NetworkShape(balancers, settled=True, told=configured_count), seed
+        )
         self._cut_window_s = cut_window_s
         self._settings: dict[int, dict[str, Any]] = {}
         self._applied_counts: dict[int, int] = {}
         super().__init__(scenario, "module", seed)
-        self.member_net.now = self.clock.now
-        self.member_net.start()
+        self.network.now = self.clock.now
+        self.network.start()
         self.clock.call_later(SYNC_INTERVAL, self._synchronise)
 
     def make_policy(self, balancer: EmulatedBalancer) -> Any:
@@ -101,11 +103,11 @@
         )
 
     def _synchronise(self) -> None:
-        now, net = self.clock.now, self.member_net
+        now, network = self.clock.now, self.network
         self.clock.call_later(SYNC_INTERVAL, self._synchronise)
         elapsed_s = (now - self.clock.started_at) / SECOND
         cut_members = {balancer.number for balancer in self.balancers if balancer.zone == 0}
-        net.cut = (
+        network.cut = (
             {
                 (one.number, other.number)
                 for one in self.balancers
@@ -115,17 +117,17 @@
             if self._cut_window_s[0] <= elapsed_s < self._cut_window_s[1]
             else set()
         )
-        for balancer, member in zip(self.balancers, net.seats):
+        for balancer, member in zip(self.balancers, network.members):
             if balancer.alive and not member.alive:
                 member.start()
             elif member.alive and not balancer.alive:
                 member.kill()
-        net.run((now - net.now) / net.shape.period)
+        network.run((now - network.now) / network.shape.period)
         servers_up = {str(server.number) for server in self.servers.values() if server.up}
-        for balancer, member in zip(self.balancers, net.seats):
+        for balancer, member in zip(self.balancers, network.members):
             if not balancer.alive:
                 continue
-            member.hold(
+            member.set_connections(
                 sum(login_state.connection is not None for login_state in balancer.logins.values())
             )
             for server in self.servers.values():
@@ -135,7 +137,7 @@
                     )
             count = {
                 "settings": self.configured_count,
-                "followed": member.uses,
+                "followed": member.count_in_use,
                 "heard": 1 + len(member.core.live_members),
             }[self.count_source]
             if self._applied_counts.get(balancer.number, self.configured_count) != count:
