--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -128,7 +128,7 @@
         mutants: dict[str, str] | None = None,
         show: Callable[[str], None] = lambda text: None,
     ) -> None:
-        """`mutants` gives the deliberate faults (see `mutants.py`) by the balancer that has them."""
+        """`mutants` gives the deliberate faults (see `mutants.py`) by balancer."""
         if not (
             1 <= shape.balancers <= MAX_BALANCERS
             and 0 <= shape.servers <= MAX_SERVERS
