--- a/examples/control/fleet.py
+++ b/examples/control/fleet.py
@@ -1,10 +1,11 @@
-"""A control service with three stand-in transcribers and six stand-in proxies, and a picture of who holds what.
+"""Runs a control service with stand-in transcribers and proxies, and plots the load of each server.
 
     python examples/control/fleet.py [--seconds 20] [--png FILE]
 
-All on loopback, in this process but for the control service, which runs as its operators run it. One transcriber is half
-as large as the others, and one is told to drain half-way. Meanwhile `python -m corklift control status` shows who has
-which view.
+Three transcribers and six proxies run in this process, the control service in a process of its own
+as in production, all on loopback. One transcriber has half the capacity of the others; another one
+starts to drain half-way through. Meanwhile `python -m corklift control status` shows which proxy
+has which resources.
 """
 
 from __future__ import annotations
@@ -25,12 +26,14 @@
 from corklift.standins.proxy import Proxy, ProxyBehaviour  # noqa: E402
 from corklift.standins.transcriber import Transcriber  # noqa: E402
 
-SIZES = {"ash": 40.0, "birch": 40.0, "cedar": 20.0}
-LOGINS = 5.0  # a second
-HOLD = 12 * SECOND
+SIZES = {"ash": 40.0, "birch": 40.0, "cedar": 20.0}  # connections at full load
+LOGINS_PER_S = 5.0
+MEAN_HOLD_TIME = 12 * SECOND
 
 
 class Demo:
+    """The emulated fleet, and the samples of its load taken each second."""
+
     def __init__(self, seconds: float, png: str | None) -> None:
         self.scheduler = Scheduler(wall_clock(), lambda trace: print(trace, file=sys.stderr))
         self.seconds, self.png, self.rng = seconds, png, Random(4)
@@ -50,7 +53,7 @@
             )
             for n in range(6)
         ]
-        self.seen: list[tuple[float, dict[str, int], dict[str, float]]] = []
+        self.samples: list[tuple[float, dict[str, int], dict[str, float]]] = []
 
     def run(self) -> None:
         self.discovery.listen(("127.0.0.1", 18500))
@@ -73,42 +76,43 @@
         try:
             for proxy in self.proxies:
                 proxy.start()
-            self.scheduler.spawn(self._load)
-            self.scheduler.spawn(self._show)
+            self.scheduler.spawn(self._login_loop)
+            self.scheduler.spawn(self._report_loop)
             self.scheduler.run()
         finally:
             control.send_signal(signal.SIGTERM)
             control.wait(10)
         if self.png:
-            self._draw()
+            self._plot()
 
-    def _load(self) -> None:
+    def _login_loop(self) -> None:
         while True:
-            self.scheduler.sleep(int(self.rng.expovariate(LOGINS) * SECOND))
+            self.scheduler.sleep(int(self.rng.expovariate(LOGINS_PER_S) * SECOND))
             self.scheduler.spawn(
-                self.rng.choice(self.proxies).place, "speech", int(HOLD * self.rng.expovariate(1.0))
+                self.rng.choice(self.proxies).place,
+                "speech",
+                int(MEAN_HOLD_TIME * self.rng.expovariate(1.0)),
             )
 
-    def _show(self) -> None:
-        began, drained = self.scheduler.now(), False
-        while (now := (self.scheduler.now() - began) / SECOND) < self.seconds:
+    def _report_loop(self) -> None:
+        started_at, drained = self.scheduler.now(), False
+        while (now := (self.scheduler.now() - started_at) / SECOND) < self.seconds:
             if now > self.seconds / 2 and not drained:
                 drained = True
                 self.discovery.set_status("birch", "leaving")
-                print(
-                    "birch is told to drain: it leaves every proxy's view, what stands there stands"
-                )
-            views = [self._view(proxy) for proxy in self.proxies]
+                print("birch drains: proxies send it no new logins, its open connections stay open")
+            views = [self._offered_shares(proxy) for proxy in self.proxies]
             share = {
                 name: sum(view.get(name, 0.0) for view in views) / len(views) for name in SIZES
             }
             counts = {name: server.open_connections for name, server in self.servers.items()}
-            self.seen.append((now, counts, share))
-            following = sum(bool(view) for view in views)
+            self.samples.append((now, counts, share))
+            subscribed_count = sum(bool(view) for view in views)
             print(
-                f"{now:5.1f} s  {following} proxies follow",
+                f"{now:5.1f} s  {subscribed_count} proxies subscribed",
                 *(
-                    f" {name} {'#' * round(counts[name] / 2):10} {counts[name]:3} of {SIZES[name]:.0f}, offered {share[name]:4.0%}"
+                    f" {name} {'#' * round(counts[name] / 2):10} {counts[name]:3}"
+                    f" of {SIZES[name]:.0f}, offered {share[name]:4.0%}"
                     for name in SIZES
                 ),
                 sep=" |",
@@ -118,37 +122,41 @@
         self.scheduler.stop()
 
     @staticmethod
-    def _view(proxy: Proxy) -> dict[str, float]:
-        held = proxy.state.assignment("speech")
-        if held is None or not held.names:
+    def _offered_shares(proxy: Proxy) -> dict[str, float]:
+        """Returns each server's share of new logins by the weights that the proxy received."""
+        assignment = proxy.state.assignment("speech")
+        if assignment is None or not assignment.names:
             return {}
-        sums = (0, *held.cumulative_weights)
-        return {name: (sums[at + 1] - sums[at]) / sums[-1] for at, name in enumerate(held.names)}
+        sums = (0, *assignment.cumulative_weights)
+        return {
+            name: (sums[index + 1] - sums[index]) / sums[-1]
+            for index, name in enumerate(assignment.names)
+        }
 
-    def _draw(self) -> None:
+    def _plot(self) -> None:
         import matplotlib
 
         matplotlib.use("Agg")
         from matplotlib import pyplot
 
         figure, (above, below) = pyplot.subplots(2, 1, sharex=True, figsize=(8, 6))
-        times = [now for now, _, _ in self.seen]
+        times = [now for now, _, _ in self.samples]
         for name in SIZES:
             above.plot(
-                times, [counts[name] / SIZES[name] for _, counts, _ in self.seen], label=name
+                times, [counts[name] / SIZES[name] for _, counts, _ in self.samples], label=name
             )
-            below.plot(times, [share[name] for _, _, share in self.seen], label=name)
-        above.set_ylabel("connections over what it can do")
+            below.plot(times, [share[name] for _, _, share in self.samples], label=name)
+        above.set_ylabel("connections / capacity")
         below.set_ylabel("offered share of new logins")
-        below.set_xlabel("s")
+        below.set_xlabel("time (s)")
         above.legend()
         figure.savefig(self.png)
-        print(f"drawn: {self.png}")
+        print(f"wrote {self.png}")
 
 
 if __name__ == "__main__":
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--png")
-    given = parser.parse_args()
-    Demo(given.seconds, given.png).run()
+    arguments = parser.parse_args()
+    Demo(arguments.seconds, arguments.png).run()
--- a/examples/control/grpc_client.py
+++ b/examples/control/grpc_client.py
@@ -1,9 +1,11 @@
-"""A client made of grpcio alone that is placed by a corklift control service, through xDS.
+"""A plain grpcio client whose calls a corklift control service distributes through xDS.
 
     python examples/control/grpc_client.py 127.0.0.1:18000 xds:///transcribe [CALLS]
 
-Writes a bootstrap file, dials the target and makes calls; prints which server took each, in all. With CALLS 0 it goes on
-until its standard input ends, one line of JSON a call: the time (ns, monotonic) and the server.
+Writes a bootstrap file, connects to the target, makes the calls (300 by default) and prints how
+many each server answered. With CALLS 0 it makes calls until its standard input ends, and prints one
+line of JSON for each: start and end (ns, monotonic clock), and the server or, after a failure, the
+status code.
 """
 
 from __future__ import annotations
@@ -16,11 +18,12 @@
 import time
 from collections import Counter
 
-SAY = "/standin.Transcriber/Say"  # the stand-in transcribers' method: it answers with the server's name
+# The method of the stand-in transcribers; the response is the server's name.
+SAY_METHOD = "/standin.Transcriber/Say"
 
 
-def bootstrap(control: str, node: str) -> str:
-    """Writes what gRPC wants to know of its control service; returns the file's path."""
+def write_bootstrap_file(control: str, node: str) -> str:
+    """Writes the bootstrap file that tells gRPC its xDS server; returns the path."""
     content = {
         "xds_servers": [
             {
@@ -40,35 +43,36 @@
 def main() -> int:
     control, target = sys.argv[1:3]
     calls = int(sys.argv[3]) if len(sys.argv) > 3 else 300
-    path = bootstrap(control, f"grpc-client-{os.getpid()}")
-    os.environ["GRPC_XDS_BOOTSTRAP"] = path
-    import grpc  # reads the variable at its first use
+    bootstrap_path = write_bootstrap_file(control, f"grpc-client-{os.getpid()}")
+    os.environ["GRPC_XDS_BOOTSTRAP"] = bootstrap_path
+    # Imported here because grpc reads GRPC_XDS_BOOTSTRAP when it is first used.
+    import grpc
 
-    took: Counter[str] = Counter()
-    over = threading.Event()
+    calls_by_server: Counter[str] = Counter()
+    stopped = threading.Event()
     if not calls:
-        threading.Thread(target=lambda: (sys.stdin.read(), over.set()), daemon=True).start()
+        threading.Thread(target=lambda: (sys.stdin.read(), stopped.set()), daemon=True).start()
     try:
         with grpc.insecure_channel(target) as channel:
             say = channel.unary_unary(
-                SAY, request_serializer=lambda m: m, response_deserializer=lambda m: m
+                SAY_METHOD, request_serializer=lambda m: m, response_deserializer=lambda m: m
             )
-            number = 0
-            while number < calls or (not calls and not over.is_set()):
-                began = time.monotonic_ns()
+            call_count = 0
+            while call_count < calls or (not calls and not stopped.is_set()):
+                started_at = time.monotonic_ns()
                 try:
-                    server = say(b"hello", timeout=5, wait_for_ready=number == 0).decode()
-                except grpc.RpcError as problem:
-                    server = problem.code().name
-                took[server] += 1
-                number += 1
+                    server = say(b"hello", timeout=5, wait_for_ready=call_count == 0).decode()
+                except grpc.RpcError as error:
+                    server = error.code().name
+                calls_by_server[server] += 1
+                call_count += 1
                 if not calls:
-                    print(json.dumps([began, time.monotonic_ns(), server]), flush=True)
+                    print(json.dumps([started_at, time.monotonic_ns(), server]), flush=True)
         if calls:
-            for server, count in sorted(took.items()):
-                print(f"{server:20} {count:6}  {count / number:6.1%}")
+            for server, count in sorted(calls_by_server.items()):
+                print(f"{server:20} {count:6}  {count / call_count:6.1%}")
     finally:
-        os.unlink(path)
+        os.unlink(bootstrap_path)
     return 0
 
 
