--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,4 @@
-"""Measurements: `python -m benchmarks.NAME [--quick] [--seed N] [--json FILE]`. Figures are of stand-ins on loopback."""
+"""Benchmarks: `python -m benchmarks.NAME [--quick] [--seed N] [--json FILE]`.
+
+All figures are of stand-ins on loopback.
+"""
--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.lab import explore
 from corklift.lab.experiment import Run, execute_run, load_experiment
 from corklift.lab.faults import FAULTS
@@ -83,16 +83,16 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
+    arguments = parse_arguments(__doc__)
     sizes = (
         [(10, 2, 500, 30.0), (40, 10, 2_000, 8.0), (100, 30, 6_000, 4.0)]
-        if given.quick
+        if arguments.quick
         else [(10, 2, 500, 120.0), (60, 30, 8_000, 20.0), (200, 500, 100_000, 6.0)]
     )
     figures: dict[str, Any] = {}
     by_size = {
         f"{servers}x{balancers}x{standing}": sized(
-            servers, balancers, standing, seconds, given.seed
+            servers, balancers, standing, seconds, arguments.seed
         )
         for servers, balancers, standing, seconds in sizes
     }
@@ -100,18 +100,18 @@
         figures[key] = {size: found[key] for size, found in by_size.items()}
     # With a policy that costs nothing, what is left is the emulator's own.
     figures["us_an_event_emulator"] = {
-        size: sized(*shape, given.seed, "random")["us_an_event"]
+        size: sized(*shape, arguments.seed, "random")["us_an_event"]
         for size, shape in zip(by_size, sizes)
     }
     figures["same_history"] = (
-        sized(*sizes[0], given.seed)["history"] == by_size[next(iter(by_size))]["history"]
+        sized(*sizes[0], arguments.seed)["history"] == by_size[next(iter(by_size))]["history"]
     )
     rules, service = {}, {}
     for path in sorted(EXAMPLES.glob("*.toml")):
         if path.stem == "sweep":
             continue  # its troubles are varied: it is for `lab sweep`
         found = load_experiment(str(path))
-        seeds = found.seeds[:1] if given.quick else found.seeds
+        seeds = found.seeds[:1] if arguments.quick else found.seeds
         runs = [
             execute_run(found.scenario, Run(policy, seed, ()), series=False)
             for policy in dict.fromkeys([*COUNTED, *found.policies])
@@ -138,8 +138,10 @@
     states, depths, examples = {}, {}, []
     for name, shape in shapes.items():
         make = lambda shape=shape: explore.PlacementWorld(shape)  # noqa: E731
-        found_ = explore.explore(make, 6 if given.quick else 9, 1_500 if given.quick else 40_000)
-        walked = explore.random_walks(make, 60 if given.quick else 5_000, 60, given.seed)
+        found_ = explore.explore(
+            make, 6 if arguments.quick else 9, 1_500 if arguments.quick else 40_000
+        )
+        walked = explore.random_walks(make, 60 if arguments.quick else 5_000, 60, arguments.seed)
         states[name], depths[name] = found_.states, found_.depth
         examples += [one.what for one in (found_, walked) if one.what]
     for name, shape_ in {
@@ -147,14 +149,16 @@
         "views, incremental": explore.SubscriptionShape(True),
     }.items():
         make_ = lambda shape_=shape_: explore.SubscriptionWorld(shape_)  # noqa: E731
-        found_ = explore.explore(make_, 7 if given.quick else 12, 1_500 if given.quick else 40_000)
+        found_ = explore.explore(
+            make_, 7 if arguments.quick else 12, 1_500 if arguments.quick else 40_000
+        )
         walked = explore.random_walks(
             lambda shape_=shape_: explore.SubscriptionWorld(
                 shape_._replace(changes=8, refusals=2, losses=3)
             ),
-            60 if given.quick else 5_000,
+            60 if arguments.quick else 5_000,
             60,
-            given.seed,
+            arguments.seed,
         )
         states[name], depths[name] = found_.states, found_.depth
         examples += [one.what for one in (found_, walked) if one.what]
@@ -163,11 +167,11 @@
         "explored_depth": depths,
         "counterexamples": len(examples),
     }
-    clean = Fleet(FAULTY, "module", given.seed)
+    clean = Fleet(FAULTY, "module", arguments.seed)
     clean.run()
     found_faults = []
     for name, (spoil, check) in FAULTS.items():
-        fleet = Fleet(FAULTY, "module", given.seed, spoil)
+        fleet = Fleet(FAULTY, "module", arguments.seed, spoil)
         fleet.run()
         told = {
             f"rule {rule}" for rule in fleet.rules.violation_counts
@@ -183,7 +187,7 @@
         }
         | clean.design_violations(),
     }
-    return tell(
+    return report_figures(
         "The lab",
         figures,
         [
@@ -198,7 +202,7 @@
             ("a deliberate fault is not found", len(found_faults) == len(FAULTS)),
             ("an alarm without a fault", not figures["alarms_without_a_fault"]),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.lab.counted import CountSource, run_hard_day
 from corklift.lab.peer_days import HistoryResult, MembershipHistory
 from corklift.lab.peers import EmulatedNetwork, NetworkShape
@@ -38,9 +38,9 @@
     return MembershipHistory(seed, faults=CUTS).run()
 
 
-def detection(given: tuple[int, int]) -> list[float]:
+def detection(arguments: tuple[int, int]) -> list[float]:
     """Periods from a kill until each survivor knew of it, in virtual time."""
-    members, seed = given
+    members, seed = arguments
     net = EmulatedNetwork(NetworkShape(members, settled=True), seed)
     net.start()
     net.run(3)
@@ -57,8 +57,8 @@
     return found
 
 
-def false_dead(given: tuple[int, int]) -> int:
-    members, seed = given
+def false_dead(arguments: tuple[int, int]) -> int:
+    members, seed = arguments
     net = EmulatedNetwork(NetworkShape(members, settled=True, loss=0.1), seed)
     net.start()
     rng = net.rng
@@ -165,8 +165,8 @@
     }
 
 
-def guards(given: tuple[str, int, int, int]) -> tuple[str, int, float]:
-    name, seed, told, balancers = given
+def guards(arguments: tuple[str, int, int, int]) -> tuple[str, int, float]:
+    name, seed, told, balancers = arguments
     way: CountSource = (
         "heard" if name == "heard" else "followed" if name.startswith("followed") else "settings"
     )
@@ -178,22 +178,30 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
-    quick = given.quick
+    arguments = parse_arguments(__doc__)
+    quick = arguments.quick
     processes, emulated = (12, 300) if quick else (40, 1000)
     histories, cuts = (1_000, 300) if quick else (10_000, 2_000)
     period_ms = 300 if quick else 1_000
     with Pool() as pool:
-        days = pool.imap_unordered(history, range(given.seed, given.seed + histories), 20)
-        parted = pool.imap_unordered(cut, range(given.seed, given.seed + cuts), 20)
+        days = pool.imap_unordered(history, range(arguments.seed, arguments.seed + histories), 20)
+        parted = pool.imap_unordered(cut, range(arguments.seed, arguments.seed + cuts), 20)
         periods = pool.map(
             detection,
-            [(size, given.seed + at) for size in (40, emulated) for at in range(2 if quick else 4)],
+            [
+                (size, arguments.seed + at)
+                for size in (40, emulated)
+                for at in range(2 if quick else 4)
+            ],
             1,
         )
         wrong = pool.map(
             false_dead,
-            [(size, given.seed + at) for size in (8, 40, 100) for at in range(2 if quick else 12)],
+            [
+                (size, arguments.seed + at)
+                for size in (8, 40, 100)
+                for at in range(2 if quick else 12)
+            ],
             1,
         )
         sizes = (10, 100, emulated)
@@ -201,7 +209,7 @@
         found, parts = list(days), list(parted)
         size = 30 if quick else 60
         plays = [
-            (name, given.seed + at, told, size)
+            (name, arguments.seed + at, told, size)
             for at in range(1 if quick else 4)
             for name, told in (
                 ("settings", size),
@@ -216,7 +224,7 @@
         for name, number, share in pool.imap_unordered(guards, plays, 1):
             fell[name] = fell.get(name, 0) + number
             service.setdefault(name, []).append(share)
-    played = real(processes, period_ms, given.seed, 2 if quick else 5)
+    played = real(processes, period_ms, arguments.seed, 2 if quick else 5)
     half = len(periods) // 2
     small, large = sum(periods[:half], []), sum(periods[half:], [])
     bad = [day for day in [*found, *parts] if day.problems]
@@ -247,7 +255,7 @@
             name: round(sum(shares) / len(shares), 4) for name, shares in sorted(service.items())
         },
     }
-    return tell(
+    return report_figures(
         "Membership",
         figures,
         [
@@ -263,7 +271,7 @@
             ("a count fell through a partition", played["least_count"] >= processes),
             ("bytes grow with the fleet", figures["bytes_ratio"] < 1.3),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -20,7 +20,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.lab import power as lab
 from corklift.rig import power_days as rig
 
@@ -59,8 +59,8 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
-    quick, seed = given.quick, given.seed
+    arguments = parse_arguments(__doc__)
+    quick, seed = arguments.quick, arguments.seed
     figures: dict[str, Any] = {}
     broken: list[str] = []
     total: Counter[str] = Counter()
@@ -213,7 +213,7 @@
         }
         for name in dict.fromkeys(name for name, _ in seen_by)
     }
-    return tell(
+    return report_figures(
         "A loss of power",
         figures,
         [
@@ -234,7 +234,7 @@
             ("an order of return that knows is much faster", not against or median(against) < 1.3),
             ("hardly faster than today's", not late or figures["restored_vs_today"] < 0.5),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -1,4 +1,4 @@
-"""How every benchmark tells what it found: a table, and one JSON object as the last line."""
+"""Command line and output of every benchmark: a table, and one JSON object as the last line."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from typing import Any
 
 
-def arguments(doc: str | None) -> argparse.Namespace:
-    """`quick`, `seed` and `json`, as all benchmarks take them."""
+def parse_arguments(doc: str | None) -> argparse.Namespace:
+    """Returns `quick`, `seed` and `json`, the options that all benchmarks have."""
     parser = argparse.ArgumentParser(
         description=doc, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -19,17 +19,21 @@
     return parser.parse_args()
 
 
-def tell(
-    title: str, figures: dict[str, Any], rules: Sequence[tuple[str, bool]], path: str | None
+def report_figures(
+    title: str, figures: dict[str, Any], checks: Sequence[tuple[str, bool]], path: str | None
 ) -> int:
-    """Prints the table, then the object; returns the exit code, 1 where a rule is broken."""
+    """Prints the figures as a table and as JSON, and writes the JSON to `path` if that is given.
+
+    Each check is the description of a failure, and whether the check passed. The exit code that is
+    returned is 1 if a check failed, else 0.
+    """
     print(f"\n{title} (simulated peers on loopback)")
     width = max(map(len, figures))
     for name, value in figures.items():
         print(f"  {name:{width}}  {value}")
-    broken = [text for text, kept in rules if not kept]
-    for text in broken:
-        print(f"  broken: {text}")
+    broken = [failure for failure, passed in checks if not passed]
+    for failure in broken:
+        print(f"  broken: {failure}")
     line = json.dumps(figures | {"broken": broken})
     if path:
         with open(path, "w", encoding="utf-8") as file:
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -18,7 +18,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.rig.fleet import Rig, Shape
 from corklift.rig.links import NO_FAULT, Fault
 from corklift.rig.scenario import Disruption, FaultTable, Scenario, ShapeTable
@@ -74,7 +74,7 @@
 def spoilt(name: str, seed: int, folder: str) -> tuple[str, int, str]:
     """Every balancer has the fault where it takes several to show, else one of five."""
     troubles, shape = FAULTS[name]
-    given = Scenario(
+    scenario_of_fault = Scenario(
         name=f"A deliberate fault: {name}",
         seconds=9.0,
         agree=name == "never_probes",
@@ -83,7 +83,7 @@
     )
     path = os.path.join(folder, f"{name}.json")
     with open(path, "wb") as file:
-        file.write(msgspec.json.encode(given))
+        file.write(msgspec.json.encode(scenario_of_fault))
     everywhere = name in ("no_cold_guard", "never_probes", "sends_twice")
     spoil = [
         word
@@ -141,17 +141,17 @@
 def main() -> int:
     import tempfile
 
-    given = arguments(__doc__)
+    arguments = parse_arguments(__doc__)
     names = (
         list(QUICK)
-        if given.quick
+        if arguments.quick
         else sorted(name[:-5] for name in os.listdir(FOLDER) if name.endswith(".toml"))
     )
-    faults = list(QUICK_FAULTS) if given.quick else list(FAULTS)
+    faults = list(QUICK_FAULTS) if arguments.quick else list(FAULTS)
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(4) as pool:
-        played = [pool.submit(scenario, name, given.seed) for name in names]
-        found = [pool.submit(spoilt, name, given.seed, folder) for name in faults]
-        today = pool.submit(scenario, "more_than_told", given.seed, False)
+        played = [pool.submit(scenario, name, arguments.seed) for name in names]
+        found = [pool.submit(spoilt, name, arguments.seed, folder) for name in faults]
+        today = pool.submit(scenario, "more_than_told", arguments.seed, False)
         results, seeded = [job.result() for job in played], [job.result() for job in found]
         fallen = today.result()[2].count("rule 4 broken")
     figures = {
@@ -161,8 +161,8 @@
         "seeded_faults_found": sum(code == 1 for _, code, _ in seeded),
         "fallen_today": fallen,
         "fallen": sum("rule 4 broken" in text for _, _, text in results),
-    } | cost(given.seed, given.quick)
-    return tell(
+    } | cost(arguments.seed, arguments.quick)
+    return report_figures(
         "The rig",
         figures,
         [
@@ -173,7 +173,7 @@
             ),
             ("stalled peers slow logins", figures["login_p99_ratio_stalled_peers"] < 1.15),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -18,7 +18,7 @@
 from random import Random
 from statistics import median
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.rig.store_days import DISK_KINDS, run_history
 from corklift.store.files import DiskFiles
 from corklift.store.log import Store
@@ -119,11 +119,11 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
-    number = 2_000 if given.quick else 20_000
+    arguments = parse_arguments(__doc__)
+    number = 2_000 if arguments.quick else 20_000
     each = number // len(DISK_KINDS) // 8
     jobs = [
-        (kind, given.seed * 1_000_000 + part * each, each)
+        (kind, arguments.seed * 1_000_000 + part * each, each)
         for kind in DISK_KINDS
         for part in range(8)
     ]
@@ -135,9 +135,9 @@
             total += found
             by_kind[kind] += found
             broken += [what] if what else []
-    rng = Random(given.seed)
+    rng = Random(arguments.seed)
     with tempfile.TemporaryDirectory(dir=os.getcwd()) as folder:
-        ratio, commits_s, pairs, room = speed(folder, rng, 5 if given.quick else 15, 300)
+        ratio, commits_s, pairs, room = speed(folder, rng, 5 if arguments.quick else 15, 300)
         small, large = recovery(folder, rng, 10_000_000, 5), recovery(folder, rng, 100_000_000, 3)
         longest = pause(folder, rng)
     figures = {
@@ -157,7 +157,7 @@
         "space_amplification": round(room, 2),
         "longest_commit_while_compacting_ms": round(longest, 1),
     }
-    return tell(
+    return report_figures(
         "A store",
         figures,
         [
@@ -168,7 +168,7 @@
             ("commits are slower than 0.8 of a plain file's", ratio > 0.8),
             ("a start is not linear", large / small < 12),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -12,7 +12,7 @@
 import time
 from random import Random
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.rig.disks import MemoryDisk
 from corklift.store.format import (
     BATCH,
@@ -62,7 +62,7 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
+    arguments = parse_arguments(__doc__)
     began = time.monotonic()
     counts = {
         "cuts": 0,
@@ -87,16 +87,16 @@
         counts[kind] += 1
         broken.append(f"{what}: {kind}")
 
-    for turn in range(1 if given.quick else 4):
-        rng = Random(f"{given.seed}/{turn}")
-        name, content, states = written(rng, 6, 30 if given.quick else 80, 300)
+    for turn in range(1 if arguments.quick else 4):
+        rng = Random(f"{arguments.seed}/{turn}")
+        name, content, states = written(rng, 6, 30 if arguments.quick else 80, 300)
         for at in range(len(content) + 1):
             counts["cuts"] += 1
             wanted = [state for end, state in states if end <= at][-1:] or [{}]
             judge(
                 f"cut at {at}", name, content[:at], wanted[0], [{}] + [state for _, state in states]
             )
-        name, content, states = written(rng, 3, 8 if given.quick else 14, 60)
+        name, content, states = written(rng, 3, 8 if arguments.quick else 14, 60)
         for bit in range(8 * len(content)):
             counts["flips"] += 1
             flipped = bytearray(content)
@@ -109,7 +109,7 @@
                 [{}] + [state for _, state in states],
             )
     figures = counts | {"seconds": round(time.monotonic() - began, 1)}
-    return tell(
+    return report_figures(
         "A store cut and flipped",
         figures,
         [
@@ -117,7 +117,7 @@
             ("a commit is gone without a word", not counts["lost_commits"]),
             *((text, False) for text in broken[:5]),
         ],
-        given.json,
+        arguments.json,
     )
 
 
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -23,7 +23,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import arguments, tell
+from benchmarks.report import parse_arguments, report_figures
 from corklift.control import resources
 from corklift.control.resources import ServerEndpoint
 from corklift.control.service import CSDS
@@ -460,12 +460,12 @@
 
 
 def main() -> int:
-    given = arguments(__doc__)
-    bench = Bench(given.quick, given.seed)
+    arguments = parse_arguments(__doc__)
+    bench = Bench(arguments.quick, arguments.seed)
     bench.run()
     figures = bench.figures
     costs = list(figures["cpu_us_per_proxy_update"].values())
-    return tell(
+    return report_figures(
         "Decisions over xDS",
         figures,
         [
@@ -484,7 +484,7 @@
             ("an update costs more the more proxies there are", costs[2] < 1.5 * costs[0] + 20),
             ("an exception on the way", not bench.problems),
         ],
-        given.json,
+        arguments.json,
     )
 
 
