--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.lab import explore
 from corklift.lab.experiment import Run, execute_run, load_experiment
 from corklift.lab.faults import FAULTS
@@ -187,7 +187,7 @@
         }
         | clean.design_violations(),
     }
-    return report_figures(
+    return tell(
         "The lab",
         figures,
         [
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.lab.counted import CountSource, run_hard_day
 from corklift.lab.peer_days import HistoryResult, MembershipHistory
 from corklift.lab.peers import EmulatedNetwork, NetworkShape
@@ -255,7 +255,7 @@
             name: round(sum(shares) / len(shares), 4) for name, shares in sorted(service.items())
         },
     }
-    return report_figures(
+    return tell(
         "Membership",
         figures,
         [
--- a/benchmarks/power.py
+++ b/benchmarks/power.py
@@ -20,7 +20,7 @@
 from statistics import median
 from typing import Any
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.lab import power as lab
 from corklift.rig import power_days as rig
 
@@ -213,7 +213,7 @@
         }
         for name in dict.fromkeys(name for name, _ in seen_by)
     }
-    return report_figures(
+    return tell(
         "A loss of power",
         figures,
         [
--- a/benchmarks/report.py
+++ b/benchmarks/report.py
@@ -19,7 +19,7 @@
     return parser.parse_args()
 
 
-def report_figures(
+def tell(
     title: str, figures: dict[str, Any], checks: Sequence[tuple[str, bool]], path: str | None
 ) -> int:
     """Prints the figures as a table and as JSON, and writes the JSON to `path` if that is given.
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -18,7 +18,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.rig.fleet import Rig, Shape
 from corklift.rig.links import NO_FAULT, Fault
 from corklift.rig.scenario import Disruption, FaultTable, Scenario, ShapeTable
@@ -162,7 +162,7 @@
         "fallen_today": fallen,
         "fallen": sum("rule 4 broken" in text for _, _, text in results),
     } | cost(arguments.seed, arguments.quick)
-    return report_figures(
+    return tell(
         "The rig",
         figures,
         [
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -18,7 +18,7 @@
 from random import Random
 from statistics import median
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.rig.store_days import DISK_KINDS, run_history
 from corklift.store.files import DiskFiles
 from corklift.store.log import Store
@@ -157,7 +157,7 @@
         "space_amplification": round(room, 2),
         "longest_commit_while_compacting_ms": round(longest, 1),
     }
-    return report_figures(
+    return tell(
         "A store",
         figures,
         [
--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -12,7 +12,7 @@
 import time
 from random import Random
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.rig.disks import MemoryDisk
 from corklift.store.format import (
     BATCH,
@@ -109,7 +109,7 @@
                 [{}] + [state for _, state in states],
             )
     figures = counts | {"seconds": round(time.monotonic() - began, 1)}
-    return report_figures(
+    return tell(
         "A store cut and flipped",
         figures,
         [
--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -23,7 +23,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.report import parse_arguments, report_figures
+from benchmarks.report import parse_arguments, tell
 from corklift.control import resources
 from corklift.control.resources import ServerEndpoint
 from corklift.control.service import CSDS
@@ -465,7 +465,7 @@
     bench.run()
     figures = bench.figures
     costs = list(figures["cpu_us_per_proxy_update"].values())
-    return report_figures(
+    return tell(
         "Decisions over xDS",
         figures,
         [
