--- a/benchmarks/xds_proxies.py
+++ b/benchmarks/xds_proxies.py
@@ -1,4 +1,8 @@
-"""A process of stand-in proxies for `benchmarks.xds`; told what to do by JSON lines on its standard input."""
+"""A process of stand-in proxies for `benchmarks.xds`, controlled by JSON lines on standard input.
+
+Keys of a line: `rate` (logins a second), `hold` (mean time of a connection, ns), `even` (ignore the
+weights) and `calm` (no proxy disconnects any more). Prints one line of JSON when its input ends.
+"""
 
 from __future__ import annotations
 
@@ -12,34 +16,36 @@
 from corklift.rpc.core import RpcLimits
 from corklift.standins.proxy import Proxy, ProxyBehaviour
 
-READS_EVERY = 120 * MS  # of a slow proxy
-DROPS_EVERY = 5 * SECOND  # of a disconnecting one, about
+SLOW_READ_INTERVAL = 120 * MS
+MEAN_DISCONNECT_INTERVAL = 5 * SECOND
+
 
+class ProxyProcess:
+    """The proxies, the logins that they place, and the servers that left their assignments."""
 
-class Process:
-    def __init__(self, port: int, first: int, number: int, seed: int) -> None:
+    def __init__(self, port: int, first_index: int, count: int, seed: int) -> None:
         self.scheduler = Scheduler(wall_clock(), lambda trace: print(trace, file=sys.stderr))
         self.counters = Counters()
         self.rng = Random(seed)
-        self.rate, self.hold = 0.0, SECOND
+        self.logins_per_s, self.mean_hold_ns = 0.0, SECOND
         self.proxies = []
-        self.left: list[
-            tuple[str, int, int]
-        ] = []  # a server left a view: which, when, since when it was connected
-        for at in range(first, first + number):
-            # A tenth of them is slow or breaks off; half speak each variant.
+        # The server, when it left a proxy's assignment, and when that proxy had connected.
+        self.removals: list[tuple[str, int, int]] = []
+        for index in range(first_index, first_index + count):
+            # One in twenty reads slowly and one in twenty disconnects; half use the incremental
+            # protocol.
             behaviour = ProxyBehaviour(
-                incremental=at % 2 == 1,
-                read_interval=READS_EVERY if at % 20 == 7 else 0,
-                disconnect_interval=DROPS_EVERY if at % 20 == 17 else 0,
+                incremental=index % 2 == 1,
+                read_interval=SLOW_READ_INTERVAL if index % 20 == 7 else 0,
+                disconnect_interval=MEAN_DISCONNECT_INTERVAL if index % 20 == 17 else 0,
             )
             self.proxies.append(
                 Proxy(
                     self.scheduler,
                     self.counters,
                     ("127.0.0.1", port),
-                    f"proxy-{at:04}",
-                    Random(seed * 1000 + at),
+                    f"proxy-{index:04}",
+                    Random(seed * 1000 + index),
                     behaviour,
                     RpcLimits(ping_after=0, initial_backoff=200 * MS, ring=8192),
                 )
@@ -47,50 +53,60 @@
 
     def run(self) -> None:
         for proxy in self.proxies:
-            proxy.view_changed = self._note
+            proxy.view_changed = self._record_removals
             proxy.start()
-        self.scheduler.spawn(self._listen)
-        self.scheduler.spawn(self._load)
+        self.scheduler.spawn(self._read_commands)
+        self.scheduler.spawn(self._login_loop)
         self.scheduler.run()
-        print(json.dumps({"counters": dict(self.counters), "left": self.left}))
+        print(json.dumps({"counters": dict(self.counters), "left": self.removals}))
 
-    def _note(self, proxy: Proxy, names: set[str], now: set[str]) -> None:
-        self.left += [(name, self.scheduler.now(), proxy.connected_at) for name in names - now]
+    def _record_removals(
+        self, proxy: Proxy, previous_names: set[str], current_names: set[str]
+    ) -> None:
+        self.removals += [
+            (name, self.scheduler.now(), proxy.connected_at)
+            for name in previous_names - current_names
+        ]
 
-    def _listen(self) -> None:
+    def _read_commands(self) -> None:
         os.set_blocking(0, False)
-        held = b""
+        buffer = b""
         while True:
             self.scheduler.wait({0: READ})
-            part = os.read(0, 65536)
-            if not part:
+            chunk = os.read(0, 65536)
+            if not chunk:
                 self.scheduler.stop()
                 return
-            *lines, held = (held + part).split(b"\n")
+            *lines, buffer = (buffer + chunk).split(b"\n")
             for line in lines:
-                told = json.loads(line)
-                self.rate, self.hold = told.get("rate", self.rate), told.get("hold", self.hold)
+                command = json.loads(line)
+                self.logins_per_s, self.mean_hold_ns = (
+                    command.get("rate", self.logins_per_s),
+                    command.get("hold", self.mean_hold_ns),
+                )
                 for proxy in self.proxies:
                     proxy.behaviour = proxy.behaviour._replace(
-                        even=told.get("even", proxy.behaviour.even)
+                        even=command.get("even", proxy.behaviour.even)
                     )
-                if told.get("calm"):
+                if command.get("calm"):
                     for proxy in self.proxies:
                         proxy.behaviour = proxy.behaviour._replace(disconnect_interval=10**18)
 
-    def _load(self) -> None:
-        due = self.scheduler.now()
+    def _login_loop(self) -> None:
+        due_at = self.scheduler.now()
         while True:
-            if not self.rate:
+            if not self.logins_per_s:
                 self.scheduler.sleep(20 * MS)
-                due = self.scheduler.now()
+                due_at = self.scheduler.now()
                 continue
-            due += int(self.rng.expovariate(self.rate) * SECOND)
-            if due > self.scheduler.now():
-                self.scheduler.sleep(due - self.scheduler.now())
+            due_at += int(self.rng.expovariate(self.logins_per_s) * SECOND)
+            if due_at > self.scheduler.now():
+                self.scheduler.sleep(due_at - self.scheduler.now())
             proxy = self.rng.choice(self.proxies)
-            self.scheduler.spawn(proxy.place, "plain", int(self.hold * self.rng.expovariate(1.0)))
+            self.scheduler.spawn(
+                proxy.place, "plain", int(self.mean_hold_ns * self.rng.expovariate(1.0))
+            )
 
 
 if __name__ == "__main__":
-    Process(*map(int, sys.argv[1:5])).run()
+    ProxyProcess(*map(int, sys.argv[1:5])).run()
