--- a/corklift/benchlink/__main__.py
+++ b/corklift/benchlink/__main__.py
@@ -138,7 +138,7 @@
             try:
                 settings = json.loads(content)
             except ValueError as problem:
-                raise SettingsError(f"settings: invalid JSON: {problem}") from None
+                raise SettingsError(f"settings: no JSON text: {problem}") from None
             arguments, self._report_fields[instance] = translate(settings)
             host = InstanceHost(instance, self.reply)
             self._balancers[instance] = Balancer(
--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -150,7 +150,7 @@
             raise ValueError
     except (OSError, ValueError):
         raise ControlConfigError(
-            f"config: {key} is {text!r}, expected an IPv4 address and a port"
+            f"config: {key} holds {text!r}, an IPv4 address and a port are needed"
         ) from None
     return host, int(port)
 
@@ -170,26 +170,25 @@
         ]
         names = [workload.name for workload in self.workloads]
         if len(set(names)) < len(names):
-            raise ControlConfigError("config: workloads has a duplicate name")
+            raise ControlConfigError("config: workloads has a name twice")
         for index, workload in enumerate(table.workloads):
             if workload.soft_limit_ms > workload.time_limit_ms:
                 raise ControlConfigError(
-                    f"config: workloads[{index}].soft_limit_ms exceeds time_limit_ms"
+                    f"config: workloads[{index}].soft_limit_ms is over its time_limit_ms"
                 )
         self.listeners = []
         for index, listener_table in enumerate(table.listeners):
             for number, route in enumerate(listener_table.routes):
                 if route.workload not in names:
                     raise ControlConfigError(
-                        f"config: listeners[{index}].routes[{number}].workload is "
-                        f"{route.workload!r}, which is not one of workloads"
+                        f"config: listeners[{index}].routes[{number}].workload names "
+                        f"{route.workload!r}, which workloads does not have"
                     )
             if listener_table.protocol == "tcp" and (
                 listener_table.address is None or len(listener_table.routes) > 1
             ):
                 raise ControlConfigError(
-                    f"config: listeners[{index}].protocol is tcp, "
-                    "which requires an address and exactly one route"
+                    f"config: listeners[{index}].protocol is tcp: it needs an address and one route"
                 )
             address = (
                 _address(listener_table.address, f"listeners[{index}].address")
@@ -205,7 +204,7 @@
                 )
             )
         if len({listener.name for listener in self.listeners}) < len(self.listeners):
-            raise ControlConfigError("config: listeners has a duplicate name")
+            raise ControlConfigError("config: listeners has a name twice")
         freshness = table.freshness
         self.endpoint_stale_after, self.ttl = (
             freshness.endpoint_stale_after_ms * MS,
@@ -215,7 +214,7 @@
         if 0 < shortest < 300 * MS:
             raise ControlConfigError(
                 "config: freshness.ttl_ms or endpoint_stale_after_ms is under 300: "
-                "endpoints would expire before they are refreshed"
+                "proxies would run dry"
             )
         limits = table.limits
         self.subscription_settings = subscriptions.SubscriptionSettings(
--- a/corklift/control/resources.py
+++ b/corklift/control/resources.py
@@ -255,7 +255,7 @@
     parse_message(message, content)
     kind = KINDS_BY_TYPE_URL.get(message.type_url)
     if kind is None:
-        raise InvalidRequestError(f"resource type not served: {message.type_url:.200}")
+        raise InvalidRequestError(f"no resources of type {message.type_url:.200}")
     error = (
         f"{message.error_detail.code}: {message.error_detail.message:.1000}"
         if message.HasField("error_detail")
@@ -290,4 +290,4 @@
     try:
         message.ParseFromString(content)
     except DecodeError as error:
-        raise InvalidRequestError(f"can't parse {type(message).__name__}: {error}") from None
+        raise InvalidRequestError(f"not a {type(message).__name__}: {error}") from None
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -112,7 +112,7 @@
                     subscriptions.stream_writable(self._scheduler.now(), number)
                 else:
                     call.wait()
-            raise RpcError(Code.UNAVAILABLE, "control service is shutting down")
+            raise RpcError(Code.UNAVAILABLE, "this control service goes away")
         except (InvalidRequestError, TooManyNamesError) as error:
             self._counters["bad requests of proxies"] += 1
             self._log(
@@ -189,11 +189,11 @@
                     > MAX_REPORTED_SERVERS
                 ):
                     raise InvalidRequestError(
-                        f"load report exceeds the limit of {MAX_REPORTED_SERVERS} servers"
+                        f"a report of more than {MAX_REPORTED_SERVERS} servers"
                     )
                 for stats in request.cluster_stats:
                     self._record_report(stats)
-            raise RpcError(Code.UNAVAILABLE, "control service is shutting down")
+            raise RpcError(Code.UNAVAILABLE, "this control service goes away")
         except InvalidRequestError as error:
             self._counters["bad requests of proxies"] += 1
             raise RpcError(Code.INVALID_ARGUMENT, str(error)) from None
@@ -221,7 +221,7 @@
     def _fetch_status(self, call: RpcCall) -> None:
         message = call.receive()
         if message is None:
-            raise RpcError(Code.INVALID_ARGUMENT, "request is missing")
+            raise RpcError(Code.INVALID_ARGUMENT, "no request came")
         call.send_nowait(self._status(message))
 
     def _stream_status(self, call: RpcCall) -> None:
@@ -240,7 +240,7 @@
             for matcher in matchers
         ):
             raise RpcError(
-                Code.UNIMPLEMENTED, "node matchers must be exact, prefix, suffix or contains"
+                Code.UNIMPLEMENTED, "nodes are matched by exact, prefix, suffix or contains"
             )
         answer = csds_pb2.ClientStatusResponse()
         for index, stream in enumerate(
--- a/corklift/control/subscriptions.py
+++ b/corklift/control/subscriptions.py
@@ -268,8 +268,7 @@
             self._handle_answer(now, subscription, nonce, error)
         if len(names) > self.settings.max_names:
             raise TooManyNamesError(
-                f"subscription to {len(names)} {kind.name.lower()} "
-                f"exceeds the limit of {self.settings.max_names}"
+                f"{len(names)} names of {kind.name.lower()}, {self.settings.max_names} are allowed"
             )
         plain_names = set(names) - {WILDCARD}
         same = not first and plain_names == subscription.names
@@ -328,7 +327,7 @@
             or len(initial_versions) > self.settings.max_names
         ):
             raise TooManyNamesError(
-                f"subscription exceeds the limit of {self.settings.max_names} {kind.name.lower()}"
+                f"more than {self.settings.max_names} names of {kind.name.lower()}"
             )
         if first:
             subscription.wildcard = kind.sent_in_full and not subscribe
--- a/corklift/membership/core.py
+++ b/corklift/membership/core.py
@@ -331,7 +331,7 @@
         if self.rejected:
             self._host.send_reply(
                 call_id,
-                self._message(now, NACK, reason="this process is not a member of the fleet"),
+                self._message(now, NACK, reason="not of the fleet"),
             )
             return
         if message.sender.instance_id == self.own_record.instance_id:
@@ -348,7 +348,7 @@
             and message.target_name != self.own_record.name
         ):
             self._host.send_reply(
-                call_id, self._message(now, NACK, reason="this is not the intended process")
+                call_id, self._message(now, NACK, reason="not the process that is meant")
             )
         elif message.kind == PING:
             self._host.send_reply(call_id, self._message(now, ACK, receiver=message.sender.name))
@@ -360,9 +360,7 @@
         else:
             self._host.send_reply(
                 call_id,
-                self._message(
-                    now, UNKNOWN, reason=f"unknown kind of message: {message.kind[:40]!r}"
-                ),
+                self._message(now, UNKNOWN, reason=f"{message.kind[:40]!r} is not known here"),
             )
 
     def detect_pause(self, now: int) -> None:
@@ -887,7 +885,7 @@
             elif reply.kind == ACK and not self.joined:
                 self.joined = True
                 self._table_synced = reply.digest == self._digest
-                self._host.log(f"joined the fleet through {reply.sender.name} at {address}")
+                self._host.log(f"joined by {reply.sender.name} at {address}")
 
         self._request(
             now, JOIN, MemberRecord("", address, 0, 0, 0, ALIVE), address=address, callback=callback
--- a/corklift/membership/messages.py
+++ b/corklift/membership/messages.py
@@ -94,5 +94,5 @@
             or len(record.address) > 21
             or len(record.zone) + len(record.version) + len(record.reporter) > 300
         ):
-            raise MessageDecodeError(f"record of {record.name[:40]!r} is out of bounds")
+            raise MessageDecodeError(f"a word about {record.name[:40]!r}")
     return message
--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -389,7 +389,7 @@
             )
             while not replies:
                 if self._scheduler.now() >= until or call.ended:
-                    raise RpcError(Code.UNAVAILABLE, "no reply in time")
+                    raise RpcError(Code.UNAVAILABLE, "nothing to answer in time")
                 self._scheduler.wait(
                     {}, until if call.deadline is None else min(until, call.deadline)
                 )
@@ -426,9 +426,7 @@
     def _forget(self, call: RpcCall, request: bytes) -> bytes:
         name = request.decode("utf-8", "replace")
         if not self.core.forget(self._scheduler.now(), name):
-            raise RpcError(
-                Code.FAILED_PRECONDITION, f"{name[:60]!r} is not considered dead by this balancer"
-            )
+            raise RpcError(Code.FAILED_PRECONDITION, f"{name[:60]!r} is not held for dead here")
         self._log_event("forgotten", member=name)
         return b""
 
--- a/corklift/net/admin.py
+++ b/corklift/net/admin.py
@@ -86,7 +86,7 @@
         if not method:
             return AdminResponse(404, f"There is no {request.path:.80} here.\n")
         if request.method != method:
-            return AdminResponse(405, f"{request.path} requires the method {method}.\n")
+            return AdminResponse(405, f"{request.path} is called by {method}.\n")
         return self._endpoints[request.path][1](request)
 
     def _health(self, request: HttpRequest) -> AdminResponse:
@@ -218,11 +218,11 @@
             status, text = self._handler.handle(request)
             headers = f"Allow: {self._handler.method(request.path)}\r\n" if status == 405 else ""
         except MessageTooLongError as problem:
-            status, text, headers = 413, f"The request is too long: {problem}.\n", ""
+            status, text, headers = 413, f"The call is too long: {problem}.\n", ""
         except Malformed as problem:
-            status, text, headers = 400, f"The request can't be parsed: {problem}.\n", ""
+            status, text, headers = 400, f"The call can't be read: {problem}.\n", ""
         except Late:
-            status, text, headers = 408, "The request was not complete in time.\n", ""
+            status, text, headers = 408, "No whole call has come.\n", ""
         self._counters["operators' calls" if status == 200 else "operators' calls turned down"] += 1
         return format_http_response(status, text, headers)
 
--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -945,7 +945,7 @@
         if self.admission is not None:
             self.admission.login_finished(fulfilled)
             if self.admission.unrestricted and self.phase is RecoveryPhase.OPEN:
-                self._enter(now, RecoveryPhase.FULL, "servers accept all logins")
+                self._enter(now, RecoveryPhase.FULL, "servers bear it")
 
     def exploration_state(self, now: int) -> object:
         """Returns all state that affects future behaviour, for state space exploration.
@@ -990,7 +990,7 @@
         """The servers that may serve, and whether the first probe of each has ended."""
         if self.phase is RecoveryPhase.LOOK and ready and all_probed:
             if self.live_peer_replied:
-                self._enter(now, RecoveryPhase.FULL, "other balancers kept serving")
+                self._enter(now, RecoveryPhase.FULL, "others served on")
                 return
             self.admission = AdmissionControl(
                 now,
@@ -1028,7 +1028,7 @@
         config = self.config
         if self.phase is RecoveryPhase.READ and (self._store_done or now >= self._store_deadline):
             if not self._store_done:
-                self.store_error = self.store_error or "the store has not been loaded in time"
+                self.store_error = self.store_error or "it has not answered"
                 # Treated as empty until it is loaded.
                 self._store_done = self.starts_empty = True
             self._enter(now, RecoveryPhase.ASK, self.store_error or "read")
@@ -1094,7 +1094,7 @@
             now,
             RecoveryPhase.LOOK,
             f"{len(self.replies)} peers answered"
-            + ("" if self.state_complete else ", too few to know all facts"),
+            + ("" if self.state_complete else ", not enough to know all"),
         )
 
     def _enter(self, now: int, phase: RecoveryPhase, reason: str) -> None:
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -524,8 +524,7 @@
                 raise IncompleteOperationError(
                     AdminResponse(
                         503,
-                        "The store is not loaded or peers have not replied yet; "
-                        "nothing was changed.\n",
+                        "It has not read its disk and heard its peers yet; nothing was changed.\n",
                     )
                 )
             self._scheduler.sleep(self._period // POLLS_PER_PERIOD)
@@ -554,9 +553,9 @@
             raise IncompleteOperationError(
                 AdminResponse(
                     202,
-                    f"Server {name:.80} is {'out of service' if out_of_service else 'in service'} "
-                    f"here, but only {copies} of {wanted} disks store this: it may be lost in a "
-                    "power failure. Repeat the request.\n",
+                    f"Server {name:.80} is {'out' if out_of_service else 'free to serve'} here, "
+                    f"but {copies} of {wanted} disks keep this: it may be forgotten in a loss of "
+                    "power. Say it again.\n",
                 )
             )
         return True
@@ -578,7 +577,7 @@
 
     def _serve_state_request(self, call: RpcCall, request: bytes) -> bytes:
         if self._open_requests >= MAX_STATE_REQUESTS:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "too many state requests at once")
+            raise RpcError(Code.RESOURCE_EXHAUSTED, "too many ask at once")
         self._open_requests += 1
         try:
             message = decode(StateRequest, request)
--- a/corklift/recovery/facts.py
+++ b/corklift/recovery/facts.py
@@ -167,18 +167,16 @@
         or len(fact.source) > MAX_NAME_LENGTH
         or not 1 <= len(fact.version) <= 4
     ):
-        raise FactDecodeError(f"fact of {fact.name[:40]!r} is out of bounds")
+        raise FactDecodeError(f"a fact about {fact.name[:40]!r}")
     try:
         if fact.kind in (OUT, DRAIN) and not isinstance(fact.value, bool):
-            raise FactDecodeError(
-                f"{fact.kind} of {fact.name[:40]} is not a boolean: {fact.value!r:.40}"
-            )
+            raise FactDecodeError(f"{fact.kind} of {fact.name[:40]} says {fact.value!r:.40}")
         if fact.kind == LIST:
             msgspec.convert(fact.value, _SERVERS)
         if fact.kind == SIZES:
             msgspec.convert(fact.value, dict[str, float])
         if fact.kind == COUNT and (not isinstance(fact.value, int) or not 0 < fact.value <= 4096):
-            raise FactDecodeError(f"count is out of range: {fact.value!r:.40}")
+            raise FactDecodeError(f"a count of {fact.value!r:.40}")
     except msgspec.ValidationError as problem:
         raise FactDecodeError(str(problem)) from None
 
--- a/corklift/recovery/messages.py
+++ b/corklift/recovery/messages.py
@@ -89,7 +89,7 @@
         raise FactDecodeError(str(problem)) from None
     facts = getattr(message, "facts", None) or getattr(message, "newer", ())
     if len(facts) > MAX_FACTS:
-        raise FactDecodeError(f"too many facts: {len(facts)}")
+        raise FactDecodeError(f"{len(facts)} facts")
     for fact in facts:
         validate(fact)
     if isinstance(message, StateReply) and len(message.provenances) != len(message.facts):
--- a/corklift/rig/mutants.py
+++ b/corklift/rig/mutants.py
@@ -84,9 +84,9 @@
 
 def never_probes() -> None:
     """A member sends no probes and ignores every report of a death or a departure."""
-    core.Membership._keep_probing = lambda self, now: setattr(
+    core.Membership._keep_probing = lambda self, now: setattr(  # type: ignore[method-assign]
         self, "_next_probe_at", now + self._config.period
-    )  # type: ignore[method-assign]
+    )
     core.Membership._merge_record = _ignore_deaths(core.Membership._merge_record)  # type: ignore[method-assign]
 
 
--- a/corklift/rpc/connection.py
+++ b/corklift/rpc/connection.py
@@ -163,7 +163,7 @@
 
     def _run_call(self, call: Call, rpc_call: RpcCall) -> None:
         assert self._handle_call is not None
-        error: RpcError | None = RpcError(Code.INTERNAL, "handler failed")
+        error: RpcError | None = RpcError(Code.INTERNAL, "the handler failed")
         try:
             self._handle_call(rpc_call)
             error = None
--- a/corklift/rpc/core.py
+++ b/corklift/rpc/core.py
@@ -120,14 +120,14 @@
         offset = 0
         while len(self._buffer) - offset >= PREFIX_BYTES:
             if self._buffer[offset] == 1:
-                raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not supported")
+                raise RpcError(Code.UNIMPLEMENTED, "compressed messages are not taken")
             if self._buffer[offset]:
-                raise RpcError(Code.INTERNAL, "invalid message prefix")
+                raise RpcError(Code.INTERNAL, "not a message's prefix")
             length = int.from_bytes(self._buffer[offset + 1 : offset + PREFIX_BYTES], "big")
             if length > self._max_bytes:
                 raise RpcError(
                     Code.RESOURCE_EXHAUSTED,
-                    f"message of {length} bytes exceeds the limit of {self._max_bytes}",
+                    f"a message of {length} bytes, {self._max_bytes} are taken",
                 )
             if len(self._buffer) - offset < PREFIX_BYTES + length:
                 break
@@ -153,7 +153,7 @@
     """
     match = _TIMEOUT.fullmatch(value)
     if match is None:
-        raise RpcError(Code.INVALID_ARGUMENT, f"grpc-timeout is malformed: {value!r:.40}")
+        raise RpcError(Code.INVALID_ARGUMENT, f"grpc-timeout holds {value!r:.40}")
     return int(match[1]) * TIMEOUT_UNITS[match[2].decode()]
 
 
--- a/corklift/rpc/server.py
+++ b/corklift/rpc/server.py
@@ -26,7 +26,7 @@
     def handler(call: RpcCall) -> None:
         request = call.receive()
         if request is None:
-            raise RpcError(Code.INVALID_ARGUMENT, "request is missing")
+            raise RpcError(Code.INVALID_ARGUMENT, "no request came")
         call.send_nowait(respond(call, request))
 
     return handler
--- a/corklift/rpc/session.py
+++ b/corklift/rpc/session.py
@@ -229,7 +229,7 @@
             if b"grpc-timeout" in headers:
                 call.deadline = now + parse_timeout(headers[b"grpc-timeout"])
             if self.going_away:
-                raise RpcError(Code.UNAVAILABLE, "server is going away")
+                raise RpcError(Code.UNAVAILABLE, "this server goes away")
             assert self._on_call is not None
             self._on_call(call)
         except RpcError as error:
@@ -304,10 +304,10 @@
             if not call.headers_received:
                 call.error = call.error or RpcError(Code.INTERNAL, "call ended without a status")
             elif call._decoder.has_partial:
-                call.error = call.error or RpcError(Code.INTERNAL, "call ended within a message")
+                call.error = call.error or RpcError(Code.INTERNAL, "ended within a message")
             self._end_call(call, call.error)
         elif call._decoder.has_partial:
-            self.finish(now, call, RpcError(Code.INTERNAL, "call ended within a message"))
+            self.finish(now, call, RpcError(Code.INTERNAL, "ended within a message"))
         call.on_change()
 
     def _on_stream_reset(self, now: int, event: Any) -> None:
@@ -415,7 +415,7 @@
         if call.ended or call.finishing:
             raise call.error or RpcError(Code.CANCELLED, "call has ended")
         if len(call.outbox) + len(message) > self._limits.max_outbox_bytes:
-            raise RpcError(Code.RESOURCE_EXHAUSTED, "outbox is full")
+            raise RpcError(Code.RESOURCE_EXHAUSTED, "too much waits to be sent")
         call.outbox += encode_message(message)
         call.queued_ends.append((call.sent_bytes + len(call.outbox), now))
         self._sending[call.stream_id] = call
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -561,7 +561,7 @@
                 "[report]",
                 '[[listeners]]\nname = "main"\nroutes = [{ workload = "plain" }]\n[report]',
             ),
-            "listeners has a duplicate name",
+            "listeners has a name twice",
         ),
     ],
 )
