--- a/corklift/rig/checker.py
+++ b/corklift/rig/checker.py
@@ -15,13 +15,13 @@
 from corklift.rig.fleet import CLIENT_TIME_LIMIT, DRAIN_GRACE, Event
 
 # Ten times the 50 ms by which a rule is longer on sockets, since the machine may be busy.
-SLACK = 500 * MS
+TIMING_SLACK = 500 * MS
 # For an operator override to get from the balancer that confirmed it to all that can be reached.
-WORD_SLACK = 5 * SECOND
+OVERRIDE_SLACK = 5 * SECOND
 # For a log line to arrive and for a new number of balancers to be applied.
 COUNT_SLACK = 300 * MS
 # Events up to this long before and after a violation are shown with it.
-AROUND = 2 * SECOND
+CONTEXT_SPAN = 2 * SECOND
 
 
 class Violation(NamedTuple):
@@ -33,7 +33,7 @@
 
 
 class FaultPeriod:
-    """A fault, and the time during which it was played."""
+    """A fault and the time during which it was played, from `began` to `over`."""
 
     def __init__(self, event: Event, who: Iterable[str]) -> None:
         self.kind: str = event.fields["kind"]
@@ -48,7 +48,7 @@
         return balancer in self.who or ("client", balancer) in self.pairs
 
     def mutes(self, balancer: str) -> bool:
-        """Tells whether the fault may keep most others from hearing from this balancer.
+        """Tells whether the fault may keep most other balancers from hearing from this one.
 
         A fault of one or two links does not, since other members relay the probes.
         """
@@ -137,7 +137,7 @@
                     "rule 1",
                     f"login {login} at {balancer} has no answer: {event.fields['how']}",
                 )
-            elif event.fields["took_ns"] > CLIENT_TIME_LIMIT + SLACK and not is_excused:
+            elif event.fields["took_ns"] > CLIENT_TIME_LIMIT + TIMING_SLACK and not is_excused:
                 yield Violation(
                     event.at,
                     "rule 1",
@@ -145,7 +145,7 @@
                     f"{event.fields['took_ns'] // MS} ms",
                 )
     for login, request in open_requests.items():
-        if request.at + CLIENT_TIME_LIMIT + SLACK < ended and not any(
+        if request.at + CLIENT_TIME_LIMIT + TIMING_SLACK < ended and not any(
             period.touches(request.fields["balancer"], request.at, ended) for period in periods
         ):
             yield Violation(
@@ -204,7 +204,10 @@
             balancer = balancer_by_login[event.fields["client"]]
             indexes = has.get(balancer, [])
             position = bisect_left(indexes, (leaving[event.source], 0))
-            if position < len(indexes) and event.at > indexes[position][1] + DRAIN_GRACE + SLACK:
+            if (
+                position < len(indexes)
+                and event.at > indexes[position][1] + DRAIN_GRACE + TIMING_SLACK
+            ):
                 yield Violation(
                     event.at,
                     "rule 3",
@@ -240,12 +243,15 @@
             balancer = balancer_by_login[event.fields["client"]]
             is_partitioned = any(
                 period.kind == "links"
-                and period.began <= event.at <= period.over + WORD_SLACK
+                and period.began <= event.at <= period.over + OVERRIDE_SLACK
                 and any(balancer in pair for pair in period.pairs)
                 for period in periods
             )
             if (
-                event.at > since + SLACK + (DRAIN_GRACE if balancer == confirmed_by else WORD_SLACK)
+                event.at
+                > since
+                + TIMING_SLACK
+                + (DRAIN_GRACE if balancer == confirmed_by else OVERRIDE_SLACK)
                 and not is_partitioned
             ):
                 yield Violation(
@@ -272,24 +278,24 @@
 def _check_balancer_counts(events: list[Event]) -> Iterable[Violation]:
     """A balancer never assumes fewer balancers than there are that place logins."""
     placing: set[str] = set()
-    counted: dict[str, int] = {}
+    assumed_counts: dict[str, int] = {}
     # By balancer: since when its number has been too low.
-    low: dict[str, int] = {}
+    too_low_since: dict[str, int] = {}
     stopped: set[str] = set()
 
     def check(now: int) -> Iterable[Violation]:
-        for name, number in counted.items():
+        for name, number in assumed_counts.items():
             if name in placing and name not in stopped and number < len(placing):
-                since = low.setdefault(name, now)
+                since = too_low_since.setdefault(name, now)
                 if now - since > COUNT_SLACK:
                     yield Violation(
                         since,
                         "count",
                         f"{name} assumes {number} balancers where {len(placing)} place",
                     )
-                    low[name] = 1 << 62
-            elif low.get(name, 0) < 1 << 62:
-                low.pop(name, None)
+                    too_low_since[name] = 1 << 62
+            elif too_low_since.get(name, 0) < 1 << 62:
+                too_low_since.pop(name, None)
 
     for event in events:
         yield from check(event.at)
@@ -298,11 +304,11 @@
         elif _is_requested_end(event):
             placing -= set(event.fields["who"])
             for name in event.fields["who"]:
-                counted.pop(name, None)
+                assumed_counts.pop(name, None)
         elif event.what == "ended" and event.source == "rig":
             placing.discard(event.fields["who"])
         elif event.what == "count":
-            counted[event.source] = event.fields["balancers"]
+            assumed_counts[event.source] = event.fields["balancers"]
         elif event.what == "fault" and event.fields["kind"] == "stop":
             stopped |= set(event.fields["who"])
         elif event.what == "over" and event.fields["kind"] == "stop":
@@ -424,7 +430,7 @@
 def events_around(events: list[Event], at: int, max_events: int = 60) -> list[str]:
     """Returns the events of all processes near a time, as the lines of one timeline."""
     nearest = sorted(
-        (event for event in events if abs(event.at - at) <= AROUND),
+        (event for event in events if abs(event.at - at) <= CONTEXT_SPAN),
         key=lambda event: abs(event.at - at),
     )[:max_events]
     started_at = min(event.at for event in events)
--- a/corklift/rig/scenario.py
+++ b/corklift/rig/scenario.py
@@ -198,6 +198,7 @@
         self.scenario, self.rig, self.rng = scenario, rig, Random(rig.shape.seed)
 
     def conduct(self, rig: Rig) -> None:
+        """Plays all disruptions at their times, and checks at the end that the members agree."""
         started_at = rig.scheduler.now()
         rig.send_command("discovery", save=True)
         for disruption in sorted(self.scenario.troubles, key=lambda disruption: disruption.at_s):
@@ -237,6 +238,7 @@
             rig.record("not agreed", by=name, holds=holds, lives=live_names)
 
     def _names(self, names: list[str]) -> list[str]:
+        """Returns the full names of processes; `all` and `half` stand for balancers."""
         resolved: list[str] = []
         for name in names:
             if name == "all":
@@ -250,6 +252,7 @@
         return resolved
 
     def _play(self, at: int, disruption: Disruption) -> None:
+        """Waits until a time and calls the method that is named after the disruption's kind."""
         rig = self.rig
         rig.scheduler.sleep(max(0, at - rig.scheduler.now()))
         who, to = self._names(disruption.who), self._names(disruption.to)
