--- a/corklift/rig/checker.py
+++ b/corklift/rig/checker.py
@@ -278,13 +278,13 @@
 def _check_balancer_counts(events: list[Event]) -> Iterable[Violation]:
     """A balancer never assumes fewer balancers than there are that place logins."""
     placing: set[str] = set()
-    assumed_counts: dict[str, int] = {}
+    counted: dict[str, int] = {}
     # By balancer: since when its number has been too low.
     too_low_since: dict[str, int] = {}
     stopped: set[str] = set()
 
     def check(now: int) -> Iterable[Violation]:
-        for name, number in assumed_counts.items():
+        for name, number in counted.items():
             if name in placing and name not in stopped and number < len(placing):
                 since = too_low_since.setdefault(name, now)
                 if now - since > COUNT_SLACK:
@@ -304,11 +304,11 @@
         elif _is_requested_end(event):
             placing -= set(event.fields["who"])
             for name in event.fields["who"]:
-                assumed_counts.pop(name, None)
+                counted.pop(name, None)
         elif event.what == "ended" and event.source == "rig":
             placing.discard(event.fields["who"])
         elif event.what == "count":
-            assumed_counts[event.source] = event.fields["balancers"]
+            counted[event.source] = event.fields["balancers"]
         elif event.what == "fault" and event.fields["kind"] == "stop":
             stopped |= set(event.fields["who"])
         elif event.what == "over" and event.fields["kind"] == "stop":
