--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -1,9 +1,13 @@
-"""Exploration: every order of events in a small world, to a stated depth; equal states are met once.
+"""State space exploration: runs every order of events in a small world, up to a given depth.
 
-The world is one or two real `Balancer`s, two or three servers, two logins, a drain, a restart, a lost answer. A path is a
-list of labels; it is played from the start each time, so nothing is copied. The rules are `rules.Rules`, and that what is
-asked for is answered. A counterexample is cut down and told as a trace that `replay` plays again. Owns the small worlds.
-Must never hold a decision.
+A world holds the real code under test: one or two `Balancer`s with two or three servers, or the
+control service's subscriptions with one proxy; the worlds of membership and recovery have their own
+modules. A step is an event, named by a label, and a path is a list of labels. Each path is played
+from the initial state, so that no state needs copying. Equal states are expanded only once.
+
+The worlds check the rules of `rules.RuleChecker`, that each login is answered, and invariants of
+their own. The path to a violation is minimised and can be written to a file, which
+`corklift lab replay` plays again. This module never makes a decision itself.
 """
 
 from __future__ import annotations
@@ -30,38 +34,55 @@
 from corklift.lab.rules import RuleChecker
 from corklift.policy import Balancer
 
-STEP = 40 * MS  # between two events that are not timers
-EPOCH = 10**11  # numbers beyond it are times: what counts is how far they are from now
+EVENT_INTERVAL = 40 * MS  # virtual time that an event takes, unless it is a timer or a time limit
+# A larger number is a point in time; equality of states depends only on its distance from now.
+MIN_TIMESTAMP = 10**11
 
 
 class World(Protocol):
-    """What can be explored."""
+    """A small system whose states can be explored."""
 
-    def enabled(self) -> list[str]: ...
-    def play(self, label: str) -> None: ...
-    def violation(self) -> str | None: ...
-    def state(self) -> object: ...
-    def trace(self) -> list[str]: ...
+    def enabled(self) -> list[str]:
+        """Returns the labels of the events that can happen in the present state."""
+        ...
+
+    def play(self, label: str) -> None:
+        """Makes an event happen."""
+        ...
+
+    def violation(self) -> str | None:
+        """Returns a description of the rule violated so far, or None.
+
+        The text up to the first colon names the kind of violation; minimisation preserves it.
+        """
+        ...
+
+    def state(self) -> object:
+        """Returns the present state, as an object whose `repr` is equal for equal states."""
+        ...
+
+    def trace(self) -> list[str]:
+        """Returns what has happened so far, one line per step."""
+        ...
 
 
 class FixedRandom(Random):
-    """Chance that is no chance: each draw falls at the same part of what there is."""
+    """A random number generator that always draws the same fraction of the range."""
 
-    def __init__(self, part: float) -> None:
+    def __init__(self, fraction: float) -> None:
         super().__init__(0)
-        self.part = part
+        self.fraction = fraction
 
     def random(self) -> float:
-        return self.part
+        return self.fraction
 
     def _randbelow(self, n: int) -> int:
-        return int(
-            self.part * n
-        )  # the library's own asks again while a number is too large: here for ever
+        # The library's method draws again while a number is too large, which here never ends.
+        return int(self.fraction * n)
 
 
 class PlacementShape(NamedTuple):
-    """A small world's shape."""
+    """Size of a `PlacementWorld` and how often each disturbance may happen."""
 
     balancers: int = 1
     servers: int = 2
@@ -70,26 +91,26 @@
     reach: str = "all"
     drains: int = 1
     restarts: int = 1
-    losses: int = 1  # hand-offs whose answer is lost, or that fail otherwise
-    part: float = 0.3  # where each draw falls
-    cold: bool = False  # a server starts in the middle of it
+    losses: int = 1  # hand-offs whose answer is lost or that fail in another way
+    part: float = 0.3  # fraction that each random draw returns
+    cold: bool = False  # a server may start during the run
 
 
-class _Seat:
-    """The host of one balancer of the small world."""
+class _BalancerHost:
+    """The decision module's host: the surroundings of one balancer of a `PlacementWorld`."""
 
     def __init__(self, world: PlacementWorld, number: int) -> None:
         self.world, self.number = world, number
-        self.timers: list[tuple[int, int]] = []
-        self.probes: list[int] = []
-        self.open: dict[int, list[int]] = {}  # login: servers tried
-        self.placed: dict[int, int] = {}  # login: server
+        self.timers: list[tuple[int, int]] = []  # due time and mark
+        self.pending_probes: list[int] = []
+        self.hand_offs: dict[int, list[int]] = {}  # servers tried, by unanswered login
+        self.connections: dict[int, int] = {}  # server, by login
         self.policy: Any = None
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         world = self.world
         world.rules.hand_off_sent(world.now, self.number, login, server, world.cells)
-        self.open.setdefault(login, []).append(server)
+        self.hand_offs.setdefault(login, []).append(server)
 
     def cancel(self, login: int, attempt: int) -> None:
         pass
@@ -100,19 +121,19 @@
     def terminate(self, login: int) -> None:
         self._answer(login, "terminated")
 
-    def _answer(self, login: int, how: str) -> None:
-        self.world.rules.login_answered(self.world.now, self.number, login, how)
-        self.world.answers[login] = how
-        self.open.pop(login, None)
-        self.world.waiting.discard((self.number, login))
+    def _answer(self, login: int, answer: str) -> None:
+        self.world.rules.login_answered(self.world.now, self.number, login, answer)
+        self.world.answers[login] = answer
+        self.hand_offs.pop(login, None)
+        self.world.awaiting_answer.discard((self.number, login))
 
     def move(self, login: int) -> None:
-        if login in self.placed:
-            self.world.moves.add((self.number, login))
+        if login in self.connections:
+            self.world.requested_moves.add((self.number, login))
 
     def probe(self, server: int) -> None:
-        if server not in self.probes:
-            self.probes.append(server)
+        if server not in self.pending_probes:
+            self.pending_probes.append(server)
 
     def close_idle(self, server: int) -> None:
         pass
@@ -134,12 +155,12 @@
 
 
 class PlacementWorld:
-    """The decision module in a small world."""
+    """One or two decision modules with a few servers and logins."""
 
     def __init__(
-        self, shape: PlacementShape, spoil: Callable[[Any, Any], Any] | None = None
+        self, shape: PlacementShape, inject_fault: Callable[[Any, Any], Any] | None = None
     ) -> None:
-        self.shape, self._spoil = shape, spoil
+        self.shape, self._inject_fault = shape, inject_fault
         self.now = 1_000 * SECOND
         self.rules = RuleChecker(self.now)
         self.steps: list[str] = []
@@ -148,26 +169,27 @@
         )
         self.cells = {server: (0, server % 2) for server in range(1, shape.servers + 1)}
         self.status = dict.fromkeys(self.cells, Status.READY)
-        self.started = dict.fromkeys(self.cells, 0)
+        self.started_at = dict.fromkeys(self.cells, 0)
         self.answers: dict[int, str] = {}
-        self.waiting: set[tuple[int, int]] = set()  # balancer and login: no answer yet
-        self.moves: set[tuple[int, int]] = set()
-        self.told: dict[tuple[int, int], Status] = {}
-        self.left = {
+        self.awaiting_answer: set[tuple[int, int]] = set()  # balancer and login
+        self.requested_moves: set[tuple[int, int]] = set()
+        # The status that each balancer was last sent, by balancer and server.
+        self.announced_status: dict[tuple[int, int], Status] = {}
+        self.remaining = {
             "drain": shape.drains,
             "restart": shape.restarts,
             "loss": shape.losses,
             "cold": int(shape.cold),
         }
-        self.to_come = list(range(1, shape.logins + 1))
+        self.pending_arrivals = list(range(1, shape.logins + 1))
         self.deadlines: dict[int, int] = {}
-        self.seats = [_Seat(self, at) for at in range(shape.balancers)]
-        for seat in self.seats:
-            self._start(seat)
+        self.hosts = [_BalancerHost(self, at) for at in range(shape.balancers)]
+        for host in self.hosts:
+            self._start_balancer(host)
 
-    def _start(self, seat: _Seat) -> None:
+    def _start_balancer(self, host: _BalancerHost) -> None:
         policy = Balancer(
-            seat,
+            host,
             FixedRandom(self.shape.part),
             now=self.now,
             zone=0,
@@ -187,43 +209,48 @@
             crossing_price=0.0,
             probe_price=0.0,
         )
-        seat.policy = self._spoil(seat, policy) if self._spoil else policy
-        seat.timers, seat.probes, seat.open, seat.placed = [], [], {}, {}
-        self._list(seat, list(self.cells), Scope.FULL)
+        host.policy = self._inject_fault(host, policy) if self._inject_fault else policy
+        host.timers, host.pending_probes, host.hand_offs, host.connections = [], [], {}, {}
+        self._send_list(host, list(self.cells), Scope.FULL)
 
-    def _list(self, seat: _Seat, servers: Iterable[int], scope: Scope) -> None:
+    def _send_list(self, host: _BalancerHost, servers: Iterable[int], scope: Scope) -> None:
         lines = []
         for server in servers:
             status = self.status[server]
-            self.told[seat.number, server] = status
+            self.announced_status[host.number, server] = status
             if status is Status.READY:
-                self.rules.ready_announced(seat.number, server)
+                self.rules.ready_announced(host.number, server)
             else:
-                self.rules.drain_announced(self.now, seat.number, server)
-            lines.append(ListedServer(server, 0, 0, server % 2, status, 1.0, self.started[server]))
-        seat.policy.servers_listed(self.now, scope, 1, tuple(lines))
+                self.rules.drain_announced(self.now, host.number, server)
+            lines.append(
+                ListedServer(server, 0, 0, server % 2, status, 1.0, self.started_at[server])
+            )
+        host.policy.servers_listed(self.now, scope, 1, tuple(lines))
 
     def enabled(self) -> list[str]:
-        """Messages come in any order, but time is one: nothing happens later than a time limit that is due first."""
+        """Returns the possible events; messages may arrive in any order.
+
+        Time limits are exact, so no event happens after the earliest time limit has passed.
+        """
         labels = []
         due, first = min(
-            ((self.deadlines[login], login) for seat in self.seats for login in seat.open),
+            ((self.deadlines[login], login) for host in self.hosts for login in host.hand_offs),
             default=(self.now + 10**15, 0),
         )
-        if self.now + STEP > due:
+        if self.now + EVENT_INTERVAL > due:
             return [
-                f"login {first} runs out at {seat.number}"
-                for seat in self.seats
-                if first in seat.open
+                f"login {first} runs out at {host.number}"
+                for host in self.hosts
+                if first in host.hand_offs
             ]
-        for seat in self.seats:
-            b = seat.number
-            labels += [f"login {login} comes to {b}" for login in self.to_come[:1]]
-            for login, tried in seat.open.items():
-                labels.append(f"login {login} opens at {b}")
-                if self.left["loss"]:
+        for host in self.hosts:
+            number = host.number
+            labels += [f"login {login} comes to {number}" for login in self.pending_arrivals[:1]]
+            for login, tried in host.hand_offs.items():
+                labels.append(f"login {login} opens at {number}")
+                if self.remaining["loss"]:
                     labels += [
-                        f"login {login} at {b}: {outcome.value}"
+                        f"login {login} at {number}: {outcome.value}"
                         for outcome in (
                             Outcome.BROKEN,
                             Outcome.TIMED_OUT,
@@ -232,26 +259,26 @@
                         )
                     ]
                 if login == first:
-                    labels.append(f"login {login} runs out at {b}")
-            labels += [f"login {login} ends at {b}" for login in seat.placed]
-            labels += [f"probe of {server} by {b}" for server in seat.probes]
-            if seat.timers and min(seat.timers)[0] <= due:
-                labels.append(f"timer of {b}")
+                    labels.append(f"login {login} runs out at {number}")
+            labels += [f"login {login} ends at {number}" for login in host.connections]
+            labels += [f"probe of {server} by {number}" for server in host.pending_probes]
+            if host.timers and min(host.timers)[0] <= due:
+                labels.append(f"timer of {number}")
             labels += [
-                f"list of {server} to {b}"
+                f"list of {server} to {number}"
                 for server in self.cells
-                if self.told[b, server] is not self.status[server]
+                if self.announced_status[number, server] is not self.status[server]
             ]
-            if self.left["restart"]:
-                labels.append(f"restart of {b}")
-        labels += [f"move of {login} at {b}" for b, login in sorted(self.moves)]
-        if self.left["drain"]:
+            if self.remaining["restart"]:
+                labels.append(f"restart of {number}")
+        labels += [f"move of {login} at {number}" for number, login in sorted(self.requested_moves)]
+        if self.remaining["drain"]:
             labels += [
                 f"drain of {server}"
                 for server, status in self.status.items()
                 if status is Status.READY
             ]
-        if self.left["cold"]:
+        if self.remaining["cold"]:
             labels += [
                 f"start of {server}"
                 for server, status in self.status.items()
@@ -263,127 +290,136 @@
         self.steps.append(label)
         words = label.replace(":", "").split()
         if words[0] == "timer":
-            self._timer(self.seats[int(words[2])])
+            self._fire_timer(self.hosts[int(words[2])])
             return
         if words[:1] + words[2:4] != ["login", "runs", "out"]:
-            self.now += STEP
+            self.now += EVENT_INTERVAL
         if words[0] == "login":
-            self._login(int(words[1]), words[2:])
+            self._play_login_event(int(words[1]), words[2:])
         elif words[0] == "probe":
-            seat, server = self.seats[int(words[4])], int(words[2])
-            seat.probes.remove(server)
-            count = sum(place == server for other in self.seats for place in other.placed.values())
-            seat.policy.probe_answered(
+            host, server = self.hosts[int(words[4])], int(words[2])
+            host.pending_probes.remove(server)
+            count = sum(
+                connected == server
+                for other in self.hosts
+                for connected in other.connections.values()
+            )
+            host.policy.probe_answered(
                 self.now, server, 5 * MS, Outcome.FULFILLED, Report(float(count), 0.1 * count)
             )
         elif words[0] == "list":
-            self._list(self.seats[int(words[4])], [int(words[2])], Scope.DELTA)
+            self._send_list(self.hosts[int(words[4])], [int(words[2])], Scope.DELTA)
         elif words[0] == "drain":
-            self.left["drain"] -= 1
+            self.remaining["drain"] -= 1
             self.status[int(words[2])] = Status.DRAINING
         elif words[0] == "start":
-            self.left["cold"] -= 1
-            self.status[int(words[2])], self.started[int(words[2])] = Status.READY, self.now
+            self.remaining["cold"] -= 1
+            self.status[int(words[2])], self.started_at[int(words[2])] = Status.READY, self.now
         elif words[0] == "move":
-            self.moves.discard((int(words[4]), int(words[2])))
-            self._end(self.seats[int(words[4])], int(words[2]), Outcome.CANCELLED)
+            self.requested_moves.discard((int(words[4]), int(words[2])))
+            self._end_connection(self.hosts[int(words[4])], int(words[2]), Outcome.CANCELLED)
         elif words[0] == "restart":
-            seat = self.seats[int(words[2])]
-            self.left["restart"] -= 1
-            for login in [*seat.open, *seat.placed]:
-                self.rules.login_abandoned(self.now, seat.number, login)
-                self.waiting.discard((seat.number, login))
-                self.answers.setdefault(login, "its balancer is gone")
-            self.moves = {(b, login) for b, login in self.moves if b != seat.number}
+            host = self.hosts[int(words[2])]
+            self.remaining["restart"] -= 1
+            for login in [*host.hand_offs, *host.connections]:
+                self.rules.login_abandoned(self.now, host.number, login)
+                self.awaiting_answer.discard((host.number, login))
+                self.answers.setdefault(login, "lost with its balancer")
+            self.requested_moves = {
+                (number, login) for number, login in self.requested_moves if number != host.number
+            }
             for server in self.cells:
-                self.rules.ready_announced(seat.number, server)
-            self._start(seat)
+                self.rules.ready_announced(host.number, server)
+            self._start_balancer(host)
 
-    def _timer(self, seat: _Seat) -> None:
-        seat.timers.sort()
-        due, mark = seat.timers.pop(0)
+    def _fire_timer(self, host: _BalancerHost) -> None:
+        host.timers.sort()
+        due, mark = host.timers.pop(0)
         self.now = max(self.now, due)
-        seat.policy.timer_due(self.now, mark)
+        host.policy.timer_due(self.now, mark)
 
-    def _login(self, number: int, words: list[str]) -> None:
+    def _play_login_event(self, number: int, words: list[str]) -> None:
         if words[0] == "comes":
-            seat = self.seats[int(words[2])]
-            self.to_come.remove(number)
+            host = self.hosts[int(words[2])]
+            self.pending_arrivals.remove(number)
             login = Login(number, 0, 0, number, self.now + self.workload.time_limit, None, 0)
             self.deadlines[number] = login.time_limit_at
-            self.rules.login_arrived(self.now, seat.number, login, self.workload)
-            self.waiting.add((seat.number, number))
-            seat.policy.login_arrived(self.now, login)
+            self.rules.login_arrived(self.now, host.number, login, self.workload)
+            self.awaiting_answer.add((host.number, number))
+            host.policy.login_arrived(self.now, login)
             return
         if words[0] == "at":
-            seat, outcome = self.seats[int(words[1])], Outcome(" ".join(words[2:]))
-            self.left["loss"] -= 1
-            self._fail(seat, number, outcome)
+            host, outcome = self.hosts[int(words[1])], Outcome(" ".join(words[2:]))
+            self.remaining["loss"] -= 1
+            self._fail_hand_off(host, number, outcome)
             return
-        seat = self.seats[int(words[-1])]
+        host = self.hosts[int(words[-1])]
         if words[0] == "opens":
-            attempt, server = len(seat.open[number]) - 1, seat.open.pop(number)[-1]
-            seat.placed[number] = server
-            self.waiting.discard((seat.number, number))
+            attempt, server = len(host.hand_offs[number]) - 1, host.hand_offs.pop(number)[-1]
+            host.connections[number] = server
+            self.awaiting_answer.discard((host.number, number))
             self.answers[number] = "fulfilled"
-            self.rules.login_answered(self.now, seat.number, number, "fulfilled")
-            seat.policy.hand_off_started(self.now, number, attempt, server, 10 * MS)
+            self.rules.login_answered(self.now, host.number, number, "fulfilled")
+            host.policy.hand_off_started(self.now, number, attempt, server, 10 * MS)
         elif words[0] == "ends":
-            self._end(seat, number, Outcome.FULFILLED)
-        else:  # runs out: the time that its hand-off has is up
+            self._end_connection(host, number, Outcome.FULFILLED)
+        else:  # "runs out": the hand-off reaches the login's time limit
             self.now = max(self.now, self.deadlines[number])
-            self._fail(seat, number, Outcome.TIMED_OUT)
-
-    def _fail(self, seat: _Seat, login: int, outcome: Outcome) -> None:
-        attempt, server = len(seat.open[login]) - 1, seat.open[login][-1]
-        self.rules.hand_off_failed(self.now, seat.number, login, attempt, outcome)
-        before = len(seat.open[login])
-        seat.policy.hand_off_ended(self.now, login, False, server, outcome, attempt, 10 * MS, None)
-        if login in seat.open and len(seat.open[login]) == before:
-            seat.open.pop(login)  # nothing follows: if it is not answered, it is lost
-
-    def _end(self, seat: _Seat, login: int, outcome: Outcome) -> None:
-        server = seat.placed.pop(login, None)
-        self.moves.discard((seat.number, login))
+            self._fail_hand_off(host, number, Outcome.TIMED_OUT)
+
+    def _fail_hand_off(self, host: _BalancerHost, login: int, outcome: Outcome) -> None:
+        attempt, server = len(host.hand_offs[login]) - 1, host.hand_offs[login][-1]
+        self.rules.hand_off_failed(self.now, host.number, login, attempt, outcome)
+        before = len(host.hand_offs[login])
+        host.policy.hand_off_ended(self.now, login, False, server, outcome, attempt, 10 * MS, None)
+        if login in host.hand_offs and len(host.hand_offs[login]) == before:
+            # The policy did not retry: unless it answers the login, the login is lost.
+            host.hand_offs.pop(login)
+
+    def _end_connection(self, host: _BalancerHost, login: int, outcome: Outcome) -> None:
+        server = host.connections.pop(login, None)
+        self.requested_moves.discard((host.number, login))
         if server is not None:
-            self.rules.login_done(seat.number, login)
-            seat.policy.hand_off_ended(self.now, login, True, server, outcome, 0, 0, None)
+            self.rules.login_done(host.number, login)
+            host.policy.hand_off_ended(self.now, login, True, server, outcome, 0, 0, None)
 
     def violation(self) -> str | None:
-        for rule, found in sorted(self.rules.first_violations.items()):
-            return f"rule {rule}: {found.what}"
-        for balancer, login in sorted(self.waiting):
-            seat = self.seats[balancer]
-            if login not in seat.open and not seat.timers and not seat.probes:
+        for rule, violation in sorted(self.rules.first_violations.items()):
+            return f"rule {rule}: {violation.what}"
+        for balancer, login in sorted(self.awaiting_answer):
+            host = self.hosts[balancer]
+            if login not in host.hand_offs and not host.timers and not host.pending_probes:
                 return f"rule 1: login {login} is never answered"
-            if login not in seat.open and not getattr(seat.policy, "_active_logins", {}).get(login):
-                return f"rule 1: login {login} is forgotten without an answer"
-        for seat in self.seats:
-            held = set(getattr(seat.policy, "_active_logins", ()))
+            if login not in host.hand_offs and not getattr(host.policy, "_active_logins", {}).get(
+                login
+            ):
+                return f"rule 1: login {login} is dropped without an answer"
+        for host in self.hosts:
+            active_logins = set(getattr(host.policy, "_active_logins", ()))
             if (
-                held
-                - set(seat.open)
-                - set(seat.placed)
-                - {login for b, login in self.waiting if b == seat.number}
+                active_logins
+                - set(host.hand_offs)
+                - set(host.connections)
+                - {login for number, login in self.awaiting_answer if number == host.number}
             ):
-                return f"counts: balancer {seat.number} holds a login that is over"
+                return f"counts: balancer {host.number} still counts a login that has ended"
         return None
 
     def state(self) -> object:
         return (
-            [fingerprint(seat.policy, self.now) for seat in self.seats]
-            + [[(due - self.now, mark) for due, mark in sorted(seat.timers)] for seat in self.seats]
-            + [(seat.probes, seat.open, seat.placed) for seat in self.seats]
+            [fingerprint(host.policy, self.now) for host in self.hosts]
+            + [[(due - self.now, mark) for due, mark in sorted(host.timers)] for host in self.hosts]
+            + [(host.pending_probes, host.hand_offs, host.connections) for host in self.hosts]
             + [
                 self.status,
-                self.left,
-                self.to_come,
-                sorted(self.waiting),
-                sorted(self.moves),
-                sorted(self.told.items()),
+                self.remaining,
+                self.pending_arrivals,
+                sorted(self.awaiting_answer),
+                sorted(self.requested_moves),
+                sorted(self.announced_status.items()),
                 {
-                    login: at - self.now
-                    for login, at in self.deadlines.items()
+                    login: deadline - self.now
+                    for login, deadline in self.deadlines.items()
                     if login not in self.answers
                 },
             ]
@@ -398,101 +434,119 @@
 
 
 def fingerprint(root: Any, now: int) -> str:
-    """A digest of all that an object holds; times count by how far they are from now, hosts and chance not at all."""
-    out: list[str] = []
-    met: dict[int, int] = {}
-
-    def walk(thing: Any) -> None:
-        if thing is None or isinstance(thing, (bool, str, bytes, Status, Outcome)):
-            out.append(repr(thing))
-        elif isinstance(thing, int):
-            out.append(f"t{thing - now}" if abs(thing) > EPOCH and thing < 1 << 52 else str(thing))
-        elif isinstance(thing, float):
-            out.append(f"{thing:.6g}")
-        elif isinstance(thing, (list, tuple)):
-            out.append("[")
-            for part in thing:
-                walk(part)
-            out.append("]")
-        elif isinstance(thing, dict):
-            out.append("{")
-            for key, value in thing.items():
+    """Returns a digest of all state reachable from an object.
+
+    Points in time enter as their distance from `now`. Hosts and random number generators enter by
+    the name of their class only, because their state is not part of the object's.
+    """
+    parts: list[str] = []
+    visited: dict[int, int] = {}
+
+    def walk(obj: Any) -> None:
+        if obj is None or isinstance(obj, (bool, str, bytes, Status, Outcome)):
+            parts.append(repr(obj))
+        elif isinstance(obj, int):
+            parts.append(
+                f"t{obj - now}" if abs(obj) > MIN_TIMESTAMP and obj < 1 << 52 else str(obj)
+            )
+        elif isinstance(obj, float):
+            parts.append(f"{obj:.6g}")
+        elif isinstance(obj, (list, tuple)):
+            parts.append("[")
+            for item in obj:
+                walk(item)
+            parts.append("]")
+        elif isinstance(obj, dict):
+            parts.append("{")
+            for key, value in obj.items():
                 walk(key)
                 walk(value)
-            out.append("}")
-        elif isinstance(thing, (set, frozenset)):
-            out.append(repr(sorted(map(repr, thing))))
-        elif isinstance(thing, (Random, _Seat, SubscriptionWorld, type)):
-            out.append(type(thing).__name__)
-        elif id(thing) in met:
-            out.append(f"#{met[id(thing)]}")
+            parts.append("}")
+        elif isinstance(obj, (set, frozenset)):
+            parts.append(repr(sorted(map(repr, obj))))
+        elif isinstance(obj, (Random, _BalancerHost, SubscriptionWorld, type)):
+            parts.append(type(obj).__name__)
+        elif id(obj) in visited:
+            parts.append(f"#{visited[id(obj)]}")
         else:
-            met[id(thing)] = len(met)
-            out.append(type(thing).__name__)
-            if callable(thing) and hasattr(thing, "__code__"):
-                out.append(thing.__qualname__)
-                for cell in thing.__closure__ or ():
+            visited[id(obj)] = len(visited)
+            parts.append(type(obj).__name__)
+            if callable(obj) and hasattr(obj, "__code__"):
+                parts.append(obj.__qualname__)
+                for cell in obj.__closure__ or ():
                     walk(cell.cell_contents)
-                walk(thing.__defaults__)
-            elif hasattr(thing, "__func__"):
-                out.append(thing.__func__.__qualname__)
-                walk(thing.__self__)
+                walk(obj.__defaults__)
+            elif hasattr(obj, "__func__"):
+                parts.append(obj.__func__.__qualname__)
+                walk(obj.__self__)
             else:
-                for key, value in vars(thing).items():
-                    out.append(key)
+                for key, value in vars(obj).items():
+                    parts.append(key)
                     walk(value)
 
     walk(root)
-    return xxh3_128_hexdigest(" ".join(out).encode())
+    return xxh3_128_hexdigest(" ".join(parts).encode())
 
 
 class ExplorationResult(NamedTuple):
+    """What an exploration covered, and the violation that it found.
+
+    Attributes:
+        states: number of different states reached; 0 for random walks.
+        depth: length of the longest path played.
+        steps: number of events played, including those replayed to return to a state.
+        complete: every order of events up to that depth has been played.
+        counterexample: labels of the minimised path to the violation; empty without one.
+        what: the violation; empty without one.
+        trace: what happened on the minimised path.
+    """
+
     states: int
     depth: int
-    steps: int  # events played, those played again to come back to a state included
-    complete: bool  # every order to that depth was looked at
-    counterexample: tuple[str, ...]  # labels, cut down; empty where there is none
+    steps: int
+    complete: bool
+    counterexample: tuple[str, ...]
     what: str
     trace: tuple[str, ...]
 
 
-def _replay(make: Callable[[], World], path: Iterable[str]) -> World:
-    world = make()
+def _replay(new_world: Callable[[], World], path: Iterable[str]) -> World:
+    world = new_world()
     for label in path:
         world.play(label)
     return world
 
 
-def first_violation(make: Callable[[], World], path: Iterable[str]) -> str | None:
-    """What breaks on the way; labels that can't happen then are passed over."""
-    world = make()
+def first_violation(new_world: Callable[[], World], path: Iterable[str]) -> str | None:
+    """Plays a path and returns the first violation; skips labels that are not possible in turn."""
+    world = new_world()
     for label in path:
         if label in world.enabled():
             world.play(label)
-            found = world.violation()
-            if found:
-                return found
+            violation = world.violation()
+            if violation:
+                return violation
     return None
 
 
-def minimise(make: Callable[[], World], path: tuple[str, ...]) -> tuple[str, ...]:
-    """The path without the steps that the break does not need."""
-    kind = (first_violation(make, path) or "").partition(":")[0]
-    at = 0
-    while at < len(path):
-        less = path[:at] + path[at + 1 :]
-        if (first_violation(make, less) or "").partition(":")[0] == kind:
-            path = less
+def minimise(new_world: Callable[[], World], path: tuple[str, ...]) -> tuple[str, ...]:
+    """Removes the steps that are not needed to reach a violation of the same kind."""
+    kind = (first_violation(new_world, path) or "").partition(":")[0]
+    index = 0
+    while index < len(path):
+        shorter = path[:index] + path[index + 1 :]
+        if (first_violation(new_world, shorter) or "").partition(":")[0] == kind:
+            path = shorter
         else:
-            at += 1
+            index += 1
     return path
 
 
 def _minimised_result(
-    make: Callable[[], World], path: tuple[str, ...], states: int, depth: int, steps: int
+    new_world: Callable[[], World], path: tuple[str, ...], states: int, depth: int, steps: int
 ) -> ExplorationResult:
-    path = minimise(make, path)
-    world = make()
+    path = minimise(new_world, path)
+    world = new_world()
     what = None
     for label in path:
         if label in world.enabled():
@@ -503,36 +557,43 @@
     return ExplorationResult(states, depth, steps, False, path, what or "", tuple(world.trace()))
 
 
-def explore(make: Callable[[], World], depth: int, most: int = 200_000) -> ExplorationResult:
-    """Every order of events to the depth, in breadth; stops at the first break, or at so many states."""
-    seen = {_digest(make())}
-    edge: list[tuple[str, ...]] = [()]
+def explore(
+    new_world: Callable[[], World], depth: int, max_states: int = 200_000
+) -> ExplorationResult:
+    """Plays every order of events up to a depth, breadth first.
+
+    Stops at the first violation, or once `max_states` different states have been reached.
+    """
+    seen = {_digest(new_world())}
+    frontier: list[tuple[str, ...]] = [()]
     steps = 0
     for level in range(1, depth + 1):
-        further: list[tuple[str, ...]] = []
-        for path in edge:
-            for label in _replay(make, path).enabled():
-                world = _replay(make, (*path, label))
+        next_frontier: list[tuple[str, ...]] = []
+        for path in frontier:
+            for label in _replay(new_world, path).enabled():
+                world = _replay(new_world, (*path, label))
                 steps += len(path) + 1
                 if world.violation():
-                    return _minimised_result(make, (*path, label), len(seen), level, steps)
+                    return _minimised_result(new_world, (*path, label), len(seen), level, steps)
                 digest = _digest(world)
                 if digest not in seen:
                     seen.add(digest)
-                    further.append((*path, label))
-                    if len(seen) >= most:
+                    next_frontier.append((*path, label))
+                    if len(seen) >= max_states:
                         return ExplorationResult(len(seen), level, steps, False, (), "", ())
-        edge = further
-        if not edge:
+        frontier = next_frontier
+        if not frontier:
             return ExplorationResult(len(seen), level, steps, True, (), "", ())
     return ExplorationResult(len(seen), depth, steps, True, (), "", ())
 
 
-def random_walks(make: Callable[[], World], walks: int, depth: int, seed: int) -> ExplorationResult:
-    """Random walks, far deeper than every order can be looked at."""
+def random_walks(
+    new_world: Callable[[], World], walks: int, depth: int, seed: int
+) -> ExplorationResult:
+    """Plays random paths, much longer than those that `explore` can cover completely."""
     rng, steps = Random(seed), 0
     for _ in range(walks):
-        world, path = make(), list[str]()
+        world, path = new_world(), list[str]()
         for _ in range(depth):
             labels = world.enabled()
             if not labels:
@@ -542,7 +603,7 @@
             world.play(label)
             steps += 1
             if world.violation():
-                return _minimised_result(make, tuple(path), 0, len(path), steps)
+                return _minimised_result(new_world, tuple(path), 0, len(path), steps)
     return ExplorationResult(0, depth, steps, False, (), "", ())
 
 
@@ -551,7 +612,7 @@
 
 
 def counterexample_json(kind: str, shape: NamedTuple, found: ExplorationResult) -> str:
-    """A counterexample as a file that `replay` plays."""
+    """Returns a counterexample as the text of a file that `corklift lab replay` plays."""
     return json.dumps(
         {"world": kind, "shape": shape._asdict(), "path": found.counterexample, "what": found.what},
         indent=1,
@@ -559,16 +620,19 @@
 
 
 class SubscriptionShape(NamedTuple):
-    """A small world of views: one control service, one proxy."""
+    """How often each disturbance may happen in a `SubscriptionWorld`."""
 
-    incremental: bool = False
-    changes: int = 3
-    refusals: int = 1
-    losses: int = 1
+    incremental: bool = False  # the proxy uses the delta protocol
+    changes: int = 3  # of the resources
+    refusals: int = 1  # responses that the proxy rejects
+    losses: int = 1  # of the stream
 
 
 class SubscriptionWorld:
-    """The control service's views with one proxy that reads, accepts, refuses and breaks off whenever it likes."""
+    """The control service's subscriptions with one proxy.
+
+    The proxy reads, accepts, rejects and disconnects at any time.
+    """
 
     CLUSTERS = ("a", "b")
 
@@ -580,178 +644,191 @@
             SubscriptionSettings,
         )
 
-        self._kinds, self._resource = ResourceKind, Resource
+        self._resource_kinds, self._resource_class = ResourceKind, Resource
         self.shape, self.now, self.steps = shape, SECOND, list[str]()
-        self.left = {"change": shape.changes, "refusal": shape.refusals, "loss": shape.losses}
-        self.views = SubscriptionManager(
+        self.remaining = {"change": shape.changes, "refusal": shape.refusals, "loss": shape.losses}
+        self.manager = SubscriptionManager(
             self, SubscriptionSettings(ack_timeout=SECOND, dependency_timeout=SECOND)
         )
-        self.wrong: str | None = None
-        self.unread: list[Any] = []
-        self.unanswered: list[Any] = []
-        self.held: dict[Any, dict[str, str]] = {
-            kind: {} for kind in ResourceKind
-        }  # the proxy's, by kind and name
-        self.refused: set[tuple[Any, str]] = set()  # kinds and versions
-        self.number, self.content = 0, 0
+        self.failure: str | None = None
+        self.unread_responses: list[Any] = []
+        self.unacknowledged: list[Any] = []
+        # Versions of the resources that the proxy holds, by kind and name.
+        self.proxy_resources: dict[Any, dict[str, str]] = {kind: {} for kind in ResourceKind}
+        self.rejected_versions: set[tuple[Any, str]] = set()  # by kind and version
+        self.stream, self.revision = 0, 0
         self._connect()
 
     def send(self, stream: int, response: Any) -> None:
-        if not self.views.has_snapshot:
-            self.wrong = "views: sent before the list is known"
-        if self.unread:
-            self.wrong = "views: sent to a stream that has no room"
-        self.unread.append(response)
+        if not self.manager.has_snapshot:
+            self.failure = "views: sent before the first snapshot"
+        if self.unread_responses:
+            self.failure = "views: sent to a stream that is not writable"
+        self.unread_responses.append(response)
 
-    def _names(self, kind: Any) -> tuple[str, ...]:
-        return {self._kinds.ENDPOINTS: self.CLUSTERS, self._kinds.ROUTES: ("door",)}.get(kind, ())
+    def _resource_names(self, kind: Any) -> tuple[str, ...]:
+        return {
+            self._resource_kinds.ENDPOINTS: self.CLUSTERS,
+            self._resource_kinds.ROUTES: ("door",),
+        }.get(kind, ())
 
     def _connect(self) -> None:
-        if self.number:
-            self.views.close_stream(self.number)
-        self.number += 1
-        self.unread, self.unanswered = [], []
-        self.views.open_stream(self.now, self.number, self.shape.incremental)
-        for kind in self._kinds:
+        if self.stream:
+            self.manager.close_stream(self.stream)
+        self.stream += 1
+        self.unread_responses, self.unacknowledged = [], []
+        self.manager.open_stream(self.now, self.stream, self.shape.incremental)
+        for kind in self._resource_kinds:
             if self.shape.incremental:
-                self.views.handle_delta_request(
+                self.manager.handle_delta_request(
                     self.now,
-                    self.number,
+                    self.stream,
                     kind,
-                    self._names(kind),
+                    self._resource_names(kind),
                     (),
-                    dict(self.held[kind]),
+                    dict(self.proxy_resources[kind]),
                     "",
                     None,
                 )
             else:
-                self.views.handle_request(
-                    self.now, self.number, kind, self._names(kind), "", "", None
+                self.manager.handle_request(
+                    self.now, self.stream, kind, self._resource_names(kind), "", "", None
                 )
 
     def enabled(self) -> list[str]:
         labels = ["time"]
-        if self.left["change"]:
+        if self.remaining["change"]:
             labels += ["a server drains", "weights move", "only a is left", "all are there"]
-        if self.unread:
+        if self.unread_responses:
             labels.append("read")
-        if self.unanswered:
+        if self.unacknowledged:
             labels.append("accept")
-            if self.left["refusal"]:
+            if self.remaining["refusal"]:
                 labels.append("refuse")
-        if self.left["loss"]:
+        if self.remaining["loss"]:
             labels.append("break off")
         return labels
 
     def play(self, label: str) -> None:
         self.steps.append(label)
-        kinds = self._kinds
+        kinds = self._resource_kinds
         if label == "time":
             self.now += SECOND
-            self.views.tick(self.now)
+            self.manager.tick(self.now)
         elif label == "read":
-            response = self.unread.pop(0)
-            self.unanswered.append(response)
-            self.views.stream_writable(self.now, self.number)
+            response = self.unread_responses.pop(0)
+            self.unacknowledged.append(response)
+            self.manager.stream_writable(self.now, self.stream)
         elif label in ("accept", "refuse"):
-            self._answer(self.unanswered.pop(0), label == "refuse")
+            self._acknowledge(self.unacknowledged.pop(0), label == "refuse")
         elif label == "break off":
-            self.left["loss"] -= 1
+            self.remaining["loss"] -= 1
             self._connect()
         else:
-            self.left["change"] -= 1
-            self.content += 1
+            self.remaining["change"] -= 1
+            self.revision += 1
             names = ("a",) if label == "only a is left" else self.CLUSTERS
             table = {
-                name: self._resource.from_body(name, f"{name} {self.content}".encode())
+                name: self._resource_class.from_body(name, f"{name} {self.revision}".encode())
                 for name in names
             }
             if label in ("a server drains", "weights move"):
-                kept = set(self.views.current_resources(kinds.CLUSTERS)) or set(names)
-                self.views.update_snapshot(
+                known = set(self.manager.current_resources(kinds.CLUSTERS)) or set(names)
+                self.manager.update_snapshot(
                     self.now,
-                    {kinds.ENDPOINTS: {n: r for n, r in table.items() if n in kept}}
-                    if self.views.has_snapshot
-                    else self._all(names, table),
+                    {
+                        kinds.ENDPOINTS: {
+                            name: resource for name, resource in table.items() if name in known
+                        }
+                    }
+                    if self.manager.has_snapshot
+                    else self._full_snapshot(names, table),
                     urgent=label == "a server drains",
                 )
                 if label == "a server drains":
-                    self._drained()
+                    self._check_drain_sent()
             else:
-                self.views.update_snapshot(self.now, self._all(names, table))
+                self.manager.update_snapshot(self.now, self._full_snapshot(names, table))
 
-    def _all(self, names: tuple[str, ...], endpoints: dict[str, Any]) -> dict[Any, dict[str, Any]]:
-        kinds, of = self._kinds, self._resource.from_body
+    def _full_snapshot(
+        self, names: tuple[str, ...], endpoints: dict[str, Any]
+    ) -> dict[Any, dict[str, Any]]:
+        kinds, from_body = self._resource_kinds, self._resource_class.from_body
         return {
-            kinds.CLUSTERS: {name: of(name, name.encode()) for name in names},
+            kinds.CLUSTERS: {name: from_body(name, name.encode()) for name in names},
             kinds.ENDPOINTS: endpoints,
-            kinds.LISTENERS: {"door": of("door", b"door")},
-            kinds.ROUTES: {"door": of("door", "+".join(names).encode(), names)},
+            kinds.LISTENERS: {"door": from_body("door", b"door")},
+            kinds.ROUTES: {"door": from_body("door", "+".join(names).encode(), names)},
         }
 
-    def _drained(self) -> None:
-        """A drain is on its way, or waits for room alone."""
-        subscription = self.views.streams[self.number].subscriptions[self._kinds.ENDPOINTS]
-        table = self.views.current_resources(self._kinds.ENDPOINTS)
+    def _check_drain_sent(self) -> None:
+        """Checks that a drain has been sent, unless the stream is not writable."""
+        subscription = self.manager.streams[self.stream].subscriptions[
+            self._resource_kinds.ENDPOINTS
+        ]
+        table = self.manager.current_resources(self._resource_kinds.ENDPOINTS)
         sent = all(subscription.sent.get(name) == resource for name, resource in table.items())
-        if not sent and not self.unread:
-            self.wrong = "views: a drain waits though there is room"
-
-    def _answer(self, response: Any, refuse: bool) -> None:
-        held = self.held[response.kind]
-        if refuse:
-            self.left["refusal"] -= 1
-            self.refused.add((response.kind, response.version))
+        if not sent and not self.unread_responses:
+            self.failure = "views: a drain waits though there is room"
+
+    def _acknowledge(self, response: Any, reject: bool) -> None:
+        versions = self.proxy_resources[response.kind]
+        if reject:
+            self.remaining["refusal"] -= 1
+            self.rejected_versions.add((response.kind, response.version))
         else:
             if response.kind.sent_in_full and not self.shape.incremental:
-                held.clear()
+                versions.clear()
             for name in response.removed:
-                held.pop(name, None)
-            held.update({resource.name: resource.version for resource in response.resources})
-        problem = "no" if refuse else None
+                versions.pop(name, None)
+            versions.update({resource.name: resource.version for resource in response.resources})
+        error = "no" if reject else None
         if self.shape.incremental:
-            self.views.handle_delta_request(
-                self.now, self.number, response.kind, (), (), {}, response.nonce, problem
+            self.manager.handle_delta_request(
+                self.now, self.stream, response.kind, (), (), {}, response.nonce, error
             )
         else:
-            self.views.handle_request(
+            self.manager.handle_request(
                 self.now,
-                self.number,
+                self.stream,
                 response.kind,
-                self._names(response.kind),
-                response.version if not refuse else "",
+                self._resource_names(response.kind),
+                response.version if not reject else "",
                 response.nonce,
-                problem,
+                error,
             )
 
     def violation(self) -> str | None:
-        if self.wrong:
-            return self.wrong
-        stream = self.views.streams[self.number]
+        if self.failure:
+            return self.failure
+        stream = self.manager.streams[self.stream]
         if (
-            self.views.has_snapshot
-            and not self.unread
-            and not self.unanswered
+            self.manager.has_snapshot
+            and not self.unread_responses
+            and not self.unacknowledged
             and not stream.has_pending
-            and not self.refused
+            and not self.rejected_versions
         ):
-            for kind in self._kinds:
-                for name, resource in self.views.current_resources(kind).items():
+            for kind in self._resource_kinds:
+                for name, resource in self.manager.current_resources(kind).items():
                     if (
                         stream.subscriptions[kind].wants(name)
-                        and self.held[kind].get(name) != resource.version
+                        and self.proxy_resources[kind].get(name) != resource.version
                     ):
-                        return f"views: nothing is owed, but the proxy has no {kind.name.lower()} {name} as in force"
+                        return (
+                            "views: nothing is pending, but the proxy lacks the current "
+                            f"{kind.name.lower()} {name}"
+                        )
         return None
 
     def state(self) -> object:
         return [
-            fingerprint(self.views, self.now),
-            self.unread,
-            self.unanswered,
-            self.held,
-            sorted(map(str, self.refused)),
-            self.left,
+            fingerprint(self.manager, self.now),
+            self.unread_responses,
+            self.unacknowledged,
+            self.proxy_resources,
+            sorted(map(str, self.rejected_versions)),
+            self.remaining,
         ]
 
     def trace(self) -> list[str]:
@@ -759,7 +836,7 @@
 
 
 def make_world(kind: str, shape: dict[str, Any]) -> World:
-    """A small world by its name and shape, as a counterexample's file holds them."""
+    """Returns a world by its name and shape, as they stand in the file of a counterexample."""
     if kind == "members":
         from corklift.lab import explore_members
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -251,7 +251,7 @@
     for world, order in ((one, (1, 2)), (other, (2, 1))):
         for server in order:
             world.status[server] = Status.DRAINING
-            world._list(world.seats[0], [server], explore.Scope.DELTA)
+            world._send_list(world.hosts[0], [server], explore.Scope.DELTA)
     assert explore.fingerprint({"at": one.now + 5}, one.now) == explore.fingerprint(
         {"at": one.now + 50}, one.now + 45
     )
