--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -1,6 +1,8 @@
-"""A small world of members for exploration: every order of arrivals, losses, ticks, a death with return, a stop, a leaving.
+"""A small world of the membership protocol for state space exploration.
 
-Owns the world and what must hold in each of its states. Must never hold a decision.
+Its events are messages that arrive or are lost, ticks, and members that are killed, return, are
+stopped for a while or leave. The world checks invariants after each event. The members run the real
+`Membership`; this module never makes a decision itself.
 """
 
 from __future__ import annotations
@@ -13,11 +15,11 @@
 from corklift.membership.messages import MemberRecord, MemberState, Message
 
 PERIOD = 1_000_000_000
-EPOCH = 1_000 * PERIOD
+START_TIME = 1_000 * PERIOD
 
 
 class MembershipShape(NamedTuple):
-    """Its shape: how often each may happen."""
+    """Size of a `MembershipWorld` and how often each event may happen."""
 
     members: int = 3
     losses: int = 1
@@ -25,27 +27,33 @@
     returns: int = 1
     stops: int = 1
     leaves: int = 1
-    settled: bool = True  # all know all at the start
+    settled: bool = True  # all members know each other at the start
 
 
-class _Host:
+class _MemberHost:
+    """The host of one member: its surroundings, which deliver messages through the world."""
+
     def __init__(self, world: MembershipWorld, number: int) -> None:
         self.world, self.number = world, number
-        self.alive, self.left, self.life, self.used = False, False, 0, 0
+        self.alive, self.has_left, self.start_count, self.count_in_use = False, False, 0, 0
         self.core: Any = None
-        self.due = EPOCH
-        self.next_call = 0
-        self.calls: dict[
-            int, tuple[int, int, int]
-        ] = {}  # whom, of which life, to answer to which ask
+        self.due = START_TIME
+        self.next_call_id = 0
+        # The member that called, its start count and its request id, by call id.
+        self.calls: dict[int, tuple[int, int, int]] = {}
 
     def start(self) -> None:
         world = self.world
-        self.alive, self.left, self.life, self.calls = True, False, self.life + 1, {}
-        join = [f"m{at}" for at in range(world.shape.members) if at != self.number]
-        self.core = world.make(
+        self.alive, self.has_left, self.start_count, self.calls = (
+            True,
+            False,
+            self.start_count + 1,
+            {},
+        )
+        join = [f"m{index}" for index in range(world.shape.members) if index != self.number]
+        self.core = world.new_core(
             self,
-            Random(self.number * 100 + self.life),
+            Random(self.number * 100 + self.start_count),
             MembershipConfig(PERIOD),
             world.now,
             name=f"m{self.number}",
@@ -61,196 +69,230 @@
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
     ) -> None:
-        self.world.flying.append(
-            ("ask", self.number, self.life, int(address[1:]), request_id, message)
+        self.world.in_flight.append(
+            ("ask", self.number, self.start_count, int(address[1:]), request_id, message)
         )
 
     def send_reply(self, call_id: int, message: Message) -> None:
-        to, life, ask = self.calls.pop(call_id)
-        self.world.flying.append(("answer", self.number, life, to, ask, message))
+        target, start_count, request_id = self.calls.pop(call_id)
+        self.world.in_flight.append(
+            ("answer", self.number, start_count, target, request_id, message)
+        )
 
-    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
         world = self.world
-        if record.state == MemberState.LEFT and (record.name, record.instance_id) not in world.gone:
-            world.wrong = f"m{self.number} holds {record.name} for gone, which never said so"
-        held = world.ranks.get((self.number, self.life, record.name))
-        if held is not None and record.rank < held:
-            world.wrong = f"m{self.number} went back on {record.name}: {held} to {record.rank}"
-        world.ranks[self.number, self.life, record.name] = record.rank
+        if (
+            record.state == MemberState.LEFT
+            and (record.name, record.instance_id) not in world.departed
+        ):
+            world.failure = f"m{self.number} holds {record.name} as left, but it never left"
+        previous_rank = world.latest_ranks.get((self.number, self.start_count, record.name))
+        if previous_rank is not None and record.rank < previous_rank:
+            world.failure = (
+                f"m{self.number} moved back its record of {record.name}: "
+                f"{previous_rank} to {record.rank}"
+            )
+        world.latest_ranks[self.number, self.start_count, record.name] = record.rank
 
     def count_changed(self, count: int) -> None:
-        self.used = count
+        self.count_in_use = count
 
     def name_rejected(self, reason: str) -> None:
-        self.world.wrong = f"m{self.number} was refused, alone under its name: {reason}"
+        self.world.failure = f"m{self.number} was rejected, though its name is unique: {reason}"
 
     def log(self, text: str) -> None:
         pass
 
 
 class MembershipWorld:
-    """Three cores and what flies between them."""
-
-    def __init__(self, shape: MembershipShape, make: Callable[..., Any] = Membership) -> None:
-        self.shape, self.make, self.now = shape, make, EPOCH
-        self.flying: list[tuple[str, int, int, int, int, Message]] = []
-        self.wrong: str | None = None
-        self.gone: set[tuple[str, int]] = set()
-        self.ranks: dict[tuple[int, int, str], tuple[int, int, int]] = {}
-        self.raised: dict[tuple[int, int], int] = {}
+    """A few members and the messages in flight between them.
+
+    Invariants: a member never lowers its incarnation or the rank of a record; it takes another
+    member for left only after that one has left; its name is never rejected; the count of balancers
+    that it uses is never below the number that accept logins.
+    """
+
+    def __init__(self, shape: MembershipShape, new_core: Callable[..., Any] = Membership) -> None:
+        self.shape, self.new_core, self.now = shape, new_core, START_TIME
+        self.in_flight: list[tuple[str, int, int, int, int, Message]] = []
+        self.failure: str | None = None
+        self.departed: set[tuple[str, int]] = set()  # name and instance id of members that left
+        # Latest rank of a record, by the member that holds it, that member's start count and the
+        # name in the record.
+        self.latest_ranks: dict[tuple[int, int, str], tuple[int, int, int]] = {}
+        self.incarnations: dict[tuple[int, int], int] = {}
         self.steps: list[str] = []
-        self.left = {
+        self.remaining = {
             "lose": shape.losses,
             "kill": shape.deaths,
             "return": shape.returns,
             "stop": shape.stops,
             "leave": shape.leaves,
         }
-        self.seats = [_Host(self, number) for number in range(shape.members)]
-        for seat in self.seats:
-            seat.start()
+        self.hosts = [_MemberHost(self, number) for number in range(shape.members)]
+        for host in self.hosts:
+            host.start()
         if shape.settled:
-            for seat in self.seats:
-                for other in self.seats:
-                    if other is not seat:
-                        seat.core._merge_record(self.now, other.core.own_record)
-                seat.core._gossip_queue.clear()
-                seat.core.joined = seat.core._announced = True
+            for host in self.hosts:
+                for other in self.hosts:
+                    if other is not host:
+                        host.core._merge_record(self.now, other.core.own_record)
+                host.core._gossip_queue.clear()
+                host.core.joined = host.core._announced = True
 
     def enabled(self) -> list[str]:
         labels = [
-            f"{what} {at}"
-            for at in range(min(3, len(self.flying)))
-            for what in (["arrive", "lose"] if self.left["lose"] else ["arrive"])
+            f"{action} {index}"
+            for index in range(min(3, len(self.in_flight)))
+            for action in (["arrive", "lose"] if self.remaining["lose"] else ["arrive"])
         ]
-        living = [seat for seat in self.seats if seat.alive]
-        soonest = min((seat.due for seat in living), default=0)
-        labels += [f"tick {seat.number}" for seat in living if seat.due <= soonest + PERIOD // 4]
-        if self.left["kill"] and len(living) > 1:
-            labels += [f"kill {seat.number}" for seat in living]
-        if self.left["return"]:
-            labels += [f"return {seat.number}" for seat in self.seats if not seat.alive]
-        if self.left["stop"]:
-            labels += [f"stop {seat.number}" for seat in living]
-        if self.left["leave"] and len(living) > 1:
-            labels += [f"leave {seat.number}" for seat in living if not seat.left]
+        live_hosts = [host for host in self.hosts if host.alive]
+        earliest_due = min((host.due for host in live_hosts), default=0)
+        labels += [
+            f"tick {host.number}" for host in live_hosts if host.due <= earliest_due + PERIOD // 4
+        ]
+        if self.remaining["kill"] and len(live_hosts) > 1:
+            labels += [f"kill {host.number}" for host in live_hosts]
+        if self.remaining["return"]:
+            labels += [f"return {host.number}" for host in self.hosts if not host.alive]
+        if self.remaining["stop"]:
+            labels += [f"stop {host.number}" for host in live_hosts]
+        if self.remaining["leave"] and len(live_hosts) > 1:
+            labels += [f"leave {host.number}" for host in live_hosts if not host.has_left]
         return labels
 
     def play(self, label: str) -> None:
-        self.steps.append(f"{(self.now - EPOCH) / PERIOD:8.3f}  {label}" + self._said(label))
-        kind, _, at = label.partition(" ")
-        number = int(at)
+        self.steps.append(
+            f"{(self.now - START_TIME) / PERIOD:8.3f}  {label}" + self._message_description(label)
+        )
+        kind, _, index = label.partition(" ")
+        number = int(index)
         if kind in ("arrive", "lose"):
-            what, by, life, to, ask, message = self.flying.pop(number)
+            message_type, source, start_count, target, request_id, message = self.in_flight.pop(
+                number
+            )
             if kind == "lose":
-                self.left["lose"] -= 1
-                if what == "ask" and self.seats[by].life == life and self.seats[by].alive:
-                    self.seats[by].core.request_failed(self.now, ask)
-            elif what == "ask":
-                self._call(by, life, to, ask, message)
-            elif self.seats[to].alive and self.seats[to].life == life:
-                self.seats[to].core.reply_received(self.now, ask, message)
+                self.remaining["lose"] -= 1
+                if (
+                    message_type == "ask"
+                    and self.hosts[source].start_count == start_count
+                    and self.hosts[source].alive
+                ):
+                    self.hosts[source].core.request_failed(self.now, request_id)
+            elif message_type == "ask":
+                self._deliver_request(source, start_count, target, request_id, message)
+            elif self.hosts[target].alive and self.hosts[target].start_count == start_count:
+                self.hosts[target].core.reply_received(self.now, request_id, message)
         elif kind == "tick":
-            self._tick(self.seats[number], 0)
+            self._tick_member(self.hosts[number], 0)
         elif kind == "stop":
-            self.left["stop"] -= 1
-            self._tick(self.seats[number], 30 * PERIOD)
+            self.remaining["stop"] -= 1
+            self._tick_member(self.hosts[number], 30 * PERIOD)
         elif kind == "kill":
-            self.left["kill"] -= 1
-            self.seats[number].alive = False
+            self.remaining["kill"] -= 1
+            self.hosts[number].alive = False
         elif kind == "return":
-            self.left["return"] -= 1
-            self.seats[number].start()
+            self.remaining["return"] -= 1
+            self.hosts[number].start()
         elif kind == "leave":
-            self.left["leave"] -= 1
-            seat = self.seats[number]
-            seat.left = True
-            self.gone.add((f"m{number}", seat.core.own_record.instance_id))
-            seat.core.leave(self.now)
-        self._check()
-
-    def _said(self, label: str) -> str:
-        kind, _, at = label.partition(" ")
+            self.remaining["leave"] -= 1
+            host = self.hosts[number]
+            host.has_left = True
+            self.departed.add((f"m{number}", host.core.own_record.instance_id))
+            host.core.leave(self.now)
+        self._check_counts()
+
+    def _message_description(self, label: str) -> str:
+        kind, _, index = label.partition(" ")
         if kind not in ("arrive", "lose"):
             return ""
-        what, by, _, to, _, message = self.flying[int(at)]
-        return f": {what} of m{by} to m{to}, {message.kind}"
-
-    def _call(self, by: int, life: int, to: int, ask: int, message: Message) -> None:
-        seat = self.seats[to]
-        if not seat.alive:
-            if self.seats[by].alive and self.seats[by].life == life:
-                self.seats[by].core.request_failed(self.now, ask)
+        message_type, source, _, target, _, message = self.in_flight[int(index)]
+        return f": {message_type} of m{source} to m{target}, {message.kind}"
+
+    def _deliver_request(
+        self, source: int, start_count: int, target: int, request_id: int, message: Message
+    ) -> None:
+        host = self.hosts[target]
+        if not host.alive:
+            if self.hosts[source].alive and self.hosts[source].start_count == start_count:
+                self.hosts[source].core.request_failed(self.now, request_id)
             return
-        call, seat.next_call = seat.next_call, seat.next_call + 1
-        seat.calls[call] = by, life, ask
-        seat.core.request_received(self.now, call, message)
-
-    def _tick(self, seat: _Host, late: int) -> None:
-        self.now = max(self.now, seat.due) + late
-        if late:
-            # It alone was stopped: the others have ticked on meanwhile.
-            for other in self.seats:
-                while other.alive and other is not seat and other.due < self.now:
+        call_id, host.next_call_id = host.next_call_id, host.next_call_id + 1
+        host.calls[call_id] = source, start_count, request_id
+        host.core.request_received(self.now, call_id, message)
+
+    def _tick_member(self, host: _MemberHost, delay: int) -> None:
+        self.now = max(self.now, host.due) + delay
+        if delay:
+            # Only this member was stopped: the others have ticked in the meantime.
+            for other in self.hosts:
+                while other.alive and other is not host and other.due < self.now:
                     other.due = max(other.core.tick(other.due), other.due + 1)
-        seat.due = seat.core.tick(self.now)
+        host.due = host.core.tick(self.now)
 
-    def _check(self) -> None:
-        placing = sum(seat.alive and not seat.left for seat in self.seats)
-        for seat in self.seats:
-            if not seat.alive:
+    def _check_counts(self) -> None:
+        serving_count = sum(host.alive and not host.has_left for host in self.hosts)
+        for host in self.hosts:
+            if not host.alive:
                 continue
-            key = seat.number, seat.life
-            if seat.core.own_record.incarnation < self.raised.get(key, 0):
-                self.wrong = f"m{seat.number} lowered its incarnation"
-            self.raised[key] = seat.core.own_record.incarnation
-            # One that comes back after it left opens its door once the others were told of it.
-            coming = sum(
-                other.alive and not other.left and not other.core.admitted for other in self.seats
+            key = host.number, host.start_count
+            if host.core.own_record.incarnation < self.incarnations.get(key, 0):
+                self.failure = f"m{host.number} lowered its incarnation"
+            self.incarnations[key] = host.core.own_record.incarnation
+            # A member that returns after it left admits logins only once the others know of it.
+            joining_count = sum(
+                other.alive and not other.has_left and not other.core.admitted
+                for other in self.hosts
             )
             if (
-                not seat.left
-                and not seat.core.rejected
-                and seat.core.admitted
-                and seat.used < placing - coming
+                not host.has_left
+                and not host.core.rejected
+                and host.core.admitted
+                and host.count_in_use < serving_count - joining_count
             ):
-                self.wrong = f"m{seat.number} counts {seat.used} where {placing - coming} place"
+                self.failure = (
+                    f"m{host.number} counts {host.count_in_use} members, "
+                    f"but {serving_count - joining_count} accept logins"
+                )
 
     def violation(self) -> str | None:
-        return self.wrong
+        return self.failure
 
     def state(self) -> object:
         return (
             [
                 (
-                    seat.alive,
-                    seat.left,
-                    seat.life,
-                    seat.due - self.now,
-                    seat.used,
-                    seat.core.own_record,
-                    sorted(seat.core.table.items()),
+                    host.alive,
+                    host.has_left,
+                    host.start_count,
+                    host.due - self.now,
+                    host.count_in_use,
+                    host.core.own_record,
+                    sorted(host.core.table.items()),
                     sorted(
-                        (name, held.expires_at - self.now, sorted(held.reporters))
-                        for name, held in seat.core._suspicions.items()
+                        (name, suspicion.expires_at - self.now, sorted(suspicion.reporters))
+                        for name, suspicion in host.core._suspicions.items()
                     ),
-                    seat.core._slowdown,
-                    seat.core._probe
+                    host.core._slowdown,
+                    host.core._probe
                     and (
-                        seat.core._probe.record.name,
-                        seat.core._probe.ends_at - self.now,
-                        seat.core._probe.acked,
-                        seat.core._probe.relay_count,
-                        seat.core._probe.nack_count,
+                        host.core._probe.record.name,
+                        host.core._probe.ends_at - self.now,
+                        host.core._probe.acked,
+                        host.core._probe.relay_count,
+                        host.core._probe.nack_count,
                     ),
-                    sorted(seat.core._gossip_queue.items()),
-                    seat.core._probe_round,
-                    sorted(seat.core._requests),
+                    sorted(host.core._gossip_queue.items()),
+                    host.core._probe_round,
+                    sorted(host.core._requests),
                 )
-                for seat in self.seats
+                for host in self.hosts
+            ],
+            [
+                (message_type, source, start_count, target, request_id)
+                for message_type, source, start_count, target, request_id, _ in self.in_flight
             ],
-            [(what, by, life, to, ask) for what, by, life, to, ask, _ in self.flying],
-            self.left,
+            self.remaining,
         )
 
     def trace(self) -> list[str]:
