--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -121,9 +121,9 @@
     def terminate(self, login: int) -> None:
         self._answer(login, "terminated")
 
-    def _answer(self, login: int, answer: str) -> None:
-        self.world.rules.login_answered(self.world.now, self.number, login, answer)
-        self.world.answers[login] = answer
+    def _answer(self, login: int, how: str) -> None:
+        self.world.rules.login_answered(self.world.now, self.number, login, how)
+        self.world.answers[login] = how
         self.hand_offs.pop(login, None)
         self.world.awaiting_answer.discard((self.number, login))
 
--- a/corklift/lab/explore_recovery.py
+++ b/corklift/lab/explore_recovery.py
@@ -1,7 +1,9 @@
-"""A small world of recoveries for exploration: three balancers, two servers, one word, one cut of the power, every order.
+"""A small world of balancers that recover from a loss of power, for state space exploration.
 
-Owns the world and what must hold in each of its states: no login is let in by one that does not hold a word which had its yes, and when
-nothing is left to happen but time, those that live serve. Must never hold a decision.
+A few balancers and two servers: an operator takes one server out of service, and all balancers lose
+power and start again. Events are messages that arrive or are lost, writes and reads of stores that
+end, logins, bounds on waiting times that pass and second losses of power. The balancers run the
+real `Recovery`; this module never makes a decision itself.
 """
 
 from __future__ import annotations
@@ -21,285 +23,338 @@
 from corklift.recovery.messages import Marker, Replicate, ReplicateReply, StateReply, StateRequest
 
 PERIOD = 1_000_000_000
-EPOCH = 1_000 * PERIOD
-OUT = "s1"
+START_TIME = 1_000 * PERIOD
+REMOVED_SERVER = "s1"
 
 
 class RecoveryShape(NamedTuple):
-    """Its shape: how often each may happen."""
+    """Size of a `RecoveryWorld` and how often each event may happen."""
 
     balancers: int = 3
     losses: int = 1  # of messages
     logins: int = 2
-    second_cuts: int = 1  # of one balancer
-    lying: int = 0  # disks that lose all but the oldest at the cut
-    bounds: int = 3  # times that a bound on a question may pass
+    second_cuts: int = 1  # further losses of power, each of one balancer
+    lying: int = 0  # balancers whose disk loses all but its oldest fact with the power
+    bounds: int = 3  # times that the bound on loading the store or on querying peers may pass
 
 
-class _Seat(NullHost):
+class _BalancerHost(NullHost):
+    """The host of one balancer's recovery: its store and its messages to the other balancers."""
+
     def __init__(self, world: RecoveryWorld, number: int) -> None:
         self.world, self.number, self.name = world, number, f"b{number}"
-        self.alive, self.life, self.boot = True, 1, 0
-        self.disk: list[Fact] = []
-        self.pending: list[tuple[int, tuple[Fact, ...]]] = []
-        self.out: set[str] = set()
+        self.alive, self.start_count, self.boot_count = True, 1, 0
+        self.stored_facts: list[Fact] = []
+        self.pending_writes: list[tuple[int, tuple[Fact, ...]]] = []
+        self.out_of_service: set[str] = set()
         self.core: Any = None
-        self.has_read = False
+        self.store_read = False
 
     def start(self) -> None:
         world = self.world
-        self.alive, self.pending, self.out, self.has_read = True, [], set(), False
-        self.core = world.make(
+        self.alive, self.pending_writes, self.out_of_service, self.store_read = (
+            True,
+            [],
+            set(),
+            False,
+        )
+        self.core = world.new_core(
             self,
             Random(self.number),
             RecoveryConfig(PERIOD, cold=ColdRule(0.3, 8 * PERIOD, 3.0, PERIOD)),
             world.now,
             name=self.name,
-            instance_id=self.life,
-            boot=str(self.boot),
+            instance_id=self.start_count,
+            boot=str(self.boot_count),
             expected=world.shape.balancers,
         )
-        self.found = list(self.disk)
+        self.facts_at_start = list(self.stored_facts)
 
     # Host
 
-    def request_state(self, number: int, name: str, message: StateRequest, until: int) -> None:
-        self.world.flying.append(("ask", self.number, self.life, int(name[1:]), number, message))
+    def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
+        self.world.in_flight.append(
+            ("ask", self.number, self.start_count, int(name[1:]), request_id, message)
+        )
 
-    def replicate(self, number: int, name: str, message: Replicate, until: int) -> None:
-        self.world.flying.append(("tell", self.number, self.life, int(name[1:]), number, message))
+    def replicate(self, request_id: int, name: str, message: Replicate, until: int) -> None:
+        self.world.in_flight.append(
+            ("tell", self.number, self.start_count, int(name[1:]), request_id, message)
+        )
 
-    def persist(self, number: int, facts: tuple[Fact, ...]) -> None:
-        self.pending.append((number, facts))
+    def persist(self, write_id: int, facts: tuple[Fact, ...]) -> None:
+        self.pending_writes.append((write_id, facts))
 
-    def apply_recovered(self, out: set[str], put_back: set[str]) -> None:
-        self.out = self.out - put_back | out
+    def apply_recovered(self, out_of_service: set[str], restored: set[str]) -> None:
+        self.out_of_service = self.out_of_service - restored | out_of_service
 
 
 class RecoveryWorld:
-    """Three cores, their disks, and what flies between them."""
+    """A few balancers, their stores and the messages in flight between them.
+
+    Invariants: a balancer whose state is complete admits no login while it does not know that a
+    server is out of service, if operators received a confirmation of that; and a balancer that runs
+    never waits without a bound once no message or write is pending.
+    """
 
-    def __init__(self, shape: RecoveryShape, make: Any = Recovery) -> None:
-        self.shape, self.make, self.now = shape, make, EPOCH
-        self.flying: list[tuple[str, int, int, int, int, Any]] = []
+    def __init__(self, shape: RecoveryShape, new_core: Any = Recovery) -> None:
+        self.shape, self.new_core, self.now = shape, new_core, START_TIME
+        self.in_flight: list[tuple[str, int, int, int, int, Any]] = []
         self.steps: list[str] = []
-        self.wrong: str | None = None
-        self.yes = False
-        self.cut = False
-        self.left = {
+        self.failure: str | None = None
+        self.confirmed = False
+        self.power_lost = False
+        self.remaining = {
             "lose": shape.losses,
             "login": shape.logins,
             "again": shape.second_cuts,
             "bound": shape.bounds,
         }
-        self.seats = [_Seat(self, number) for number in range(shape.balancers)]
-        for seat in self.seats:
-            seat.start()
-            seat.core.store_loaded(self.now, [], Marker(b"%16d" % seat.number, 0), True)
-        # All serve and have something on their disks before anything happens.
-        for seat in self.seats:
-            seat.core.phase = RecoveryPhase.FULL
-            seat.core.live_peer_replied = True
-            seat.core._live_peers = [other.name for other in self.seats if other is not seat]
-            seat.core._membership_ready = True
-            while seat.pending:
-                self._kept(seat)
-            seat.has_read = True
-        self.flying.clear()
-        self.seats[0].core.set_out_of_service(self.now, OUT, True, self._said)
-
-    def _said(self, outcome: ReplicationOutcome, kept: int, wanted: int) -> None:
-        self.yes = self.yes or outcome is ReplicationOutcome.KEPT
+        self.hosts = [_BalancerHost(self, number) for number in range(shape.balancers)]
+        for host in self.hosts:
+            host.start()
+            host.core.store_loaded(self.now, [], Marker(b"%16d" % host.number, 0), True)
+        # At the start all balancers serve and have facts in their stores.
+        for host in self.hosts:
+            host.core.phase = RecoveryPhase.FULL
+            host.core.live_peer_replied = True
+            host.core._live_peers = [other.name for other in self.hosts if other is not host]
+            host.core._membership_ready = True
+            while host.pending_writes:
+                self._finish_write(host)
+            host.store_read = True
+        self.in_flight.clear()
+        self.hosts[0].core.set_out_of_service(
+            self.now, REMOVED_SERVER, True, self._override_replicated
+        )
+
+    def _override_replicated(
+        self, outcome: ReplicationOutcome, stored_count: int, required_count: int
+    ) -> None:
+        self.confirmed = self.confirmed or outcome is ReplicationOutcome.KEPT
 
     def enabled(self) -> list[str]:
-        labels = [f"arrive {at}" for at in range(min(3, len(self.flying)))]
-        if self.left["lose"]:
-            labels += [f"lose {at}" for at in range(min(3, len(self.flying)))]
-        for seat in self.seats:
-            at = f" {seat.number}"
-            if not seat.alive:
-                labels.append("boot" + at)
+        labels = [f"arrive {index}" for index in range(min(3, len(self.in_flight)))]
+        if self.remaining["lose"]:
+            labels += [f"lose {index}" for index in range(min(3, len(self.in_flight)))]
+        for host in self.hosts:
+            suffix = f" {host.number}"
+            if not host.alive:
+                labels.append("boot" + suffix)
                 continue
-            if seat.pending:
-                labels.append("kept" + at)
-            if not seat.has_read:
-                labels.append("read" + at)
-            if seat.core.phase is RecoveryPhase.LOOK:
-                labels.append("looked" + at)
-            if self.left["login"] and self.cut:
-                labels.append("login" + at)
+            if host.pending_writes:
+                labels.append("kept" + suffix)
+            if not host.store_read:
+                labels.append("read" + suffix)
+            if host.core.phase is RecoveryPhase.LOOK:
+                labels.append("looked" + suffix)
+            if self.remaining["login"] and self.power_lost:
+                labels.append("login" + suffix)
             if (
-                self.left["bound"]
-                and seat.core.phase in (RecoveryPhase.READ, RecoveryPhase.ASK)
-                and self.cut
+                self.remaining["bound"]
+                and host.core.phase in (RecoveryPhase.READ, RecoveryPhase.ASK)
+                and self.power_lost
             ):
-                labels.append("bound" + at)
-            if self.left["again"] and self.cut:
-                labels.append("again" + at)
-        if not self.cut:
+                labels.append("bound" + suffix)
+            if self.remaining["again"] and self.power_lost:
+                labels.append("again" + suffix)
+        if not self.power_lost:
             labels.append("cut 0")
         return labels
 
     def play(self, label: str) -> None:
-        kind, _, at = label.partition(" ")
-        number = int(at)
-        self.steps.append(f"{(self.now - EPOCH) / PERIOD:8.3f}  {label}" + self._of(kind, number))
-        seat = self.seats[number] if kind not in ("arrive", "lose") else self.seats[0]
+        kind, _, index = label.partition(" ")
+        number = int(index)
+        self.steps.append(
+            f"{(self.now - START_TIME) / PERIOD:8.3f}  {label}"
+            + self._message_description(kind, number)
+        )
+        host = self.hosts[number] if kind not in ("arrive", "lose") else self.hosts[0]
         if kind in ("arrive", "lose"):
-            self._message(kind, *self.flying.pop(number))
+            self._deliver_or_lose(kind, *self.in_flight.pop(number))
         elif kind == "kept":
-            self._kept(seat)
+            self._finish_write(host)
         elif kind == "cut":
-            self.cut = True
-            self.flying.clear()
-            for at_seat, other in enumerate(self.seats):
-                other.alive, other.pending = False, []
-                other.boot += 1
-                if at_seat < self.shape.lying:
-                    other.disk = other.disk[:1]
+            self.power_lost = True
+            self.in_flight.clear()
+            for position, other in enumerate(self.hosts):
+                other.alive, other.pending_writes = False, []
+                other.boot_count += 1
+                if position < self.shape.lying:
+                    other.stored_facts = other.stored_facts[:1]
         elif kind == "boot":
-            seat.life += 1
-            seat.start()
-            self._members()
+            host.start_count += 1
+            host.start()
+            self._announce_members()
         elif kind == "read":
-            seat.has_read = True
-            seat.core.store_loaded(
-                self.now, seat.found, Marker(b"%16d" % number, len(seat.found)), not seat.found
+            host.store_read = True
+            host.core.store_loaded(
+                self.now,
+                host.facts_at_start,
+                Marker(b"%16d" % number, len(host.facts_at_start)),
+                not host.facts_at_start,
             )
-            self._members()
+            self._announce_members()
         elif kind == "looked":
-            seat.core.servers_probed(self.now, ["s2"], True)
+            host.core.servers_probed(self.now, ["s2"], True)
         elif kind == "bound":
-            self.left["bound"] -= 1
+            self.remaining["bound"] -= 1
             self.now += 6 * PERIOD
-            seat.core.tick(self.now)
-            self._members()
+            host.core.tick(self.now)
+            self._announce_members()
         elif kind == "again":
-            self.left["again"] -= 1
-            seat.alive, seat.pending = False, []
-            seat.boot += 1
+            self.remaining["again"] -= 1
+            host.alive, host.pending_writes = False, []
+            host.boot_count += 1
         elif kind == "login":
-            self.left["login"] -= 1
-            let_in = seat.core.admit_login(self.now, 1.0) is None
-            # One that nobody answered within the bound serves by what its disk says: told in docs/design/recovery.md.
-            if let_in and self.yes and OUT not in seat.out and seat.core.state_complete:
-                self.wrong = f"{seat.name} lets a login in and does not know that {OUT} is out, which operators had a yes for"
-        self._check()
-
-    def _of(self, kind: str, number: int) -> str:
+            self.remaining["login"] -= 1
+            admitted = host.core.admit_login(self.now, 1.0) is None
+            # Without a reply within the bound, a balancer serves by its own store, which may lack
+            # the override: see docs/design/recovery.md. It is not `state_complete` then.
+            if (
+                admitted
+                and self.confirmed
+                and REMOVED_SERVER not in host.out_of_service
+                and host.core.state_complete
+            ):
+                self.failure = (
+                    f"{host.name} admits a login and does not know that {REMOVED_SERVER} is out of "
+                    "service, which was confirmed to the operators"
+                )
+        self._check_progress()
+
+    def _message_description(self, kind: str, number: int) -> str:
         if kind not in ("arrive", "lose"):
             return ""
-        what, by, _, to, _, _ = self.flying[number]
-        return f": {what} of b{by} to b{to}"
-
-    def _kept(self, seat: _Seat) -> None:
-        number, facts = seat.pending.pop(0)
-        seat.disk += facts
-        seat.core.persisted(self.now, number, len(seat.disk), "")
-
-    def _members(self) -> None:
-        """Whoever has read its disk, or does not wait for it, takes calls."""
-        for seat in self.seats:
-            if seat.alive and seat.core.phase > RecoveryPhase.READ:
-                seat.core.members_changed(
+        message_type, source, _, target, _, _ = self.in_flight[number]
+        return f": {message_type} of b{source} to b{target}"
+
+    def _finish_write(self, host: _BalancerHost) -> None:
+        write_id, facts = host.pending_writes.pop(0)
+        host.stored_facts += facts
+        host.core.persisted(self.now, write_id, len(host.stored_facts), "")
+
+    def _announce_members(self) -> None:
+        """Tells each balancer which others accept calls: those that have left the phase READ."""
+        for host in self.hosts:
+            if host.alive and host.core.phase > RecoveryPhase.READ:
+                host.core.members_changed(
                     self.now,
                     [
                         other.name
-                        for other in self.seats
-                        if other is not seat
+                        for other in self.hosts
+                        if other is not host
                         and other.alive
                         and other.core.phase > RecoveryPhase.READ
                     ],
                     True,
                 )
 
-    def _message(
-        self, kind: str, what: str, by: int, life: int, to: int, number: int, message: Any
+    def _deliver_or_lose(
+        self,
+        kind: str,
+        message_type: str,
+        source: int,
+        start_count: int,
+        target: int,
+        request_id: int,
+        message: Any,
     ) -> None:
-        seat, other = self.seats[by], self.seats[to]
-        lives = seat.alive and seat.life == life
-        if what == "ask" or what == "tell":
+        host, other = self.hosts[source], self.hosts[target]
+        lives = host.alive and host.start_count == start_count
+        if message_type == "ask" or message_type == "tell":
             if kind == "lose" or not other.alive or other.core.phase is RecoveryPhase.READ:
-                self.left["lose"] -= kind == "lose"
-                if lives and what == "ask":
-                    seat.core.request_failed(self.now, number)
+                self.remaining["lose"] -= kind == "lose"
+                if lives and message_type == "ask":
+                    host.core.request_failed(self.now, request_id)
                 elif lives:
-                    seat.core.replicate_reply_received(self.now, number, None)
-            elif what == "ask":
-                self.flying.append(
+                    host.core.replicate_reply_received(self.now, request_id, None)
+            elif message_type == "ask":
+                self.in_flight.append(
                     (
                         "answer",
-                        to,
-                        other.life,
-                        by,
-                        number,
-                        (life, other.core.state_requested(self.now, message)),
+                        target,
+                        other.start_count,
+                        source,
+                        request_id,
+                        (start_count, other.core.state_requested(self.now, message)),
                     )
                 )
             else:
                 other.core.replicate_received(
                     self.now,
                     message,
-                    lambda told: self.flying.append(
-                        ("told", to, other.life, by, number, (life, told))
+                    lambda reply: self.in_flight.append(
+                        (
+                            "told",
+                            target,
+                            other.start_count,
+                            source,
+                            request_id,
+                            (start_count, reply),
+                        )
                     ),
                 )
             return
-        asked_life, content = message
-        if not other.alive or other.life != asked_life:
+        caller_start_count, content = message
+        if not other.alive or other.start_count != caller_start_count:
             return
         if kind == "lose":
-            self.left["lose"] -= 1
+            self.remaining["lose"] -= 1
             content = None
-        if what == "answer" and isinstance(content, StateReply):
-            other.core.reply_received(self.now, number, content)
-        elif what == "answer":
-            other.core.request_failed(self.now, number)
+        if message_type == "answer" and isinstance(content, StateReply):
+            other.core.reply_received(self.now, request_id, content)
+        elif message_type == "answer":
+            other.core.request_failed(self.now, request_id)
         else:
             other.core.replicate_reply_received(
-                self.now, number, content if isinstance(content, ReplicateReply) else None
+                self.now, request_id, content if isinstance(content, ReplicateReply) else None
             )
 
-    def _check(self) -> None:
-        if not self.cut or self.flying or any(seat.pending for seat in self.seats):
+    def _check_progress(self) -> None:
+        if not self.power_lost or self.in_flight or any(host.pending_writes for host in self.hosts):
             return
-        for seat in self.seats:
-            if not seat.alive or not seat.has_read or seat.core.phase >= RecoveryPhase.LOOK:
+        for host in self.hosts:
+            if not host.alive or not host.store_read or host.core.phase >= RecoveryPhase.LOOK:
                 continue
-            # Nothing is on its way: time alone must bring it on, if it remembers anything or anyone else is there.
+            # No message is in flight, so time alone must end this phase, unless the balancer starts
+            # with an empty store and no other balancer runs.
             now = self.now
             others = [
                 other
-                for other in self.seats
-                if other is not seat and other.alive and other.has_read
+                for other in self.hosts
+                if other is not host and other.alive and other.store_read
             ]
-            if seat.core.starts_empty and not others:
+            if host.core.starts_empty and not others:
                 continue
-            if seat.core._requests or seat.core._query_deadline > now + 10 * PERIOD:
-                self.wrong = f"{seat.name} waits, and nothing ends it"
+            if host.core._requests or host.core._query_deadline > now + 10 * PERIOD:
+                self.failure = f"{host.name} waits without a bound"
 
     def violation(self) -> str | None:
-        return self.wrong
+        return self.failure
 
     def state(self) -> object:
         return (
             [
                 (
-                    seat.alive,
-                    seat.life,
-                    seat.has_read,
-                    seat.disk,
-                    seat.pending,
-                    sorted(seat.out),
-                    seat.core.phase,
-                    seat.core.exploration_state(self.now),
+                    host.alive,
+                    host.start_count,
+                    host.store_read,
+                    host.stored_facts,
+                    host.pending_writes,
+                    sorted(host.out_of_service),
+                    host.core.phase,
+                    host.core.exploration_state(self.now),
                 )
-                for seat in self.seats
+                for host in self.hosts
+            ],
+            [
+                (message_type, source, start_count, target, request_id)
+                for message_type, source, start_count, target, request_id, _ in self.in_flight
             ],
-            [(what, by, life, to, number) for what, by, life, to, number, _ in self.flying],
-            self.left,
-            self.yes,
-            self.cut,
+            self.remaining,
+            self.confirmed,
+            self.power_lost,
         )
 
     def trace(self) -> list[str]:
