--- a/tests/processes/test_power.py
+++ b/tests/processes/test_power.py
@@ -86,7 +86,7 @@
 def test_a_power_loss_of_the_whole_fleet_while_discovery_is_silent():
     case = PowerLossCase(2, 5, 3, 30.0, (), 5.0, old_list=True, drain=True, seconds=8.0)
     result, rig = run_case(case)
-    assert result.breaks == [] and result.problems == [] and result.yes >= 1
+    assert result.violations == [] and result.problems == [] and result.confirmed_overrides >= 1
     assert (
         not result.words_forgotten
         and not result.words_invented
@@ -107,7 +107,7 @@
     )
     result, rig = run_case(case)
     assert (
-        result.breaks == []
+        result.violations == []
         and result.problems == []
         and not result.words_forgotten
         and not result.words_invented
