--- a/corklift/lab/explore_recovery.py
+++ b/corklift/lab/explore_recovery.py
@@ -102,7 +102,7 @@
         self.in_flight: list[tuple[str, int, int, int, int, Any]] = []
         self.steps: list[str] = []
         self.failure: str | None = None
-        self.confirmed = False
+        self.yes = False
         self.power_lost = False
         self.remaining = {
             "lose": shape.losses,
@@ -131,7 +131,7 @@
     def _override_replicated(
         self, outcome: ReplicationOutcome, stored_count: int, required_count: int
     ) -> None:
-        self.confirmed = self.confirmed or outcome is ReplicationOutcome.KEPT
+        self.yes = self.yes or outcome is ReplicationOutcome.KEPT
 
     def enabled(self) -> list[str]:
         labels = [f"arrive {index}" for index in range(min(3, len(self.in_flight)))]
@@ -213,7 +213,7 @@
             # the override: see docs/design/recovery.md. It is not `state_complete` then.
             if (
                 admitted
-                and self.confirmed
+                and self.yes
                 and REMOVED_SERVER not in host.out_of_service
                 and host.core.state_complete
             ):
@@ -353,7 +353,7 @@
                 for message_type, source, start_count, target, request_id, _ in self.in_flight
             ],
             self.remaining,
-            self.confirmed,
+            self.yes,
             self.power_lost,
         )
 
--- a/corklift/lab/peer_days.py
+++ b/corklift/lab/peer_days.py
@@ -1,7 +1,8 @@
-"""Seeded histories of members in virtual time, each held against what is true.
+"""Randomised histories of the membership protocol in virtual time, compared with the true state.
 
-A history is a fleet, faults drawn from its seed, an end of all faults, and a while after it. Owns the promises of
-docs/design/membership.md as checks. Must never ask a core what is true.
+A history starts a fleet, injects faults drawn from its seed, ends all faults and waits. Then it
+checks what docs/design/membership.md promises. The true state is the emulated network's and never
+that of a member.
 """
 
 from __future__ import annotations
@@ -29,10 +30,20 @@
     "flap",
     "double",
 )
-QUIET = 150.0  # periods after the last fault in which all is to be agreed on
+SETTLE_PERIODS = 150.0  # after the last fault, until all members must agree
 
 
 class HistoryResult(NamedTuple):
+    """The outcome of one history.
+
+    Attributes:
+        seed: the seed of the history.
+        problems: violated promises, with the time of each in periods.
+        faults: injected faults, with the time of each in periods.
+        too_low_s: seconds, summed over members, in which a count in use was too low.
+        false_dead: number of times that a running process was declared dead.
+    """
+
     seed: int
     problems: list[str]
     faults: list[str]
@@ -41,10 +52,10 @@
 
 
 class MembershipHistory:
-    """One history."""
+    """One history, with the checks of its promises."""
 
     def __init__(
-        self, seed: int, make: Callable[..., Any] = Membership, faults: tuple[str, ...] = FAULTS
+        self, seed: int, new_core: Callable[..., Any] = Membership, faults: tuple[str, ...] = FAULTS
     ) -> None:
         self.seed, self.rng = seed, Random(seed)
         self.net = EmulatedNetwork(
@@ -52,34 +63,35 @@
                 members=self.rng.randint(3, 9), delay=self.rng.choice((2, 20, 120)) * 1_000_000
             ),
             seed,
-            make,
+            new_core,
         )
-        self.net.on_member_changed = self._heard
+        self.net.on_member_changed = self._member_changed
         self.problems: list[str] = []
-        self.told: list[str] = []
-        self.gone: set[tuple[str, int]] = set()  # by name and life, those that said that they leave
-        self.killed: dict[str, int] = {}  # by name, the life of one that was killed last
+        self.history: list[str] = []
+        # Name and instance id of the members that announced that they leave.
+        self.departed: set[tuple[str, int]] = set()
+        self.last_killed: dict[str, int] = {}  # by name: instance id of the process killed last
         self.faults = faults
-        self.doubled = self.moved = False
+        self.has_duplicate = self.has_moved = False
 
-    def _heard(self, member: EmulatedMember, record: MemberRecord) -> None:
+    def _member_changed(self, member: EmulatedMember, record: MemberRecord) -> None:
         if (
             record.state != MemberState.LEFT
-            and (record.name, record.instance_id) in self.gone
+            and (record.name, record.instance_id) in self.departed
             and record.state == MemberState.ALIVE
         ):
             left = self.net.death_known_at.get((record.name, -record.instance_id), {})
             if member.number in left and left[member.number] == member.start_count:
-                self._broken(
-                    f"{member.name} held {record.name} for living after it was told that it left"
+                self._add_problem(
+                    f"{member.name} took {record.name} for alive after it learned that it had left"
                 )
         if record.state == MemberState.LEFT:
             self.net.death_known_at.setdefault((record.name, -record.instance_id), {})[
                 member.number
             ] = member.start_count
 
-    def _broken(self, what: str) -> None:
-        self.problems.append(f"{self.net.now / self.net.shape.period - 1000:.2f}: {what}")
+    def _add_problem(self, problem: str) -> None:
+        self.problems.append(f"{self.net.now / self.net.shape.period - 1000:.2f}: {problem}")
 
     def run(self) -> HistoryResult:
         net, rng = self.net, self.rng
@@ -92,75 +104,84 @@
         net.run(rng.choice((0, 10, 20)))
         for _ in range(rng.randint(1, 6)):
             kind = rng.choice(self.faults)
-            self.told.append(f"{net.now / net.shape.period - 1000:.2f}: {kind}")
+            self.history.append(f"{net.now / net.shape.period - 1000:.2f}: {kind}")
             getattr(self, "_" + kind.replace(" ", "_"))()
             net.run(rng.choice((0.2, 2, 8, 30)))
         net.cut.clear()
         net.loss = 0.0
-        net.run(40)  # no stop lasts longer
-        net.run(QUIET)
-        self._judge()
+        net.run(40)  # longer than any stop
+        net.run(SETTLE_PERIODS)
+        self._check_agreement()
         return HistoryResult(
-            self.seed, self.problems, self.told, net.undercount_time / 1e9, len(net.false_deaths)
+            self.seed, self.problems, self.history, net.undercount_time / 1e9, len(net.false_deaths)
         )
 
-    def _judge(self) -> None:
-        living = [member for member in self.net.members if member.alive and not member.left]
-        names = {member.name for member in living}
-        if len(names) != len(living):
-            self._broken(f"two processes have one name: {sorted(member.name for member in living)}")
-        if self.moved and not any(member.number < self.net.shape.joins for member in living):
-            return  # nobody is left at any address that the moved one could know
+    def _check_agreement(self) -> None:
+        running = [member for member in self.net.members if member.alive and not member.left]
+        names = {member.name for member in running}
+        if len(names) != len(running):
+            self._add_problem(
+                f"two processes have one name: {sorted(member.name for member in running)}"
+            )
+        if self.has_moved and not any(member.number < self.net.shape.joins for member in running):
+            return  # no address that the moved member knows has a running member
         digests = set()
-        for member in living:
+        for member in running:
             core = member.core
-            held = {
+            alive_names = {
                 record.name for record in core.table.values() if record.state == MemberState.ALIVE
             }
-            if held != names - {member.name}:
-                self._broken(
-                    f"{member.name} holds {sorted(held)} for living, where {sorted(names - {member.name})} live"
+            if alive_names != names - {member.name}:
+                self._add_problem(
+                    f"{member.name} takes {sorted(alive_names)} for alive, "
+                    f"but {sorted(names - {member.name})} are"
                 )
-            for name, life in self.killed.items():
+            for name, instance_id in self.last_killed.items():
                 record = core.table.get(name)
                 if (
                     name not in names
                     and record is not None
-                    and record.instance_id == life
+                    and record.instance_id == instance_id
                     and record.state < MemberState.DEAD
                 ):
-                    self._broken(
-                        f"{member.name} holds {name} for {MemberState(record.state).name}, which was killed"
+                    self._add_problem(
+                        f"{member.name} takes {name} for {MemberState(record.state).name}, "
+                        "but it was killed"
                     )
-            if member.count_in_use < len(living):
-                self._broken(
-                    f"{member.name} counts {member.count_in_use} where {len(living)} place"
+            if member.count_in_use < len(running):
+                self._add_problem(
+                    f"{member.name} counts {member.count_in_use} members, "
+                    f"but {len(running)} accept logins"
                 )
             digests.add(core._digest)
             if not core.admitted:
-                self._broken(f"{member.name} still waits to open its door")
+                self._add_problem(f"{member.name} is still not admitted")
         if len(digests) > 1:
-            self._broken(f"{len(digests)} different tables")
-        # Two processes of one name on two sides of a cut, or where one is stopped, count as one until they meet.
-        if self.net.undercount_time and not self.doubled:
-            self._broken(f"a count in use was too low: {self.net.first_undercount}")
+            self._add_problem(f"{len(digests)} different member tables")
+        # Two processes with one name count as one while they can't exchange messages, because of a
+        # partition or because one is stopped.
+        if self.net.undercount_time and not self.has_duplicate:
+            self._add_problem(f"a count in use was too low: {self.net.first_undercount}")
 
     # Faults
 
-    def _some(self) -> EmulatedMember | None:
-        living = [member for member in self.net.members if member.alive and not member.left]
-        return self.rng.choice(living) if len(living) > 1 else None
+    def _random_member(self) -> EmulatedMember | None:
+        running = [member for member in self.net.members if member.alive and not member.left]
+        return self.rng.choice(running) if len(running) > 1 else None
 
     def _kill(self) -> None:
-        member = self._some()
+        member = self._random_member()
         if member is not None:
             self.net.refuses_connections = self.rng.random() < 0.5
-            self.killed[member.name] = member.core.own_record.instance_id
+            self.last_killed[member.name] = member.core.own_record.instance_id
             member.kill()
 
     def _restart(self) -> None:
-        """Killed, and started again under its name: at once or later, its incarnation forgotten."""
-        member = self._some()
+        """Kills a process and restarts it under its name, at once or later.
+
+        The new process does not know its last incarnation.
+        """
+        member = self._random_member()
         if member is not None:
             member.kill()
             self.net.call_after(
@@ -168,11 +189,14 @@
             )
 
     def _move(self) -> None:
-        """The same name at a new address: not of one that files name, which would be out of date."""
-        member = self._some()
+        """Restarts a member under its name at a new address.
+
+        Excludes the members in the configured addresses, which would be outdated.
+        """
+        member = self._random_member()
         if member is not None and member.number >= self.net.shape.joins:
             member.kill()
-            self.moved = True
+            self.has_moved = True
             address = f"10.9.{self.rng.randrange(256)}.{self.rng.randrange(256)}:7000"
             self.net.call_after(
                 self.rng.choice((0.01, 0.5, 5)),
@@ -180,7 +204,7 @@
             )
 
     def _stop(self) -> None:
-        member = self._some()
+        member = self._random_member()
         if member is not None:
             self.net.pause(member, self.rng.choice((0.4, 1.5, 6, 30)))
 
@@ -191,8 +215,8 @@
                 self.net.pause(member, span)
 
     def _one_way(self) -> None:
-        a, b = self.rng.sample(self.net.members, 2)
-        self.net.cut.add((a.number, b.number))
+        source, target = self.rng.sample(self.net.members, 2)
+        self.net.cut.add((source.number, target.number))
 
     def _partition(self) -> None:
         side = {member.number for member in self.net.members if self.rng.random() < 0.5}
@@ -211,7 +235,7 @@
             )
 
     def _chain(self) -> None:
-        """Each sees only its neighbours."""
+        """Cuts all links but those between neighbours."""
         numbers = [member.number for member in self.net.members]
         self.net.cut |= {(a, b) for a in numbers for b in numbers if abs(a - b) > 1}
 
@@ -219,35 +243,36 @@
         self.net.loss = self.rng.choice((0.02, 0.1, 0.3))
 
     def _slow(self) -> None:
-        """A process that is stopped over and over for a part of each period."""
-        member = self._some()
+        """Stops a process repeatedly for a part of each period."""
+        member = self._random_member()
         if member is not None:
-            for at in range(8):
-                self.net.call_after(at * 1.1, lambda: self.net.pause(member, 0.8))
+            for cycle in range(8):
+                self.net.call_after(cycle * 1.1, lambda: self.net.pause(member, 0.8))
 
     def _leave(self) -> None:
-        member = self._some()
+        member = self._random_member()
         if member is not None and not member.paused:
-            self.gone.add((member.name, member.core.own_record.instance_id))
+            self.departed.add((member.name, member.core.own_record.instance_id))
             member.leave()
 
     def _flap(self) -> None:
-        """Killed and started again each second."""
-        member = self._some()
+        """Kills a process and restarts it, once in each period."""
+        member = self._random_member()
         if member is not None:
-            for at in range(6):
-                self.net.call_after(at, lambda: member.alive and member.kill())
-                self.net.call_after(at + 0.3, lambda: member.alive or member.start())
+            for cycle in range(6):
+                self.net.call_after(cycle, lambda: member.alive and member.kill())
+                self.net.call_after(cycle + 0.3, lambda: member.alive or member.start())
 
     def _double(self) -> None:
-        """A process more, under a name that is in use."""
-        member = self._some()
+        """Starts another process under a name that is in use."""
+        member = self._random_member()
         if member is not None and len(self.net.members) < 12:
-            self.doubled = True
-            more = EmulatedMember(self.net, len(self.net.members))
-            self.net.members.append(more)
-            more.start(name=member.name)
+            self.has_duplicate = True
+            duplicate = EmulatedMember(self.net, len(self.net.members))
+            self.net.members.append(duplicate)
+            duplicate.start(name=member.name)
 
 
-def run_history(seed: int, make: Callable[..., Any] = Membership) -> HistoryResult:
-    return MembershipHistory(seed, make).run()
+def run_history(seed: int, new_core: Callable[..., Any] = Membership) -> HistoryResult:
+    """Runs the history of a seed."""
+    return MembershipHistory(seed, new_core).run()
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -1,7 +1,9 @@
-"""Members in virtual time, among links that lose, delay and stall messages, and processes that stop, die and come back.
+"""Emulates members of the membership protocol, and the network between them, in virtual time.
 
-Owns what is true: who lives, who is stopped, which messages pass, how many connections stand at the servers. Drives the
-product's own core through its host. Must never hold a copy of its decisions. One seed gives one history.
+Links lose and delay messages; processes stop for a while, are killed and start again. This module
+holds the true state: which processes run, which are stopped, which messages arrive and how many
+connections there are. Each member runs the real `Membership`, driven through its host interface;
+this module never makes its decisions. The same seed always gives the same history.
 """
 
 from __future__ import annotations
@@ -15,40 +17,55 @@
 from corklift.membership.core import Membership, MembershipConfig
 from corklift.membership.messages import MemberRecord, MemberState, Message, decode, encode
 
-REFUSED_AFTER = MS  # a connect to a port where nobody listens ends
-HEADS = 60  # bytes of HTTP/2 and gRPC beside a message, measured on loopback with the driver
-LOOK = 4  # times a period that what members hold is compared with the truth
+REFUSAL_DELAY = MS  # until a connect to a port without a listener fails
+# HTTP/2 and gRPC framing of a message, measured on loopback with the driver.
+FRAMING_BYTES = 60
+OBSERVATIONS_PER_PERIOD = 4  # comparisons of the members' state with the true state
 
 
 class NetworkShape(NamedTuple):
+    """Size and properties of an emulated network.
+
+    Attributes:
+        members: number of processes.
+        period: probe interval of the members, in ns.
+        loss: probability that a message is lost.
+        delay: maximum delay of a message in ns; delays are uniform between a fifth of it and all.
+        servers: number of servers that report their connections.
+        settled: all members know each other at the start.
+        joins: number of addresses in each member's configuration.
+        told: number of balancers in each member's settings; 0 is the true number.
+        bytes: encode each message, to count its size.
+    """
+
     members: int = 8
     period: int = SECOND
-    loss: float = 0.0  # of messages
-    delay: int = 5 * MS  # at most; even from a fifth of it
+    loss: float = 0.0
+    delay: int = 5 * MS
     servers: int = 3
-    settled: bool = False  # all know all from the start
-    joins: int = 3  # addresses that a file names
-    told: int = 0  # balancers that it tells of; 0: the true number
-    bytes: bool = False  # encode each message, for its size
+    settled: bool = False
+    joins: int = 3
+    told: int = 0
+    bytes: bool = False
 
 
 class EmulatedMember:
-    """One process's surroundings: the host that its core acts on."""
+    """One process with its member, and the host that the member acts on."""
 
     def __init__(self, net: EmulatedNetwork, number: int) -> None:
         self.net, self.number = net, number
         self.name, self.address = f"b{number}", f"10.0.{number >> 8}.{number & 255}:7000"
         self.alive = self.paused = self.left = False
-        self.start_count = 0  # of its processes: what was meant for an earlier one is void
+        self.start_count = 0  # identifies the process: actions for an earlier one are dropped
         self.core: Any = None
         self.count_in_use = 0
         self.rejections: list[str] = []
-        self.deferred_actions: list[Callable[[], None]] = []  # what came while it was stopped
-        self.held = 0  # connections
+        self.deferred_actions: list[Callable[[], None]] = []  # while it was stopped
+        self.connections = 0
         self.calls: dict[int, Callable[[Message], None]] = {}
         self.next_call_id = 0
         self.sent_bytes = self.sent = 0
-        self.declared_dead: dict[int, set[str]] = {}  # lives that this one called dead
+        self.declared_dead: dict[int, set[str]] = {}
 
     def start(self, name: str = "", address: str = "") -> None:
         net = self.net
@@ -62,8 +79,10 @@
             {},
         )
         self.rejections = []
-        others = [net.members[at].address for at in range(min(net.shape.joins, len(net.members)))]
-        self.core = net.make(
+        others = [
+            net.members[index].address for index in range(min(net.shape.joins, len(net.members)))
+        ]
+        self.core = net.new_core(
             self,
             net.rng,
             MembershipConfig(net.shape.period),
@@ -75,43 +94,43 @@
         )
         net.by_address[self.address] = self
         self.core.start()
-        self.set_connections(self.held)
+        self.set_connections(self.connections)
         self.tick()
 
     @property
     def accepts_logins(self) -> bool:
         return self.alive and not self.left and not self.rejections and self.core.admitted
 
-    def run(self, life: int, act: Callable[[], None]) -> None:
-        """Now, or when it goes on, if it is still the same process."""
-        if not self.alive or self.start_count != life:
+    def run(self, start_count: int, action: Callable[[], None]) -> None:
+        """Runs an action now or once the process is resumed, if it is still the same process."""
+        if not self.alive or self.start_count != start_count:
             return
         if self.paused:
-            self.deferred_actions.append(lambda: self.run(life, act))
+            self.deferred_actions.append(lambda: self.run(start_count, action))
         else:
-            act()
+            action()
 
     def tick(self) -> None:
-        due, life = self.core.tick(self.net.now), self.start_count
-        self.net.call_at(due, lambda: self.run(life, self.tick))
+        due, start_count = self.core.tick(self.net.now), self.start_count
+        self.net.call_at(due, lambda: self.run(start_count, self.tick))
 
     def set_connections(self, connections: int) -> None:
-        self.held = connections
+        self.connections = connections
         self.core.set_connections(self.net.now, connections)
 
     def kill(self) -> None:
-        self.alive, self.held = False, 0
+        self.alive, self.connections = False, 0
         if self.net.by_address.get(self.address) is self:
             del self.net.by_address[self.address]
 
     def leave(self) -> None:
-        self.held = 0
+        self.connections = 0
         self.core.leave(self.net.now)
         self.left = True
-        life = self.start_count
+        start_count = self.start_count
         self.net.call_at(
             self.net.now + self.net.shape.period // 2,
-            lambda: self.start_count == life and self.kill(),
+            lambda: self.start_count == start_count and self.kill(),
         )
 
     # Host
@@ -119,31 +138,32 @@
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
     ) -> None:
-        net, life = self.net, self.start_count
-        self._sent(message)
+        net, start_count = self.net, self.start_count
+        self._count_sent(message)
 
-        def ends(act: Callable[[], None]) -> None:
-            self.run(life, act)
+        def if_running(action: Callable[[], None]) -> None:
+            self.run(start_count, action)
 
+        # Failing a request that was already answered has no effect.
         net.call_at(
-            until, lambda: ends(lambda: self.core.request_failed(net.now, request_id))
-        )  # of no effect once it was answered
-        to = net.by_address.get(address)
-        if to is None:
+            until, lambda: if_running(lambda: self.core.request_failed(net.now, request_id))
+        )
+        target = net.by_address.get(address)
+        if target is None:
             if net.refuses_connections:
                 net.call_at(
-                    net.now + REFUSED_AFTER,
-                    lambda: ends(lambda: self.core.request_failed(net.now, request_id)),
+                    net.now + REFUSAL_DELAY,
+                    lambda: if_running(lambda: self.core.request_failed(net.now, request_id)),
                 )
             return
-        their_life = to.start_count
+        target_start_count = target.start_count
 
         def reply(answer: Message) -> None:
-            to._sent(answer)
-            if net.is_delivered(to, self):
+            target._count_sent(answer)
+            if net.is_delivered(target, self):
                 net.call_at(
                     net.now + net.delay(),
-                    lambda: ends(
+                    lambda: if_running(
                         lambda: self.core.reply_received(
                             net.now, request_id, net.transferred(answer)
                         )
@@ -151,17 +171,17 @@
                 )
 
         def arrive() -> None:
-            call, to.next_call_id = to.next_call_id, to.next_call_id + 1
-            to.calls[call] = reply
-            to.core.request_received(net.now, call, net.transferred(message))
+            call, target.next_call_id = target.next_call_id, target.next_call_id + 1
+            target.calls[call] = reply
+            target.core.request_received(net.now, call, net.transferred(message))
 
-        if net.is_delivered(self, to):
-            net.call_at(net.now + net.delay(), lambda: to.run(their_life, arrive))
+        if net.is_delivered(self, target):
+            net.call_at(net.now + net.delay(), lambda: target.run(target_start_count, arrive))
 
     def send_reply(self, call_id: int, message: Message) -> None:
         self.calls.pop(call_id)(message)
 
-    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
         if record.state == MemberState.DEAD:
             self.net.record_death(self, record)
         self.net.on_member_changed(self, record)
@@ -171,59 +191,57 @@
 
     def name_rejected(self, reason: str) -> None:
         self.rejections.append(reason)
-        life = self.start_count
-        self.net.call_at(self.net.now, lambda: self.run(life, self.leave))
+        start_count = self.start_count
+        self.net.call_at(self.net.now, lambda: self.run(start_count, self.leave))
 
     def log(self, text: str) -> None:
         pass
 
-    def _sent(self, message: Message) -> None:
+    def _count_sent(self, message: Message) -> None:
         self.sent += 1
         if self.net.shape.bytes:
-            self.sent_bytes += len(encode(message)) + HEADS
+            self.sent_bytes += len(encode(message)) + FRAMING_BYTES
 
 
 class EmulatedNetwork:
-    """Processes and what lies between them."""
+    """The processes, the links between them and the clock."""
 
     def __init__(
-        self, shape: NetworkShape, seed: int, make: Callable[..., Any] = Membership
+        self, shape: NetworkShape, seed: int, new_core: Callable[..., Any] = Membership
     ) -> None:
-        self.shape, self.rng, self.make = shape, Random(seed), make
+        self.shape, self.rng, self.new_core = shape, Random(seed), new_core
         self.now = 1_000 * SECOND
-        self._queue: list[tuple[int, int, Callable[[], Any]]] = []
-        self._number = 0
+        self._events: list[tuple[int, int, Callable[[], Any]]] = []
+        self._event_count = 0
         self.by_address: dict[str, EmulatedMember] = {}
         self.members = [EmulatedMember(self, number) for number in range(shape.members)]
-        self.cut: set[tuple[int, int]] = set()  # directed pairs between which nothing passes
+        self.cut: set[tuple[int, int]] = set()  # directed links that are down
         self.loss = shape.loss
-        self.refuses_connections = True  # whether a killed process's machine still answers
-        self.false_deaths: list[
-            tuple[int, str, str]
-        ] = []  # when, by whom, who was called dead while its process lived
-        self.death_known_at: dict[
-            tuple[str, int], dict[int, int]
-        ] = {}  # by name and life, when each came to know of its death
-        self.undercount_time = (
-            0  # ns times members, in which a count in use was under the number that placed
-        )
+        # Whether the machine of a killed process still refuses connections, or does not respond.
+        self.refuses_connections = True
+        # Time, observer and name of members declared dead while their process was running.
+        self.false_deaths: list[tuple[int, str, str]] = []
+        # By name and instance id: when each member learned of the death.
+        self.death_known_at: dict[tuple[str, int], dict[int, int]] = {}
+        # ns times members in which a count in use was below the number that accepted logins.
+        self.undercount_time = 0
         self.first_undercount = ""
         self.on_member_changed: Callable[[EmulatedMember, MemberRecord], None] = (
             lambda member, record: None
         )
 
-    def call_at(self, when: int, act: Callable[[], Any]) -> None:
-        self._number += 1
-        heappush(self._queue, (when, self._number, act))
+    def call_at(self, when: int, action: Callable[[], Any]) -> None:
+        self._event_count += 1
+        heappush(self._events, (when, self._event_count, action))
 
-    def call_after(self, periods: float, act: Callable[[], Any]) -> None:
-        self.call_at(self.now + int(periods * self.shape.period), act)
+    def call_after(self, periods: float, action: Callable[[], Any]) -> None:
+        self.call_at(self.now + int(periods * self.shape.period), action)
 
     def run(self, periods: float) -> None:
         until = self.now + int(periods * self.shape.period)
-        while self._queue and self._queue[0][0] <= until:
-            self.now, _, act = heappop(self._queue)
-            act()
+        while self._events and self._events[0][0] <= until:
+            self.now, _, action = heappop(self._events)
+            action()
         self.now = until
 
     def delay(self) -> int:
@@ -232,8 +250,8 @@
     def transferred(self, message: Message) -> Message:
         return decode(encode(message)) if self.shape.bytes else message
 
-    def is_delivered(self, a: EmulatedMember, b: EmulatedMember) -> bool:
-        return (a.number, b.number) not in self.cut and self.rng.random() >= self.loss
+    def is_delivered(self, source: EmulatedMember, target: EmulatedMember) -> bool:
+        return (source.number, target.number) not in self.cut and self.rng.random() >= self.loss
 
     def start(self) -> None:
         for member in self.members:
@@ -247,66 +265,72 @@
                 member.core.joined = member.core._announced = True
 
     def pause(self, member: EmulatedMember, periods: float) -> None:
-        """SIGSTOP; after that it goes on: with its timers first, or with what came meanwhile."""
+        """Stops a process as SIGSTOP does and resumes it later.
+
+        The actions that became due meanwhile then run in their order or in the reverse order.
+        """
         if not member.alive or member.paused:
             return
-        member.paused, life = True, member.start_count
+        member.paused, start_count = True, member.start_count
 
-        def go_on() -> None:
-            if member.alive and member.start_count == life and member.paused:
+        def resume() -> None:
+            if member.alive and member.start_count == start_count and member.paused:
                 member.paused = False
-                late, member.deferred_actions = member.deferred_actions, []
+                deferred, member.deferred_actions = member.deferred_actions, []
                 if self.rng.random() < 0.5:
-                    late.reverse()
-                for act in late:
-                    act()
+                    deferred.reverse()
+                for action in deferred:
+                    action()
 
-        self.call_after(periods, go_on)
+        self.call_after(periods, resume)
 
-    def record_death(self, by: EmulatedMember, record: MemberRecord) -> None:
+    def record_death(self, observer: EmulatedMember, record: MemberRecord) -> None:
         member = self.by_address.get(record.address)
         if (
             member is not None
             and member.core.own_record.instance_id == record.instance_id
             and not member.left
         ):
-            self.false_deaths.append((self.now, by.name, record.name))
+            self.false_deaths.append((self.now, observer.name, record.name))
         else:
             self.death_known_at.setdefault((record.name, record.instance_id), {}).setdefault(
-                by.number, self.now
+                observer.number, self.now
             )
 
-    # Connections, and whether the counts in use are under the number that really places
+    # Connections, and whether the counts in use are below the number that accept logins
 
     def start_observing(self) -> None:
-        """Connections come and go, servers tell how many they hold, and what members hold is compared with the truth."""
+        """Changes connections, reports those of the servers and checks the counts, periodically."""
         shape, rng = self.shape, self.rng
-        span = shape.period // LOOK
+        span = shape.period // OBSERVATIONS_PER_PERIOD
 
-        def look() -> None:
-            placing = 0
+        def observe() -> None:
+            accepting_count = 0
             for member in self.members:
                 if member.accepts_logins:
-                    placing += 1
+                    accepting_count += 1
                     if not member.paused:
-                        member.set_connections(max(1, member.held + rng.choice((-1, 0, 0, 0, 1))))
-            held = sum(member.held for member in self.members)
+                        member.set_connections(
+                            max(1, member.connections + rng.choice((-1, 0, 0, 0, 1)))
+                        )
+            total = sum(member.connections for member in self.members)
             for member in self.members:
                 if member.alive and not member.paused and not member.left:
-                    for server in range(shape.servers):  # each holds a part of all
-                        part = held // shape.servers + (server < held % shape.servers)
-                        if rng.random() < 1 / LOOK:
+                    for server in range(shape.servers):  # each has an equal part of all
+                        part = total // shape.servers + (server < total % shape.servers)
+                        if rng.random() < 1 / OBSERVATIONS_PER_PERIOD:
                             member.core.server_reported(
                                 self.now,
                                 f"s{server}",
                                 part,
-                                {f"s{n}" for n in range(shape.servers)},
+                                {f"s{number}" for number in range(shape.servers)},
                             )
-                    if member.count_in_use < placing:
+                    if member.count_in_use < accepting_count:
                         self.undercount_time += span
                         self.first_undercount = self.first_undercount or (
-                            f"{member.name} counted {member.count_in_use} where {placing} placed, at {self.now // MS} ms"
+                            f"{member.name} counted {member.count_in_use} members, but "
+                            f"{accepting_count} accepted logins, at {self.now // MS} ms"
                         )
-            self.call_at(self.now + span, look)
+            self.call_at(self.now + span, observe)
 
-        look()
+        observe()
