--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -79,7 +79,7 @@
             ("answer", self.number, start_count, target, request_id, message)
         )
 
-    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
         world = self.world
         if (
             record.state == MemberState.LEFT
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -141,19 +141,17 @@
         net, start_count = self.net, self.start_count
         self._count_sent(message)
 
-        def if_running(action: Callable[[], None]) -> None:
+        def ends(action: Callable[[], None]) -> None:
             self.run(start_count, action)
 
         # Failing a request that was already answered has no effect.
-        net.call_at(
-            until, lambda: if_running(lambda: self.core.request_failed(net.now, request_id))
-        )
+        net.call_at(until, lambda: ends(lambda: self.core.request_failed(net.now, request_id)))
         target = net.by_address.get(address)
         if target is None:
             if net.refuses_connections:
                 net.call_at(
                     net.now + REFUSAL_DELAY,
-                    lambda: if_running(lambda: self.core.request_failed(net.now, request_id)),
+                    lambda: ends(lambda: self.core.request_failed(net.now, request_id)),
                 )
             return
         target_start_count = target.start_count
@@ -163,7 +161,7 @@
             if net.is_delivered(target, self):
                 net.call_at(
                     net.now + net.delay(),
-                    lambda: if_running(
+                    lambda: ends(
                         lambda: self.core.reply_received(
                             net.now, request_id, net.transferred(answer)
                         )
@@ -181,7 +179,7 @@
     def send_reply(self, call_id: int, message: Message) -> None:
         self.calls.pop(call_id)(message)
 
-    def member_changed(self, record: MemberRecord, previous: MemberState | None) -> None:
+    def member_changed(self, record: MemberRecord, was: MemberState | None) -> None:
         if record.state == MemberState.DEAD:
             self.net.record_death(self, record)
         self.net.on_member_changed(self, record)
@@ -304,7 +302,7 @@
         shape, rng = self.shape, self.rng
         span = shape.period // OBSERVATIONS_PER_PERIOD
 
-        def observe() -> None:
+        def look() -> None:
             accepting_count = 0
             for member in self.members:
                 if member.accepts_logins:
@@ -331,6 +329,6 @@
                             f"{member.name} counted {member.count_in_use} members, but "
                             f"{accepting_count} accepted logins, at {self.now // MS} ms"
                         )
-            self.call_at(self.now + span, observe)
+            self.call_at(self.now + span, look)
 
-        observe()
+        look()
