--- a/corklift/lab/experiment.py
+++ b/corklift/lab/experiment.py
@@ -124,7 +124,7 @@
 
 
 def run_experiment(experiment: Experiment, path: str, processes: int) -> Iterator[dict[str, Any]]:
-    """Executes the runs whose results are not in the file, and appends them.
+    """Executes the runs whose results are not in the file yet, and adds them to it.
 
     Yields all results, those from the file first.
 
--- a/corklift/lab/faults.py
+++ b/corklift/lab/faults.py
@@ -53,14 +53,14 @@
 class IgnoreDrains(_PolicyWrapper):
     """Lists draining servers as ready."""
 
-    def servers_listed(self, now: int, scope: Any, revision: int, lines: Any) -> None:
+    def servers_listed(self, now: int, scope: Any, revision: int, servers: Any) -> None:
         self.policy.servers_listed(
             now,
             scope,
             revision,
             tuple(
-                line._replace(status=Status.READY) if line.status is Status.DRAINING else line
-                for line in lines
+                server._replace(status=Status.READY) if server.status is Status.DRAINING else server
+                for server in servers
             ),
         )
 
@@ -68,9 +68,9 @@
 class TreatColdAsWarm(_PolicyWrapper):
     """Hides the start times of servers, so that none looks cold."""
 
-    def servers_listed(self, now: int, scope: Any, revision: int, lines: Any) -> None:
+    def servers_listed(self, now: int, scope: Any, revision: int, servers: Any) -> None:
         self.policy.servers_listed(
-            now, scope, revision, tuple(line._replace(started_at=0) for line in lines)
+            now, scope, revision, tuple(server._replace(started_at=0) for server in servers)
         )
 
 
--- a/corklift/lab/fleet.py
+++ b/corklift/lab/fleet.py
@@ -282,7 +282,7 @@
 
     def set_timer(self, after: int, mark: int) -> None:
         start_count, clock = self.start_count, self.fleet.clock
-        # At least 1 ns: a timer never runs within the call that set it.
+        # A timer that is already due runs 1 ns later, never within the call that set it.
         clock.call_later(
             max(1, after),
             lambda: (
@@ -584,6 +584,7 @@
         attempt: int,
         cut_at: int,
     ) -> None:
+        """Sends a hand-off to a server and schedules its outcome."""
         now, clock, start_count = self.clock.now, self.clock, balancer.start_count
         one_way_delay = self.delay(balancer.zone, server.zone)
         connect_by = min(cut_at, now + int(self.scenario.balancers.connect_ms * MS))
@@ -930,7 +931,7 @@
         )
 
     def _load_report(self, server: EmulatedServer) -> Report:
-        """Returns what the server reports: its load a while ago, with noise."""
+        """Returns a load report: the state `lag_ms` ago, with noise on the utilisation."""
         reported_at = self.clock.now - int(self.scenario.reports.lag_ms * MS)
         count, utilisation = (
             len(server.connections),
@@ -960,7 +961,10 @@
     # Server list
 
     def _list_changed(self, server: EmulatedServer) -> None:
-        """Sends the change to each balancer, each after a random delay of its own."""
+        """Sends the change to each balancer after a random delay of its own.
+
+        While discovery is silent, changes wait until it answers again.
+        """
         entry = self._listed_server(server)
         for balancer in self.balancers:
             lag = int(self.scenario.lists.lag_ms * MS * self.rng.uniform(0.2, 1.8))
@@ -1009,6 +1013,7 @@
     # Disruptions: `_KIND_comes` is called by the name of the kind
 
     def _choose_servers(self, fraction: float) -> list[EmulatedServer]:
+        """Returns a random fraction of the ready servers, at least one if there is any."""
         ready = [
             server
             for server in self.servers.values()
