--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -58,10 +58,10 @@
     net.run(3)
     periods: list[float] = []
     for victim in net.rng.sample(net.members, 3):
-        name, instance_id, killed_at = victim.name, victim.core.own_record.instance_id, net.now
+        name, life, killed_at = victim.name, victim.core.own_record.instance_id, net.now
         victim.kill()
         net.run(30)
-        known_at = net.death_known_at.get((name, instance_id), {})
+        known_at = net.death_known_at.get((name, life), {})
         missing = sum(member.alive for member in net.members) - len(known_at)
         periods += [(at - killed_at) / net.shape.period for at in known_at.values()] + [
             float("inf")
