--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -1,6 +1,10 @@
-"""The lab, measured: events a second, memory, histories, rules, faults found, exploration.
+"""Benchmark of the lab: speed and memory of the emulator, and what its checks find.
 
-python -m benchmarks.lab [--quick] [--seed N] [--json FILE]
+    python -m benchmarks.lab [--quick] [--seed N] [--json FILE]
+
+Measures events a second, microseconds an event and memory by the size of the fleet; counts the
+rules that the decision module breaks in the scenarios of examples/lab, the deliberate faults that
+are found, and the states that the exploration reaches.
 """
 
 from __future__ import annotations
@@ -18,11 +22,11 @@
 from corklift.lab.fleet import Fleet
 from corklift.lab.scenario import Balancers, Disruption, Scenario, Servers, WorkloadTable
 
-EXAMPLES = Path(__file__).resolve().parents[1] / "examples" / "lab"
-COUNTED = ("module", "inverse counts")
+EXAMPLE_FOLDER = Path(__file__).resolve().parents[1] / "examples" / "lab"
+CHECKED_POLICIES = ("module", "inverse counts")
 
-FAULTY = Scenario(
-    name="All that the deliberate faults need",
+FAULT_SCENARIO = Scenario(
+    name="All conditions under which the deliberate faults show",
     seconds=40.0,
     standing=1.0,
     servers=Servers(number=10, zones=2, cells=2),
@@ -44,41 +48,51 @@
 )
 
 
-def fleet_of(servers: int, balancers: int, standing: int, seconds: float) -> Scenario:
-    """A calm fleet, at two thirds of what it can do."""
-    hold = 120.0
+def steady_scenario(servers: int, balancers: int, standing: int, seconds: float) -> Scenario:
+    """Returns a scenario without disruptions, with a fleet at two thirds of its capacity."""
+    hold_s = 120.0
     return Scenario(
         seconds=seconds,
         standing=1.0,
         warm_s=2.0,
         servers=Servers(number=servers, size=1.5 * standing / servers),
         balancers=Balancers(number=balancers),
-        workloads=[WorkloadTable(name="calm", rate=standing / hold, hold_s=hold)],
+        workloads=[WorkloadTable(name="calm", rate=standing / hold_s, hold_s=hold_s)],
     )
 
 
-def sized(
+def measure_size(
     servers: int, balancers: int, standing: int, seconds: float, seed: int, policy: str = "module"
 ) -> dict[str, Any]:
-    """Plays one size in a process of its own, so that its memory is its own."""
+    """Runs a fleet of one size in a process of its own, so that its memory can be measured."""
     code = (
-        "import json, resource, sys, time\nfrom benchmarks.lab import fleet_of\nfrom corklift.lab.fleet import Fleet\n"
-        "at = time.perf_counter()\n"
-        f"fleet = Fleet(fleet_of({servers}, {balancers}, {standing}, {seconds}), '{policy}', {seed})\nfleet.run()\n"
-        "spent = time.perf_counter() - at\n"
-        "print(json.dumps([fleet.clock.event_count, spent, resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,"
-        " fleet.open_connections, fleet.clock.history, sum(fleet.rules.violation_counts.values())]))"
+        "import json, resource, sys, time\n"
+        "from benchmarks.lab import steady_scenario\n"
+        "from corklift.lab.fleet import Fleet\n"
+        "started_at = time.perf_counter()\n"
+        f"fleet = Fleet(steady_scenario({servers}, {balancers}, {standing}, {seconds}),"
+        f" '{policy}', {seed})\n"
+        "fleet.run()\n"
+        "elapsed_s = time.perf_counter() - started_at\n"
+        "print(json.dumps([fleet.clock.event_count, elapsed_s,"
+        " resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,"
+        " fleet.open_connections, fleet.clock.history,"
+        " sum(fleet.rules.violation_counts.values())]))"
+    )
+    completed = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, check=True
+    )
+    events, elapsed_s, memory_mb, open_connections, history, violations = json.loads(
+        completed.stdout
     )
-    told = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    events, spent, memory, stands, history, broken = json.loads(told.stdout)
     return {
         "events": events,
-        "events_per_s": round(events / spent),
-        "us_an_event": round(spent / events * 1e6, 1),
-        "memory_mb": round(memory),
-        "standing": stands,
+        "events_per_s": round(events / elapsed_s),
+        "us_an_event": round(elapsed_s / events * 1e6, 1),
+        "memory_mb": round(memory_mb),
+        "standing": open_connections,
         "history": history,
-        "broken": broken,
+        "broken": violations,
     }
 
 
@@ -91,35 +105,37 @@
     )
     figures: dict[str, Any] = {}
     by_size = {
-        f"{servers}x{balancers}x{standing}": sized(
+        f"{servers}x{balancers}x{standing}": measure_size(
             servers, balancers, standing, seconds, arguments.seed
         )
         for servers, balancers, standing, seconds in sizes
     }
     for key in ("events_per_s", "us_an_event", "memory_mb", "standing"):
-        figures[key] = {size: found[key] for size, found in by_size.items()}
-    # With a policy that costs nothing, what is left is the emulator's own.
+        figures[key] = {size: measured[key] for size, measured in by_size.items()}
+    # A random choice costs almost nothing, so this is the time of the emulator itself.
     figures["us_an_event_emulator"] = {
-        size: sized(*shape, arguments.seed, "random")["us_an_event"]
+        size: measure_size(*shape, arguments.seed, "random")["us_an_event"]
         for size, shape in zip(by_size, sizes)
     }
     figures["same_history"] = (
-        sized(*sizes[0], arguments.seed)["history"] == by_size[next(iter(by_size))]["history"]
+        measure_size(*sizes[0], arguments.seed)["history"]
+        == by_size[next(iter(by_size))]["history"]
     )
-    rules, service = {}, {}
-    for path in sorted(EXAMPLES.glob("*.toml")):
+    rule_breaks, service = {}, {}
+    for path in sorted(EXAMPLE_FOLDER.glob("*.toml")):
+        # This one varies its disruptions and is meant for `lab sweep`.
         if path.stem == "sweep":
-            continue  # its troubles are varied: it is for `lab sweep`
-        found = load_experiment(str(path))
-        seeds = found.seeds[:1] if arguments.quick else found.seeds
+            continue
+        experiment = load_experiment(str(path))
+        seeds = experiment.seeds[:1] if arguments.quick else experiment.seeds
         runs = [
-            execute_run(found.scenario, Run(policy, seed, ()), series=False)
-            for policy in dict.fromkeys([*COUNTED, *found.policies])
+            execute_run(experiment.scenario, Run(policy, seed, ()), series=False)
+            for policy in dict.fromkeys([*CHECKED_POLICIES, *experiment.policies])
             for seed in seeds
         ]
-        rules[path.stem] = {
+        rule_breaks[path.stem] = {
             policy: sum(sum(run["rules"].values()) for run in runs if run["policy"] == policy)
-            for policy in COUNTED
+            for policy in CHECKED_POLICIES
         }
         service[path.stem] = {
             policy: round(
@@ -127,7 +143,7 @@
             )
             for policy in dict.fromkeys(run["policy"] for run in runs)
         }
-    figures["rule_breaks"], figures["service"] = rules, service
+    figures["rule_breaks"], figures["service"] = rule_breaks, service
     shapes = {
         "repeatable": explore.PlacementShape(),
         "once-only": explore.PlacementShape(effect="once-only"),
@@ -135,24 +151,26 @@
         "two balancers": explore.PlacementShape(balancers=2),
         "a cold server of three": explore.PlacementShape(servers=3, cold=True, part=0.6),
     }
-    states, depths, examples = {}, {}, []
+    explored_states, explored_depths, examples = {}, {}, []
     for name, shape in shapes.items():
         make = lambda shape=shape: explore.PlacementWorld(shape)  # noqa: E731
-        found_ = explore.explore(
+        exploration = explore.explore(
             make, 6 if arguments.quick else 9, 1_500 if arguments.quick else 40_000
         )
-        walked = explore.random_walks(make, 60 if arguments.quick else 5_000, 60, arguments.seed)
-        states[name], depths[name] = found_.states, found_.depth
-        examples += [one.what for one in (found_, walked) if one.what]
+        random_walk_result = explore.random_walks(
+            make, 60 if arguments.quick else 5_000, 60, arguments.seed
+        )
+        explored_states[name], explored_depths[name] = exploration.states, exploration.depth
+        examples += [result.what for result in (exploration, random_walk_result) if result.what]
     for name, shape_ in {
         "views": explore.SubscriptionShape(),
         "views, incremental": explore.SubscriptionShape(True),
     }.items():
         make_ = lambda shape_=shape_: explore.SubscriptionWorld(shape_)  # noqa: E731
-        found_ = explore.explore(
+        exploration = explore.explore(
             make_, 7 if arguments.quick else 12, 1_500 if arguments.quick else 40_000
         )
-        walked = explore.random_walks(
+        random_walk_result = explore.random_walks(
             lambda shape_=shape_: explore.SubscriptionWorld(
                 shape_._replace(changes=8, refusals=2, losses=3)
             ),
@@ -160,47 +178,50 @@
             60,
             arguments.seed,
         )
-        states[name], depths[name] = found_.states, found_.depth
-        examples += [one.what for one in (found_, walked) if one.what]
+        explored_states[name], explored_depths[name] = exploration.states, exploration.depth
+        examples += [result.what for result in (exploration, random_walk_result) if result.what]
     figures |= {
-        "explored_states": states,
-        "explored_depth": depths,
+        "explored_states": explored_states,
+        "explored_depth": explored_depths,
         "counterexamples": len(examples),
     }
-    clean = Fleet(FAULTY, "module", arguments.seed)
-    clean.run()
+    fault_free_fleet = Fleet(FAULT_SCENARIO, "module", arguments.seed)
+    fault_free_fleet.run()
     found_faults = []
-    for name, (spoil, check) in FAULTS.items():
-        fleet = Fleet(FAULTY, "module", arguments.seed, spoil)
+    for name, (faulty_policy, expected_alarm) in FAULTS.items():
+        fleet = Fleet(FAULT_SCENARIO, "module", arguments.seed, faulty_policy)
         fleet.run()
-        told = {
+        alarms = {
             f"rule {rule}" for rule in fleet.rules.violation_counts
         } | fleet.design_violations().keys()
-        if check in told:
+        if expected_alarm in alarms:
             found_faults.append(name)
     figures |= {
         "seeded_bugs": len(FAULTS),
         "seeded_bugs_found": len(found_faults),
         "seeded_bugs_missed": sorted(FAULTS.keys() - set(found_faults)),
         "alarms_without_a_fault": {
-            str(rule): number for rule, number in clean.rules.violation_counts.items()
+            str(rule): count for rule, count in fault_free_fleet.rules.violation_counts.items()
         }
-        | clean.design_violations(),
+        | fault_free_fleet.design_violations(),
     }
     return tell(
         "The lab",
         figures,
         [
-            ("the module breaks a rule", not any(found["module"] for found in rules.values())),
             (
-                "an event of the emulator costs more in a large fleet",
+                "the decision module breaks a rule",
+                not any(counts["module"] for counts in rule_breaks.values()),
+            ),
+            (
+                "the emulator needs more time for an event in a large fleet",
                 list(figures["us_an_event_emulator"].values())[-1]
                 < 2.5 * next(iter(figures["us_an_event_emulator"].values())),
             ),
-            ("a history differs", figures["same_history"]),
-            ("a counterexample", not examples),
-            ("a deliberate fault is not found", len(found_faults) == len(FAULTS)),
-            ("an alarm without a fault", not figures["alarms_without_a_fault"]),
+            ("two runs with the same seed have different histories", figures["same_history"]),
+            ("the exploration found a counterexample", not examples),
+            ("a deliberate fault was not found", len(found_faults) == len(FAULTS)),
+            ("a check reports a violation without a fault", not figures["alarms_without_a_fault"]),
         ],
         arguments.json,
     )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -37,7 +37,7 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
-from benchmarks.lab import FAULTY  # noqa: E402
+from benchmarks.lab import FAULT_SCENARIO  # noqa: E402
 
 SMALL = Scenario(
     seconds=14.0,
@@ -123,7 +123,7 @@
 
 
 def test_checks_report_nothing_without_faults():
-    fleet = Fleet(FAULTY, "module", 1)
+    fleet = Fleet(FAULT_SCENARIO, "module", 1)
     fleet.run()
     assert not fleet.rules.violation_counts and not fleet.design_violations()
 
@@ -131,7 +131,7 @@
 @pytest.mark.parametrize("fault", FAULTS)
 def test_each_injected_fault_is_found_by_its_check(fault):
     inject_fault, check = FAULTS[fault]
-    fleet = Fleet(FAULTY, "module", 1, inject_fault)
+    fleet = Fleet(FAULT_SCENARIO, "module", 1, inject_fault)
     fleet.run()
     assert (
         check
