--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,10 +1,13 @@
-"""A store's histories against a model, and its speed beside a plain file's.
+"""Benchmark of the store: histories compared with a model, and speed compared with a plain file.
 
     python -m benchmarks.store [--quick] [--seed N] [--json FILE]
 
-Histories: commits, compactions, faults of the file layer and power cuts, on disks that keep what they synced, that fail, that fill up, and
-that lie. `commit_ratio`: commits a second, each with its sync, over appends of as many bytes to one file, each with its sync, in turns in
-one run. `recovery_s_ratio`: a start on 100 MB over one on 10 MB, medians.
+A history is commits, compactions, faults of the file layer and power cuts, on disks that keep what
+was synced, that fail, that fill up, and that lose what they report as synced. Figures:
+
+`commit_ratio`: rate of commits, each with its sync, over the rate of appends of as many bytes to a
+plain file, each with its sync, measured alternately in one run.
+`recovery_s_ratio`: time to open a store of 100 MB over that for 10 MB, both medians.
 """
 
 from __future__ import annotations
@@ -23,16 +26,17 @@
 from corklift.store.files import DiskFiles
 from corklift.store.log import Store
 
-VALUE = 300  # bytes
+VALUE_BYTES = 300
 
 
-def histories(job: tuple[str, int, int]) -> tuple[str, Counter[str], str]:
-    kind, first, number = job
-    found: Counter[str] = Counter()
-    what = ""
-    for seed in range(first, first + number):
+def run_histories(job: tuple[str, int, int]) -> tuple[str, Counter[str], str]:
+    """Returns the kind of disk, the sums over the histories, and the first failure or ""."""
+    kind, first_seed, count = job
+    totals: Counter[str] = Counter()
+    first_failure = ""
+    for seed in range(first_seed, first_seed + count):
         verdict = run_history(seed, kind)
-        found.update(
+        totals.update(
             histories=1,
             commits=verdict.commits,
             cuts=verdict.cuts,
@@ -41,132 +45,156 @@
             silent_loss=verdict.silent,
             refused=verdict.refused,
         )
-        what = what or (
+        first_failure = first_failure or (
             verdict.what if verdict.invented or verdict.lost_synced or verdict.silent else ""
         )
-    return kind, found, what
+    return kind, totals, first_failure
+
 
+def measure_commit_rate(
+    folder: str, rng: Random, rounds: int, commits: int
+) -> tuple[float, float, float, float]:
+    """Compares commits with appends to a plain file.
 
-def speed(folder: str, rng: Random, rounds: int, number: int) -> tuple[float, float, float, float]:
-    """Ratio, commits a second, how much more was written than kept, and how much room it took at the most."""
-    disk = DiskFiles(os.path.join(folder, "speed"))
+    Returns the ratio of the median rates, commits a second, the median of the ratios of each round,
+    and the highest ratio of the size of the files to that of the data they hold.
+    """
+    disk = DiskFiles(os.path.join(folder, "commits"))
     store = Store(disk)
-    plain = os.open(os.path.join(folder, "plain"), os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
-    took: dict[str, list[float]] = {"store": [], "plain": []}
-    room = 0.0
+    plain_file = os.open(
+        os.path.join(folder, "plain"), os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600
+    )
+    durations_s: dict[str, list[float]] = {"store": [], "plain": []}
+    max_space_amplification = 0.0
     for _ in range(rounds):
-        began = time.monotonic()
-        for _ in range(number):
-            store.commit([{b"key %d" % rng.randrange(500): rng.randbytes(VALUE)}])
-        took["store"].append(time.monotonic() - began)
+        started_at = time.monotonic()
+        for _ in range(commits):
+            store.commit([{b"key %d" % rng.randrange(500): rng.randbytes(VALUE_BYTES)}])
+        durations_s["store"].append(time.monotonic() - started_at)
         while store.compact():
             pass
         kept = sum(len(key) + len(value) for key, value in store.items())
-        room = max(
-            room,
+        max_space_amplification = max(
+            max_space_amplification,
             sum(os.path.getsize(os.path.join(disk.path, name)) for name in disk.names()) / kept,
         )
-        began = time.monotonic()
-        for _ in range(number):
-            os.write(plain, rng.randbytes(VALUE + 53))
-            os.fdatasync(plain)
-        took["plain"].append(time.monotonic() - began)
+        started_at = time.monotonic()
+        # Appends as many bytes as the store writes for a commit.
+        for _ in range(commits):
+            os.write(plain_file, rng.randbytes(VALUE_BYTES + 53))
+            os.fdatasync(plain_file)
+        durations_s["plain"].append(time.monotonic() - started_at)
     store.close()
-    os.close(plain)
+    os.close(plain_file)
     disk.release()
     return (
-        median(took["plain"]) / median(took["store"]),
-        number / median(took["store"]),
-        median(a / b for a, b in zip(took["plain"], took["store"])),
-        room,
+        median(durations_s["plain"]) / median(durations_s["store"]),
+        commits / median(durations_s["store"]),
+        median(
+            plain_s / store_s
+            for plain_s, store_s in zip(durations_s["plain"], durations_s["store"])
+        ),
+        max_space_amplification,
     )
 
 
-def recovery(folder: str, rng: Random, size: int, tries: int) -> float:
+def recovery(folder: str, rng: Random, size: int, repetitions: int) -> float:
+    """Returns the median time in seconds to open a store of `size` bytes."""
     disk = DiskFiles(os.path.join(folder, f"recovery{size}"))
     store = Store(disk)
     value = rng.randbytes(2000)
-    keys = size // 2010
-    for at in range(0, keys, 500):
-        store.commit([{b"%010d" % key: value for key in range(at, min(keys, at + 500))}])
+    key_count = size // 2010
+    for first_key in range(0, key_count, 500):
+        store.commit(
+            [{b"%010d" % key: value for key in range(first_key, min(key_count, first_key + 500))}]
+        )
     store.close()
-    took = []
-    for _ in range(tries):
-        began = time.monotonic()
+    durations_s = []
+    for _ in range(repetitions):
+        started_at = time.monotonic()
         store = Store(disk)
-        took.append(time.monotonic() - began)
-        assert len(store.items()) == keys
+        durations_s.append(time.monotonic() - started_at)
+        assert len(store.items()) == key_count
         store.close()
     disk.release()
-    return median(took)
+    return median(durations_s)
 
 
-def pause(folder: str, rng: Random) -> float:
-    """The longest commit while 20 MB are compacted, ms."""
+def measure_longest_commit_ms(folder: str, rng: Random) -> float:
+    """Returns the time in milliseconds of the longest commit while 20 MB are compacted."""
     disk = DiskFiles(os.path.join(folder, "pause"))
     store = Store(disk)
-    for at in range(0, 10_000, 500):
-        store.commit([{b"%010d" % key: rng.randbytes(2000) for key in range(at, at + 500)}])
-    for at in range(0, 30_000, 500):
-        store.commit([{b"%010d" % (key % 10_000): b"x" * 2000 for key in range(at, at + 500)}])
-    longest, before = 0.0, store.compactions
-    while store.compactions == before and store.compact(lambda: True):
-        began = time.monotonic()
+    for first_key in range(0, 10_000, 500):
+        store.commit(
+            [{b"%010d" % key: rng.randbytes(2000) for key in range(first_key, first_key + 500)}]
+        )
+    for first_key in range(0, 30_000, 500):
+        store.commit(
+            [{b"%010d" % (key % 10_000): b"x" * 2000 for key in range(first_key, first_key + 500)}]
+        )
+    longest_s, compactions_before = 0.0, store.compactions
+    while store.compactions == compactions_before and store.compact(lambda: True):
+        started_at = time.monotonic()
         store.commit([{b"one": b"more"}])
-        longest = max(longest, time.monotonic() - began)
+        longest_s = max(longest_s, time.monotonic() - started_at)
     store.close()
-    return longest * 1000
+    return longest_s * 1000
 
 
 def main() -> int:
     arguments = parse_arguments(__doc__)
-    number = 2_000 if arguments.quick else 20_000
-    each = number // len(DISK_KINDS) // 8
+    history_count = 2_000 if arguments.quick else 20_000
+    histories_per_job = history_count // len(DISK_KINDS) // 8
     jobs = [
-        (kind, arguments.seed * 1_000_000 + part * each, each)
+        (kind, arguments.seed * 1_000_000 + part * histories_per_job, histories_per_job)
         for kind in DISK_KINDS
         for part in range(8)
     ]
-    total: Counter[str] = Counter()
+    totals: Counter[str] = Counter()
     by_kind: dict[str, Counter[str]] = {kind: Counter() for kind in DISK_KINDS}
     broken: list[str] = []
     with ProcessPoolExecutor(4) as pool:
-        for kind, found, what in pool.map(histories, jobs):
-            total += found
-            by_kind[kind] += found
-            broken += [what] if what else []
+        for kind, counts, failure in pool.map(run_histories, jobs):
+            totals += counts
+            by_kind[kind] += counts
+            broken += [failure] if failure else []
     rng = Random(arguments.seed)
     with tempfile.TemporaryDirectory(dir=os.getcwd()) as folder:
-        ratio, commits_s, pairs, room = speed(folder, rng, 5 if arguments.quick else 15, 300)
-        small, large = recovery(folder, rng, 10_000_000, 5), recovery(folder, rng, 100_000_000, 3)
-        longest = pause(folder, rng)
+        commit_ratio, commits_s, commit_ratio_by_round, space_amplification = measure_commit_rate(
+            folder, rng, 5 if arguments.quick else 15, 300
+        )
+        small, large = (
+            recovery(folder, rng, 10_000_000, 5),
+            recovery(folder, rng, 100_000_000, 3),
+        )
+        longest_commit_ms = measure_longest_commit_ms(folder, rng)
     figures = {
-        "histories": total["histories"],
-        "commits": total["commits"],
-        "power_cuts": total["cuts"],
-        "invented": total["invented"],
-        "lost_synced": total["lost_synced"],
-        "silent_loss": total["silent_loss"],
-        "refused": {kind: found["refused"] for kind, found in by_kind.items()},
-        "commit_ratio": round(ratio, 3),
-        "commit_ratio_pairs": round(pairs, 3),
+        "histories": totals["histories"],
+        "commits": totals["commits"],
+        "power_cuts": totals["cuts"],
+        "invented": totals["invented"],
+        "lost_synced": totals["lost_synced"],
+        "silent_loss": totals["silent_loss"],
+        "refused": {kind: counts["refused"] for kind, counts in by_kind.items()},
+        "commit_ratio": round(commit_ratio, 3),
+        "commit_ratio_pairs": round(commit_ratio_by_round, 3),
         "commits_s": round(commits_s),
         "recovery_s_10mb": round(small, 3),
         "recovery_s_100mb": round(large, 3),
         "recovery_s_ratio": round(large / small, 2),
-        "space_amplification": round(room, 2),
-        "longest_commit_while_compacting_ms": round(longest, 1),
+        "space_amplification": round(space_amplification, 2),
+        "longest_commit_while_compacting_ms": round(longest_commit_ms, 1),
     }
     return tell(
-        "A store",
+        "Store",
         figures,
         [
             *((text, False) for text in broken[:5]),
-            ("a state that never was", not total["invented"]),
-            ("a synced commit is gone", not total["lost_synced"]),
-            ("a loss that nothing shows", not total["silent_loss"]),
-            ("commits are slower than 0.8 of a plain file's", ratio > 0.8),
-            ("a start is not linear", large / small < 12),
+            ("a state was loaded that never existed", not totals["invented"]),
+            ("a synced commit was lost", not totals["lost_synced"]),
+            ("data was lost without a report", not totals["silent_loss"]),
+            ("commits are slower than 0.8 of the rate of a plain file", commit_ratio > 0.8),
+            ("the time to open a store is not linear in its size", large / small < 12),
         ],
         arguments.json,
     )
