--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -1,9 +1,13 @@
-"""A store's files cut at every byte, and every bit of a smaller one flipped.
+"""Benchmark of damaged stores: a segment cut at each byte, and a smaller one with each bit flipped.
 
     python -m benchmarks.store_cuts [--quick] [--seed N] [--json FILE]
 
-A start on what is left finds the last complete state before the cut, or refuses with file, offset and reason. `invented`: a state that never
-was; `lost_commits`: a batch was whole before the cut, or synced before the flip, and is left out without a refusal.
+Loading what is left must either return the last complete state before the cut, or refuse the store
+with file, offset and reason. Figures:
+
+`invented`: loads that returned a state that never existed.
+`lost_commits`: loads that, without a refusal, left out a batch that was complete before the cut or
+synced before the flip.
 """
 
 from __future__ import annotations
@@ -29,20 +33,24 @@
 State = dict[bytes, bytes]
 
 
-def written(
-    rng: Random, before: int, commits: int, most: int
+def write_segment(
+    rng: Random, commits_before: int, commits: int, max_value_bytes: int
 ) -> tuple[str, bytes, list[tuple[int, State]]]:
-    """A segment's name and bytes, and for each state the byte from which on it is complete."""
+    """Writes a store in two sessions, so that its segment starts with a snapshot.
+
+    Returns the name and the bytes of the segment and, for each of its states, the offset from which
+    on the state is complete.
+    """
     disk = MemoryDisk(rng)
     state: State = {}
-    for part in (before, commits):
+    for commit_count in (commits_before, commits):
         store = Store(disk, rng.randbytes(16))
         states = [(0, dict(state))]
-        for _ in range(part):
+        for _ in range(commit_count):
             batch: Batch = {
                 b"key%d" % rng.randrange(12): None
                 if rng.random() < 0.2
-                else rng.randbytes(rng.randrange(1, most))
+                else rng.randbytes(rng.randrange(1, max_value_bytes))
                 for _ in range(rng.randrange(1, 5))
             }
             store.commit([batch])
@@ -50,20 +58,20 @@
             states.append((0, dict(state)))
     (name,) = disk.names()
     content = disk.read(name)
-    at, found = HEAD.size, []
-    while at < len(content):
-        frame = decode_frame(content, at)
+    offset, complete_states = HEAD.size, []
+    while offset < len(content):
+        frame = decode_frame(content, offset)
         assert isinstance(frame, Frame)
-        at = frame.end
+        offset = frame.end
         if frame.kind in (SNAPSHOT_END, BATCH):
-            found.append((at, states[len(found)][1]))
-    assert len(found) == len(states)
-    return name, content, found
+            complete_states.append((offset, states[len(complete_states)][1]))
+    assert len(complete_states) == len(states)
+    return name, content, complete_states
 
 
 def main() -> int:
     arguments = parse_arguments(__doc__)
-    began = time.monotonic()
+    started_at = time.monotonic()
     counts = {
         "cuts": 0,
         "flips": 0,
@@ -74,47 +82,53 @@
     }
     broken: list[str] = []
 
-    def judge(what: str, name: str, content: bytes, wanted: State, all_states: list[State]) -> None:
+    def check_load(
+        damage: str, name: str, content: bytes, expected_state: State, all_states: list[State]
+    ) -> None:
         try:
-            found = load([name], lambda _: content).state
+            loaded_state = load([name], lambda _: content).state
         except DamagedStoreError:
             counts["refused"] += 1
             return
-        if found == wanted:
+        if loaded_state == expected_state:
             counts["last_complete"] += 1
             return
-        kind = "lost_commits" if found in all_states else "invented"
+        kind = "lost_commits" if loaded_state in all_states else "invented"
         counts[kind] += 1
-        broken.append(f"{what}: {kind}")
+        broken.append(f"{damage}: {kind}")
 
-    for turn in range(1 if arguments.quick else 4):
-        rng = Random(f"{arguments.seed}/{turn}")
-        name, content, states = written(rng, 6, 30 if arguments.quick else 80, 300)
-        for at in range(len(content) + 1):
+    for round_number in range(1 if arguments.quick else 4):
+        rng = Random(f"{arguments.seed}/{round_number}")
+        name, content, states = write_segment(rng, 6, 30 if arguments.quick else 80, 300)
+        for offset in range(len(content) + 1):
             counts["cuts"] += 1
-            wanted = [state for end, state in states if end <= at][-1:] or [{}]
-            judge(
-                f"cut at {at}", name, content[:at], wanted[0], [{}] + [state for _, state in states]
+            complete_states = [state for end, state in states if end <= offset][-1:] or [{}]
+            check_load(
+                f"cut at {offset}",
+                name,
+                content[:offset],
+                complete_states[0],
+                [{}] + [state for _, state in states],
             )
-        name, content, states = written(rng, 3, 8 if arguments.quick else 14, 60)
+        name, content, states = write_segment(rng, 3, 8 if arguments.quick else 14, 60)
         for bit in range(8 * len(content)):
             counts["flips"] += 1
             flipped = bytearray(content)
             flipped[bit // 8] ^= 1 << bit % 8
-            judge(
-                f"bit {bit}",
+            check_load(
+                f"bit {bit} flipped",
                 name,
                 bytes(flipped),
                 states[-1][1],
                 [{}] + [state for _, state in states],
             )
-    figures = counts | {"seconds": round(time.monotonic() - began, 1)}
+    figures = counts | {"seconds": round(time.monotonic() - started_at, 1)}
     return tell(
-        "A store cut and flipped",
+        "Damaged stores",
         figures,
         [
-            ("a state that never was", not counts["invented"]),
-            ("a commit is gone without a word", not counts["lost_commits"]),
+            ("a state was loaded that never existed", not counts["invented"]),
+            ("a commit was lost without a refusal", not counts["lost_commits"]),
             *((text, False) for text in broken[:5]),
         ],
         arguments.json,
