--- a/corklift/lab/explore.py
+++ b/corklift/lab/explore.py
@@ -233,15 +233,15 @@
         Time limits are exact, so no event happens after the earliest time limit has passed.
         """
         labels = []
-        due, first = min(
+        next_limit, first_login = min(
             ((self.deadlines[login], login) for host in self.hosts for login in host.hand_offs),
             default=(self.now + 10**15, 0),
         )
-        if self.now + EVENT_INTERVAL > due:
+        if self.now + EVENT_INTERVAL > next_limit:
             return [
-                f"login {first} runs out at {host.number}"
+                f"login {first_login} runs out at {host.number}"
                 for host in self.hosts
-                if first in host.hand_offs
+                if first_login in host.hand_offs
             ]
         for host in self.hosts:
             number = host.number
@@ -258,11 +258,11 @@
                             Outcome.NOT_CONNECTED,
                         )
                     ]
-                if login == first:
+                if login == first_login:
                     labels.append(f"login {login} runs out at {number}")
             labels += [f"login {login} ends at {number}" for login in host.connections]
             labels += [f"probe of {server} by {number}" for server in host.pending_probes]
-            if host.timers and min(host.timers)[0] <= due:
+            if host.timers and min(host.timers)[0] <= next_limit:
                 labels.append(f"timer of {number}")
             labels += [
                 f"list of {server} to {number}"
@@ -288,16 +288,16 @@
 
     def play(self, label: str) -> None:
         self.steps.append(label)
-        words = label.replace(":", "").split()
-        if words[0] == "timer":
-            self._fire_timer(self.hosts[int(words[2])])
+        tokens = label.replace(":", "").split()
+        if tokens[0] == "timer":
+            self._fire_timer(self.hosts[int(tokens[2])])
             return
-        if words[:1] + words[2:4] != ["login", "runs", "out"]:
+        if tokens[:1] + tokens[2:4] != ["login", "runs", "out"]:
             self.now += EVENT_INTERVAL
-        if words[0] == "login":
-            self._play_login_event(int(words[1]), words[2:])
-        elif words[0] == "probe":
-            host, server = self.hosts[int(words[4])], int(words[2])
+        if tokens[0] == "login":
+            self._play_login_event(int(tokens[1]), tokens[2:])
+        elif tokens[0] == "probe":
+            host, server = self.hosts[int(tokens[4])], int(tokens[2])
             host.pending_probes.remove(server)
             count = sum(
                 connected == server
@@ -307,19 +307,19 @@
             host.policy.probe_answered(
                 self.now, server, 5 * MS, Outcome.FULFILLED, Report(float(count), 0.1 * count)
             )
-        elif words[0] == "list":
-            self._send_list(self.hosts[int(words[4])], [int(words[2])], Scope.DELTA)
-        elif words[0] == "drain":
+        elif tokens[0] == "list":
+            self._send_list(self.hosts[int(tokens[4])], [int(tokens[2])], Scope.DELTA)
+        elif tokens[0] == "drain":
             self.remaining["drain"] -= 1
-            self.status[int(words[2])] = Status.DRAINING
-        elif words[0] == "start":
+            self.status[int(tokens[2])] = Status.DRAINING
+        elif tokens[0] == "start":
             self.remaining["cold"] -= 1
-            self.status[int(words[2])], self.started_at[int(words[2])] = Status.READY, self.now
-        elif words[0] == "move":
-            self.requested_moves.discard((int(words[4]), int(words[2])))
-            self._end_connection(self.hosts[int(words[4])], int(words[2]), Outcome.CANCELLED)
-        elif words[0] == "restart":
-            host = self.hosts[int(words[2])]
+            self.status[int(tokens[2])], self.started_at[int(tokens[2])] = Status.READY, self.now
+        elif tokens[0] == "move":
+            self.requested_moves.discard((int(tokens[4]), int(tokens[2])))
+            self._end_connection(self.hosts[int(tokens[4])], int(tokens[2]), Outcome.CANCELLED)
+        elif tokens[0] == "restart":
+            host = self.hosts[int(tokens[2])]
             self.remaining["restart"] -= 1
             for login in [*host.hand_offs, *host.connections]:
                 self.rules.login_abandoned(self.now, host.number, login)
@@ -338,9 +338,9 @@
         self.now = max(self.now, due)
         host.policy.timer_due(self.now, mark)
 
-    def _play_login_event(self, number: int, words: list[str]) -> None:
-        if words[0] == "comes":
-            host = self.hosts[int(words[2])]
+    def _play_login_event(self, number: int, tokens: list[str]) -> None:
+        if tokens[0] == "comes":
+            host = self.hosts[int(tokens[2])]
             self.pending_arrivals.remove(number)
             login = Login(number, 0, 0, number, self.now + self.workload.time_limit, None, 0)
             self.deadlines[number] = login.time_limit_at
@@ -348,20 +348,20 @@
             self.awaiting_answer.add((host.number, number))
             host.policy.login_arrived(self.now, login)
             return
-        if words[0] == "at":
-            host, outcome = self.hosts[int(words[1])], Outcome(" ".join(words[2:]))
+        if tokens[0] == "at":
+            host, outcome = self.hosts[int(tokens[1])], Outcome(" ".join(tokens[2:]))
             self.remaining["loss"] -= 1
             self._fail_hand_off(host, number, outcome)
             return
-        host = self.hosts[int(words[-1])]
-        if words[0] == "opens":
+        host = self.hosts[int(tokens[-1])]
+        if tokens[0] == "opens":
             attempt, server = len(host.hand_offs[number]) - 1, host.hand_offs.pop(number)[-1]
             host.connections[number] = server
             self.awaiting_answer.discard((host.number, number))
             self.answers[number] = "fulfilled"
             self.rules.login_answered(self.now, host.number, number, "fulfilled")
             host.policy.hand_off_started(self.now, number, attempt, server, 10 * MS)
-        elif words[0] == "ends":
+        elif tokens[0] == "ends":
             self._end_connection(host, number, Outcome.FULFILLED)
         else:  # "runs out": the hand-off reaches the login's time limit
             self.now = max(self.now, self.deadlines[number])
@@ -518,7 +518,7 @@
 
 
 def first_violation(new_world: Callable[[], World], path: Iterable[str]) -> str | None:
-    """Plays a path and returns the first violation; skips labels that are not possible in turn."""
+    """Plays a path and returns the first violation; skips labels that are not possible then."""
     world = new_world()
     for label in path:
         if label in world.enabled():
--- a/corklift/lab/explore_members.py
+++ b/corklift/lab/explore_members.py
@@ -64,7 +64,7 @@
         self.core.start()
         self.due = world.now
 
-    # Host
+    # The host interface of the membership
 
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
--- a/corklift/lab/explore_recovery.py
+++ b/corklift/lab/explore_recovery.py
@@ -70,7 +70,7 @@
         )
         self.facts_at_start = list(self.stored_facts)
 
-    # Host
+    # The host interface of the recovery
 
     def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
         self.world.in_flight.append(
--- a/corklift/lab/peers.py
+++ b/corklift/lab/peers.py
@@ -133,7 +133,7 @@
             lambda: self.start_count == start_count and self.kill(),
         )
 
-    # Host
+    # The host interface of the membership
 
     def send_request(
         self, request_id: int, address: str, name: str, message: Message, until: int
--- a/corklift/lab/power.py
+++ b/corklift/lab/power.py
@@ -323,7 +323,7 @@
         self.fleet.record_hand_off(self, server)
         super().hand_off(login, server, cut_at)
 
-    # Host of the recovery
+    # The host interface of the recovery
 
     def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
         def handle_request(other: RecoveringBalancer) -> StateReply:
@@ -467,7 +467,7 @@
         # Calls received, by balancer and second.
         self.peer_call_counts: dict[tuple[int, int], int] = {}
         self._old_list: list[ListedServer] | None = None
-        self.cut_at = 0
+        self.cut_at = 0  # time of the cut; 0: not yet
         self.alone_on_lying_disk = False
         scenario = Scenario(
             name="power",
@@ -556,6 +556,7 @@
 
     def _drain_server_before_cut(self, server: int) -> None:
         self._old_list = None
+        # The list and its index before the drain.
         self.saved = (
             [entry._replace() for entry in self.listed_servers()],
             self.list_index,
