--- a/benchmarks/xds.py
+++ b/benchmarks/xds.py
@@ -148,8 +148,8 @@
         with tempfile.TemporaryDirectory() as folder:
             try:
                 self._run_phases(os.path.join(folder, "control.toml"))
-            except BaseException as problem:
-                self.error = problem
+            except BaseException as exception:
+                self.error = exception
             finally:
                 for child in self.children[1:]:
                     child.close()
@@ -357,6 +357,7 @@
         The cut-off of a drain is the time until no connected proxy sends the server logins: until
         the server has left the last proxy's assignment, or until its last new connection if that is
         later. New connections alone would not be enough, as few logins arrive at that moment.
+        `placement.by` ends in "/on" if the proxy was connected to the control service.
         """
         # Both in microseconds: the cut-off of each drain, and the delay of each proxy.
         cutoffs = HdrHistogram(1, 60 * SECOND // 1000, 3)
