--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -19,8 +19,8 @@
     HEAD,
     SNAPSHOT_END,
     Batch,
-    DamagedStoreError,
     Frame,
+    Refused,
     decode_frame,
     load,
 )
@@ -77,7 +77,7 @@
     def judge(what: str, name: str, content: bytes, wanted: State, all_states: list[State]) -> None:
         try:
             found = load([name], lambda _: content).state
-        except DamagedStoreError:
+        except Refused:
             counts["refused"] += 1
             return
         if found == wanted:
--- a/corklift/cli.py
+++ b/corklift/cli.py
@@ -118,12 +118,12 @@
 
 def _load_store(path: str) -> Any:
     from corklift.store.files import DiskFiles
-    from corklift.store.format import DamagedStoreError, load
+    from corklift.store.format import Refused, load
 
     try:
         disk = DiskFiles(path, create=False)
         return load(disk.names(), disk.read)
-    except (DamagedStoreError, OSError) as problem:
+    except (Refused, OSError) as problem:
         raise click.ClickException(str(problem)) from None
 
 
@@ -196,8 +196,8 @@
 def store_init(path: str, boot: str) -> None:
     from corklift.recovery.driver import boot_of
     from corklift.recovery.facts import ENDED, Fact, encode_fact
-    from corklift.store.format import DamagedStoreError
-    from corklift.store.log import CommitFailedError, Store, StoreInUseError
+    from corklift.store.format import Refused
+    from corklift.store.log import InUse, NotKept, Store
     from corklift.store.worker import StoreFolders
 
     try:
@@ -207,7 +207,7 @@
         created.commit(
             [dict([encode_fact(Fact(ENDED, "", (1,), [boot_of(boot), True], "operators"))])]
         )
-    except (DamagedStoreError, StoreInUseError, CommitFailedError, OSError) as problem:
+    except (Refused, InUse, NotKept, OSError) as problem:
         raise click.ClickException(f"{path}: {problem}") from None
     created.close()
     click.echo(f"{path}: empty store created")
--- a/corklift/rig/power_days.py
+++ b/corklift/rig/power_days.py
@@ -16,7 +16,7 @@
 from corklift.rig.checker import Violation, find_violations
 from corklift.rig.fleet import Rig, Shape
 from corklift.store.files import DiskFiles
-from corklift.store.format import DamagedStoreError, load, salvage
+from corklift.store.format import Refused, load, salvage
 
 Variant = Literal["serve", "today", "knows"]
 # Faulty disks at a time, of five or more. A confirmation means that three balancers have persisted
@@ -270,7 +270,7 @@
     disk = DiskFiles(os.path.join(path, folders[-1]), create=False)
     try:
         state = load(disk.names(), disk.read).state
-    except DamagedStoreError:
+    except Refused:
         state = salvage(disk.names(), disk.read).state
     finally:
         disk.release()
--- a/corklift/rig/store_days.py
+++ b/corklift/rig/store_days.py
@@ -10,8 +10,8 @@
 from typing import NamedTuple
 
 from corklift.rig.disks import DiskFaults, MemoryDisk, PowerLost
-from corklift.store.format import Batch, DamagedStoreError
-from corklift.store.log import CommitFailedError, Store
+from corklift.store.format import Batch, Refused
+from corklift.store.log import NotKept, Store
 
 FAILING = DiskFaults(append=0.03, sync=0.03, create=0.02, remove=0.05, folder=0.02)
 LYING = FAILING._replace(lies=0.3)
@@ -93,7 +93,7 @@
                 possible_states.append(after)
                 try:
                     opened_store.commit([batch])
-                except CommitFailedError:
+                except NotKept:
                     continue
                 state, possible_states = after, []
                 marker = (opened_store.store_id, opened_store.sequence)
@@ -102,7 +102,7 @@
                     pass
         except PowerLost:
             pass
-        except DamagedStoreError as error:
+        except Refused as error:
             refused += 1
             if not disk.lied and state:
                 lost += 1
--- a/corklift/settings.py
+++ b/corklift/settings.py
@@ -38,7 +38,7 @@
     value = _get(table, key, where, default)
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < inf:
         raise SettingsError(
-            f"settings: {where}{key} holds {value!r}; a number of at least {minimum} is required"
+            f"settings: {where}{key} holds {value!r}, a number of at least {minimum} is needed"
         )
     return value
 
@@ -69,7 +69,7 @@
     top_nines = _get_number(goal, "top-nines", "goal.", 0.0)
     if nines_part and not top_nines:
         raise SettingsError(
-            "settings: goal.top-nines holds 0; it must be greater if goal.nines-part is set"
+            "settings: goal.top-nines holds 0, more is needed where goal.nines-part is told"
         )
 
 
--- a/corklift/store/format.py
+++ b/corklift/store/format.py
@@ -33,8 +33,11 @@
 Batch = dict[bytes, bytes | None]  # None: the key is deleted
 
 
-class DamagedStoreError(Exception):
-    """A file is damaged elsewhere than at a torn end."""
+class Refused(Exception):
+    """A file is damaged elsewhere than at a torn end.
+
+    The class name appears in JSON events and therefore stays.
+    """
 
     def __init__(self, name: str, offset: int, reason: str) -> None:
         super().__init__(f"{name} at byte {offset}: {reason}")
@@ -125,16 +128,14 @@
     out = bytearray()
     for key, value in items:
         if not 0 < len(key) <= MAX_KEY_BYTES or len(value or b"") > MAX_VALUE_BYTES:
-            raise ValueError(
-                f"key of {len(key)} bytes with a value of {len(value or b'')} bytes is out of range"
-            )
+            raise ValueError(f"a key of {len(key)} bytes with a value of {len(value or b'')}")
         out += (
             ITEM_HEAD.pack(DELETE if value is None else PUT, len(key), len(value or b""))
             + key
             + (value or b"")
         )
     if len(out) > MAX_BODY_BYTES:
-        raise ValueError(f"batch of {len(out)} bytes is too long")
+        raise ValueError(f"a batch of {len(out)} bytes")
     return bytes(out)
 
 
@@ -170,23 +171,21 @@
     """Returns the header of a segment.
 
     Raises:
-        DamagedStoreError: it is no valid header, or has another version of the format.
+        Refused: it is no valid header, or has another version of the format.
     """
     if len(content) < HEAD.size:
-        raise DamagedStoreError(name, len(content), "it ends within its header")
+        raise Refused(name, len(content), "it ends within its head")
     magic, version, _, store_id, number, previous_number, previous_bytes, sequence, _, checksum = (
         HEAD.unpack_from(content)
     )
     if magic != MAGIC:
-        raise DamagedStoreError(name, 0, "it is no segment of a store")
+        raise Refused(name, 0, "it is no segment of a store")
     if crc32c(content[: HEAD.size - 4]) != checksum:
-        raise DamagedStoreError(name, 0, "the header's checksum does not match")
+        raise Refused(name, 0, "the head's checksum does not hold")
     if version != VERSION:
-        raise DamagedStoreError(
-            name, 8, f"its format version is {version}, but this program reads {VERSION}"
-        )
+        raise Refused(name, 8, f"it is of form {version}, this program reads {VERSION}")
     if segment_name(number) != name:
-        raise DamagedStoreError(name, 32, f"its header belongs to {segment_name(number)}")
+        raise Refused(name, 32, f"it says that it is {segment_name(number)}")
     return SegmentHeader(store_id, number, previous_number, previous_bytes, sequence)
 
 
@@ -197,15 +196,15 @@
             content, offset
         )
     except error:
-        return "it ends within a frame's header"
+        return "it ends within a frame's head"
     if crc32c(content[offset : offset + FRAME_HEAD.size - 4]) != checksum:
-        return "the checksum of a frame's header does not match"
+        return "the checksum of a frame's head does not hold"
     end = offset + FRAME_HEAD.size + length
     if end > len(content):
         return "it ends within a frame"
     body = content[offset + FRAME_HEAD.size : end]
     if crc32c(body) != body_checksum:
-        return "the checksum of a frame's body does not match"
+        return "the checksum of a frame's body does not hold"
     return Frame(kind, sequence, synced, offset, end, body, checksum)
 
 
@@ -230,7 +229,7 @@
         """Decodes the segment.
 
         Raises:
-            DamagedStoreError: data that was known to be synced is damaged.
+            Refused: data that was known to be synced is damaged.
         """
         self.name = name
         self.state: dict[bytes, bytes] = {}
@@ -250,8 +249,8 @@
                 if _highest_synced(content, offset) > (
                     self.sequence + 1 if self.snapshot_complete else 0
                 ):
-                    raise DamagedStoreError(
-                        name, offset, f"{reason}, and later frames show that this was synced"
+                    raise Refused(
+                        name, offset, f"{reason}, and what follows says that this was synced"
                     )
                 self.torn_tail = TornTail(name, offset, len(content) - offset)
                 break
@@ -262,7 +261,7 @@
     def _apply(self, frame: Frame, content: bytes, chain: int) -> str:
         """Applies a frame to the state; returns why it can't be applied, or an empty string."""
         if int.from_bytes(content[frame.offset + 24 : frame.offset + 28], "little") != chain:
-            return "a frame does not follow the one before it"
+            return "a frame that does not follow the one before it"
         if (
             frame.kind == BATCH
             and not (self.snapshot_complete and frame.sequence == self.sequence + 1)
@@ -271,9 +270,9 @@
                 and (self.snapshot_complete or frame.sequence != self.header.sequence)
             )
         ):
-            return f"a frame of kind {frame.kind} with number {frame.sequence} is out of order"
+            return f"a frame of kind {frame.kind} with number {frame.sequence} is out of place"
         if frame.kind not in (BATCH, SNAPSHOT_PART, SNAPSHOT_END, SYNC_MARK):
-            return f"a frame has the unknown kind {frame.kind}"
+            return f"a frame of kind {frame.kind}"
         try:
             for key, value in decode_items(frame.body):
                 if value is None:
@@ -281,7 +280,7 @@
                 else:
                     self.state[key] = value
         except (ValueError, error):
-            return "a frame's body can't be decoded"
+            return "a body that can't be read"
         if frame.kind == BATCH:
             self.sequence = frame.sequence
         self.snapshot_complete = self.snapshot_complete or frame.kind == SNAPSHOT_END
@@ -303,7 +302,7 @@
     """Returns the last complete state that the files hold.
 
     Raises:
-        DamagedStoreError: a file is damaged elsewhere than at a torn end. No damage is ignored.
+        Refused: a file is damaged elsewhere than at a torn end. No damage is ignored.
     """
     numbered = sorted((name for name in names if SEGMENT_NAME.fullmatch(name)), reverse=True)
     torn_tails: list[TornTail] = []
@@ -319,7 +318,7 @@
         header = decode_header(name, content)
         store_id = store_id or header.store_id
         if header.store_id != store_id:
-            raise DamagedStoreError(name, 16, "it belongs to another store than the newer segments")
+            raise Refused(name, 16, "it is of another store than the newer ones")
         is_new = is_new and not header.previous_number
         if best is not None:
             continue
@@ -331,9 +330,7 @@
     newest_number = int(numbered[0][:16], 16) if numbered else 0
     if best is None:
         if not is_new:
-            raise DamagedStoreError(
-                numbered[0], 0, "no complete segment is left, though there was one"
-            )
+            raise Refused(numbered[0], 0, "no whole segment is there, though there was one")
         return LoadedState({}, 0, store_id, newest_number, 0, 0, tuple(torn_tails))
     return LoadedState(
         best.state,
@@ -367,7 +364,7 @@
         except OSError as problem:
             losses.append(f"{name}: {problem}")
             continue
-        except DamagedStoreError as problem:
+        except Refused as problem:
             losses.append(str(problem))
             content = content[: HEAD.size].ljust(HEAD.size, b"\0") + content[HEAD.size :]
         offset = HEAD.size
@@ -389,7 +386,7 @@
                     else:
                         segment_state[key] = value
             except (ValueError, error):
-                losses.append(f"{name} at byte {frame.offset}: a frame's body can't be decoded")
+                losses.append(f"{name} at byte {frame.offset}: a body that can't be read")
         state = segment_state if snapshot_complete and not losses else state | segment_state
     return SalvageResult(state, tuple(losses))
 
--- a/corklift/store/log.py
+++ b/corklift/store/log.py
@@ -39,12 +39,18 @@
 COMPACTION_SLICE_BYTES = 1 << 20
 
 
-class StoreInUseError(Exception):
-    """Another process holds the lock of the store."""
+class InUse(Exception):
+    """Another process holds the lock of the store.
 
+    The class name appears in JSON events and therefore stays.
+    """
 
-class CommitFailedError(Exception):
-    """The disk took neither the commit nor a new segment, so the commit may not be durable."""
+
+class NotKept(Exception):
+    """The disk took neither the commit nor a new segment, so the commit may not be durable.
+
+    The class name appears in JSON events and therefore stays.
+    """
 
 
 class OpenReport(NamedTuple):
@@ -128,13 +134,13 @@
             min_compaction_bytes: segments below this size are not compacted.
 
         Raises:
-            StoreInUseError: another process holds the lock.
-            DamagedStoreError: the store is damaged; nothing was changed.
+            InUse: another process holds the lock.
+            Refused: the store is damaged; nothing was changed.
             OSError: the folder can't be read. If it can't be written the store opens all the same:
                 see `open_report`, and each commit.
         """
         if not files.lock():
-            raise StoreInUseError("another process has the store")
+            raise InUse("another process has the store")
         self._files, self._min_compaction_bytes = files, min_compaction_bytes
         loaded = load(files.names(), files.read)
         self._state, self.sequence = loaded.state, loaded.sequence
@@ -180,7 +186,7 @@
         Returns the sequence number of the last batch. All are durable once it returns.
 
         Raises:
-            CommitFailedError: the batches may not be durable. The state in memory is unchanged, and
+            NotKept: the batches may not be durable. The state in memory is unchanged, and
                 the next commit tries a new segment.
             ValueError: a key or a value is too long; nothing was written.
         """
@@ -202,7 +208,7 @@
                 self._rewrite(bodies)
             except OSError as problem:
                 self.failures += 1
-                raise CommitFailedError(str(problem)) from problem
+                raise NotKept(str(problem)) from problem
         else:
             self._write_sync_mark(self.sequence + len(bodies))
         for number, (batch, body) in enumerate(zip(batches, bodies), self.sequence + 1):
--- a/corklift/store/worker.py
+++ b/corklift/store/worker.py
@@ -18,8 +18,8 @@
 from corklift.net.scheduler import READ, Scheduler
 from corklift.store import files
 from corklift.store.files import FileLayer
-from corklift.store.format import Batch, DamagedStoreError, salvage
-from corklift.store.log import CommitFailedError, OpenReport, Store, StoreInUseError
+from corklift.store.format import Batch, Refused, salvage
+from corklift.store.log import InUse, NotKept, OpenReport, Store
 
 # Called with the report, the stored items, what was lost of a damaged store, and why there is no
 # store; in that last case the report is None.
@@ -125,7 +125,7 @@
         try:
             store = Store(folder)
             return store, store.open_report, ""
-        except DamagedStoreError as problem:
+        except Refused as problem:
             salvaged = salvage(folder.names(), folder.read)
             store = Store(self._folders.create_next())
             if salvaged.state and not store.items():
@@ -141,7 +141,7 @@
         store = None
         try:
             store, report, losses = self._open()
-        except (DamagedStoreError, StoreInUseError, CommitFailedError, OSError) as problem:
+        except (Refused, InUse, NotKept, OSError) as problem:
             open_error = f"{type(problem).__name__}: {problem}"
             self._run_on_scheduler(lambda: self._on_open(None, [], "", open_error))
         else:
@@ -159,7 +159,7 @@
             if store is not None:
                 try:
                     number = store.commit([batch])
-                except (CommitFailedError, ValueError) as problem:
+                except (NotKept, ValueError) as problem:
                     commit_error = f"{type(problem).__name__}: {problem}"
                 except Exception as problem:
                     # The thread must go on, in a new segment: otherwise callers would wait forever.
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -294,7 +294,7 @@
     empty.core.tick(600 * SECOND)
     assert empty.core.phase is RecoveryPhase.ASK
     for act in (
-        lambda core: core.store_unreadable(0, "StoreInUseError"),
+        lambda core: core.store_unreadable(0, "InUse"),
         lambda core: core.tick(4 * SECOND),
     ):  # the store is in use by another process; the store stalls
         unread = Host()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,8 +14,8 @@
 from corklift.store import format as store_format
 from corklift.store import log
 from corklift.store.files import DiskFiles
-from corklift.store.format import BATCH, HEAD, SNAPSHOT_END, DamagedStoreError, load
-from corklift.store.log import CommitFailedError, Store, StoreInUseError
+from corklift.store.format import BATCH, HEAD, SNAPSHOT_END, Refused, load
+from corklift.store.log import InUse, NotKept, Store
 from corklift.store.worker import StoreFolders, StoreWorker
 
 
@@ -53,7 +53,7 @@
         flipped[bit // 8] ^= 1 << bit % 8
         try:
             assert load([name], lambda _: bytes(flipped)).state == complete
-        except DamagedStoreError as problem:
+        except Refused as problem:
             assert problem.name == name and 0 <= problem.offset <= len(content) and problem.reason
 
 
@@ -64,7 +64,7 @@
     (old_segment,) = disk.names()
     disk.faults = DiskFaults(**{fault: 1.0})
     if fault in ("append", "sync"):
-        with pytest.raises(CommitFailedError):
+        with pytest.raises(NotKept):
             store.commit([{b"lost": b"1"}])
     disk.faults = DiskFaults()
     size = len(disk.read(old_segment)) if old_segment in disk.names() else 0
@@ -81,7 +81,7 @@
     disk = MemoryDisk(Random(3), DiskFaults(full=20))
     store = Store(disk)
     assert "No space" in store.open_report.write_error and store.open_report.fresh
-    with pytest.raises(CommitFailedError):
+    with pytest.raises(NotKept):
         store.commit([{b"a": b"1"}])
     disk.faults = DiskFaults()
     assert store.commit([{b"a": b"2"}]) == 1
@@ -116,7 +116,7 @@
     content = disk.read(name)
 
     def refusal(files):
-        with pytest.raises(DamagedStoreError) as caught:
+        with pytest.raises(Refused) as caught:
             load(files, files.get)
         return str(caught.value)
 
@@ -125,9 +125,9 @@
     newer[HEAD.size - 4 : HEAD.size] = store_format.crc32c(bytes(newer[: HEAD.size - 4])).to_bytes(
         4, "little"
     )
-    assert "format version is 2" in refusal({name: bytes(newer)})
+    assert "is of form 2" in refusal({name: bytes(newer)})
     assert "no segment of a store" in refusal({name: b"x" * 600})
-    assert "its header belongs to" in refusal({store_format.segment_name(9): content})
+    assert "says that it is" in refusal({store_format.segment_name(9): content})
     other = MemoryDisk(Random(5))
     Store(other, b"o" * 16)
     assert "another store" in refusal(
@@ -151,7 +151,7 @@
 def test_one_process_at_a_time_and_a_start_rewrites_the_segment(tmp_path):
     disk = DiskFiles(str(tmp_path / "store"))
     store = create_store(disk)
-    with pytest.raises(StoreInUseError):
+    with pytest.raises(InUse):
         Store(DiskFiles(str(tmp_path / "store")))
     store.close()
     disk.release()
@@ -312,7 +312,7 @@
             flipped[bit // 8] ^= 1 << bit % 8
             try:
                 wrong += load([name], lambda _: bytes(flipped)).state != complete
-            except DamagedStoreError:
+            except Refused:
                 pass
         assert wrong
     else:
