--- a/benchmarks/store_cuts.py
+++ b/benchmarks/store_cuts.py
@@ -23,8 +23,8 @@
     HEAD,
     SNAPSHOT_END,
     Batch,
-    DamagedStoreError,
     Frame,
+    Refused,
     decode_frame,
     load,
 )
@@ -87,7 +87,7 @@
     ) -> None:
         try:
             loaded_state = load([name], lambda _: content).state
-        except DamagedStoreError:
+        except Refused:
             counts["refused"] += 1
             return
         if loaded_state == expected_state:
