--- a/benchmarks/lab.py
+++ b/benchmarks/lab.py
@@ -188,8 +188,8 @@
     fault_free_fleet = Fleet(FAULT_SCENARIO, "module", arguments.seed)
     fault_free_fleet.run()
     found_faults = []
-    for name, (faulty_policy, expected_alarm) in FAULTS.items():
-        fleet = Fleet(FAULT_SCENARIO, "module", arguments.seed, faulty_policy)
+    for name, (inject_fault, expected_alarm) in FAULTS.items():
+        fleet = Fleet(FAULT_SCENARIO, "module", arguments.seed, inject_fault)
         fleet.run()
         alarms = {
             f"rule {rule}" for rule in fleet.rules.violation_counts
