--- a/corklift/policy.py
+++ b/corklift/policy.py
@@ -61,7 +61,9 @@
 # The home servers of a group with a share s of the load have this multiple of s of the fleet's
 # capacity.
 GROUP_CAPACITY_FACTOR = 1.15
-# The utilisation reserved for the logins with the highest importance for their load.
+# The utilisation reserved for logins that bring more importance for their load, where importance is
+# set per unit of work. It is withheld from a login of importance 0; the most important ones may use
+# all of it, others a part in proportion to their importance.
 IMPORTANCE_RESERVE = 0.1
 # A zone crossing that costs more than this fraction of a login's value is avoided while the
 # balancer's own zone has headroom.
@@ -110,8 +112,8 @@
 # The fraction of a cold server's budget that is given to external placers, which send unevenly and
 # report late.
 EXTERNAL_COLD_FRACTION = 0.5
-# Up to this many partly admitted cold servers, all combinations of who is admitted are enumerated;
-# beyond it, this many random combinations are sampled.
+# With up to this many cold servers whose admission is random, all combinations of admitted servers
+# are enumerated; with more, this many random combinations are sampled.
 MAX_ENUMERATED_SERVERS, SAMPLED_COMBINATIONS = 6, 2000
 # The assumed number of groups; the estimate of a group's share starts from 1/EXPECTED_GROUPS.
 EXPECTED_GROUPS = 40
@@ -339,7 +341,7 @@
         """
         if server.utilisation is None:
             return None
-        # Guards against a flood while no capacity is known yet.
+        # The mean capacity stands in for an unknown one, so that a flood is noticed then too.
         capacity = self.capacity_of(server) or self.mean_capacity
         if capacity <= 1.0:
             return server.utilisation
@@ -350,11 +352,11 @@
         )
         even_share = flood * min(1.0, server.relative_capacity / self._available_capacity)
         in_step = min(self._balancers, MAX_BALANCERS_IN_STEP)
-        # A report that was queried is no fresher than others, and with many balancers some have
-        # placed logins by it too.
+        # A queried report is no fresher than others. With many balancers, some have placed logins
+        # by the same report; one login is assumed for each other balancer in step.
         by_same_report = in_step - 1 if self.probes_subset else 0
-        # Guards against refusals when another balancer restarts: its clients come to this balancer
-        # only, so the other balancers do not place the same load again.
+        # Unshared load counts once. Guards against refusals when another balancer restarts: each of
+        # its clients comes to one balancer only, so no other balancer places the same load.
         by_in_step = in_step * server.unreported_load - (in_step - 1) * server.unshared_load
         return (
             server.utilisation
@@ -394,7 +396,11 @@
         self._host, self._rng, self._load_reports = host, rng, load_reports
 
     def is_eligible(self, now: int, server: Server) -> bool:
-        """Whether the server may take part in the draw."""
+        """Whether the server may take part in the draw.
+
+        With subset probing, unanswered probes count only while a probe is pending and for
+        MAX_REPORT_AGE after the last probe.
+        """
         if server.unanswered >= UNANSWERED_TO_EVACUATE - 1 and (
             not self._load_reports.probes_subset
             or server.pending_probe_at
@@ -552,7 +558,7 @@
 
     def __init__(self, load_reports: LoadReports, probe_budget: ProbeBudget) -> None:
         self._load_reports, self._probe_budget = load_reports, probe_budget
-        # Another process of this balancer places its logins.
+        # Whether another process of this balancer places its logins.
         self.standby = False
 
     def configure(self, rule: ColdRule, balancers: int) -> None:
@@ -567,7 +573,7 @@
         return min(1.0, self._rule.start_share + (1 - self._rule.start_share) * age)
 
     def _budget(self, now: int, server: Server) -> tuple[float, float]:
-        """Returns what is spent by now, and this balancer's part of the load of one span."""
+        """Returns what is spent at this time, and this balancer's budget for one span."""
         capacity = self._load_reports.capacity_of(server) or self._rule.ramp / self._rule.span
         rate = (
             self._rule.multiple
@@ -650,8 +656,8 @@
 class WeightedDraw:
     """Selects the candidates for a login and draws one of them by weight.
 
-    A server is a home of a group if the group's logins belong on it: as many servers as the group's
-    load needs, so that few servers pay the fixed cost of a group.
+    Each group has home servers, which its logins go to first. A group has only as many homes as its
+    load needs, because each server that holds a group pays a fixed cost for it.
     """
 
     def __init__(
@@ -669,20 +675,21 @@
             health,
             cold_budget,
         )
-        # This balancer's open connections, of each group and in total.
+        # This balancer's open connections and reservations, of each group and in total.
         self.group_load: dict[int, int] = {}
         self.total_load = 0
         # The server of each group's last new connection.
         self.last_homes: dict[int, int] = {}
         # The ready servers in each group's order, and the registry's version they were sorted for.
-        # The flag of the key tells whether the servers of the balancer's own zone come first.
+        # The key is (group, whether the servers of this balancer's zone come first).
         self._server_orders: dict[tuple[int, bool], list[Server]] = {}
         self._orders_version = 0
-        # While the fleet counts as full, a login queries no servers beyond its homes.
+        # Until this time the fleet counts as full, and a login queries no servers beyond its homes.
         self._fleet_full_until = 0
         # Logins of each group and in total, halved from time to time.
         self._group_logins: dict[int, float] = {}
         self._group_logins_total = 0.0
+        # The server and group of each connection that `reserve` counted.
         self._reservations: list[tuple[Server, int]] = []
 
     def configure(
@@ -700,8 +707,8 @@
     def _prefers_own_zone(self, login: Login) -> bool:
         """Whether the login stays in this balancer's zone if possible.
 
-        It does if crossings are expensive, the fleet has headroom to hold groups in both zones,
-        and the login is not part of a flood of returning clients.
+        It does if crossings are expensive, the fleet has headroom to hold the login's group in a
+        second zone, and the login does not come from a returning client: those may come as a flood.
         """
         return (
             self._crossing_price > EXPENSIVE_ZONE_CROSSING
@@ -737,17 +744,19 @@
         return self._rng.choice(candidates) if uniform else self._weighted_choice(candidates)
 
     def draw_probabilities(self, now: int, state: LoginState, span: int) -> dict[int, float]:
-        """The probability of each server in `pick`, without a draw or a change of state.
+        """The probability that `pick` returns each server; draws nothing and changes no state.
 
-        Empty if there is no candidate. With a span, the probabilities by which external placers may
-        place all logins of that span; their sum is below 1 if the servers with headroom may not be
-        sent all of them.
+        Empty if there is no candidate. With a span (ns), the probabilities by which external
+        placers may place all logins of that span. Their sum is below 1 if the servers with headroom
+        may not be sent all of these logins.
         """
         ready = self._registry.ready
         admission = {
             server: 1.0 if span else self._cold_budget.admission_probability(now, server, state)
             for server in ready
         }
+        # The result is the average over the combinations of randomly admitted servers, each
+        # weighted by its probability.
         uncertain = [s for s, probability in admission.items() if 0.0 < probability < 1.0]
         probabilities: dict[Server, float] = {}
         enumerated, rng = len(uncertain) <= MAX_ENUMERATED_SERVERS, Random(0)
@@ -815,7 +824,11 @@
     def _candidates(
         self, now: int, state: LoginState, admitted: list[Server]
     ) -> tuple[list[Server], bool]:
-        """Returns who takes part in the draw, and whether it is uniform for lack of reports."""
+        """Returns the servers that take part in the draw, and whether the draw is uniform.
+
+        Servers already tried for this login, and excluded ones, take part only if there are no
+        others. The draw is uniform if none of the servers has a fresh count.
+        """
         if not admitted:
             return [], False
         tried = [attempt.server for attempt in state.attempts]
@@ -823,7 +836,7 @@
         eligible = [s for s in untried if self._failures.is_eligible(now, s)] or untried
         fresh = [s for s in eligible if self._load_reports.is_fresh(now, s)]
         if not any(server.count is not None for server in fresh):
-            # No server has a fresh count: a uniform draw over all of them.
+            # No server has a fresh count, and dropping all of them would leave nobody to draw.
             return eligible, True
         fresh = [s for s in fresh if self._accepts(now, s, state)]
         if not fresh:
@@ -845,8 +858,8 @@
     def _accepts(self, now: int, server: Server, state: LoginState) -> bool:
         """Whether the server is not full for this login.
 
-        Guards against a lasting overload: what is added to a full server degrades all its
-        connections.
+        Guards against a lasting overload: a login added to a full server degrades all connections
+        of that server.
         """
         return (
             now >= server.full_until
@@ -861,8 +874,9 @@
         """With subset probing: the first servers for the login, in its group's order.
 
         The order depends on ids only, so hundreds of balancers gather a group on the same servers
-        without exchanging messages, although each holds few of its connections. A login without a
-        group has a random order of its own.
+        without exchanging messages, although each holds few of its connections. If logins prefer
+        this balancer's zone, its servers come first. A login without a group has a random order of
+        its own. Servers already tried or excluded are returned only if there are no others.
         """
         if self._orders_version != self._registry.version:
             self._orders_version = self._registry.version
@@ -926,8 +940,10 @@
         share = (self._group_logins.get(group, 0.0) + 1.0) / (
             self._group_logins_total + EXPECTED_GROUPS
         )
-        utilised = min(1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION))
-        return 1 + int(share * utilised * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
+        used_fraction = min(
+            1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION)
+        )
+        return 1 + int(share * used_fraction * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
 
     def query_or_pick(
         self, now: int, state: LoginState, allowed: Callable[[Server], bool]
@@ -1094,9 +1110,10 @@
                 counts.pop(group, None)
 
     def reserve(self, server: Server, group: int) -> None:
-        """Counts a connection of the predecessor process until its client returns to this one.
+        """Counts a connection that another process of this balancer still holds.
 
-        Guards against groups that spread in the meantime.
+        Its client is expected to return to this process. Guards against groups that spread to more
+        servers in the meantime.
         """
         self._add_group_load(group, server, 1)
         self._reservations.append((server, group))
@@ -1137,7 +1154,10 @@
         return [a for a in state.attempts if a.outcome is None or not a.outcome.proves_not_run]
 
     def may_send(self, now: int, state: LoginState) -> bool:
-        """Whether the login may be handed off now; takes a resend token if that needs one."""
+        """Whether the login may be handed off now.
+
+        A resend takes a token, unless the last server was full or could not be reached.
+        """
         if len(state.attempts) >= self._max_hand_offs or now >= state.login.time_limit_at:
             return False
         if not state.attempts:
@@ -1319,6 +1339,10 @@
         self._subset: list[Server] = []
 
     def configure(self, allowed: bool) -> None:
+        """Allows or stops probes.
+
+        When they are allowed again, the choice between all servers and a subset is made anew.
+        """
         if allowed and not self._allowed and self._registry.ready:
             self._after(0, self._review)
         self._allowed, self._subset_decision = allowed, self._subset_decision if allowed else None
@@ -1337,7 +1361,8 @@
     def _review(self, now: int) -> None:
         """Decides whether to probe all servers or a subset, and renews the subset.
 
-        Repeated every MAX_REPORT_AGE once the rate of logins is known.
+        Repeated about every MAX_REPORT_AGE. While all servers are probed and the rate of logins is
+        unknown, repeated about ten times per PROBE_PERIOD.
         """
         if not self._allowed:
             return
@@ -1359,12 +1384,19 @@
         self._after(int(wait * self._rng.uniform(0.9, 1.1)), self._review)
 
     def _start_probing(self, servers: list[Server]) -> None:
-        """Starts periodic probes at random phases; earlier ones of these servers end."""
+        """Starts periodic probes at random phases; replaces those already running."""
         for server in servers:
             server.probe_generation += 1
-            self._schedule(server, server.probe_generation, int(self._rng.random() * PROBE_PERIOD))
+            self._schedule_probe(
+                server, server.probe_generation, int(self._rng.random() * PROBE_PERIOD)
+            )
+
+    def _schedule_probe(self, server: Server, generation: int, wait: int) -> None:
+        """Probes the server after `wait`, then periodically.
+
+        Ends when the server is not ready, a newer generation has started, or a subset is probed.
+        """
 
-    def _schedule(self, server: Server, generation: int, wait: int) -> None:
         def due(now: int) -> None:
             if (
                 server.ready
@@ -1378,16 +1410,17 @@
                     and not server.unanswered
                     and not self._cold_budget.is_cold(now, server)
                 )
-                self._schedule(
+                self._schedule_probe(
                     server, generation, RELAXED_PROBE_PERIOD if low_utilisation else PROBE_PERIOD
                 )
 
         self._after(wait, due)
 
     def _rotate_subset(self, now: int) -> None:
-        """Replaces one random server of the subset and probes all of the subset.
+        """Replaces one random server of the subset; probes the subset within MAX_REPORT_AGE.
 
-        Half of the new ones are drawn among the servers that hold own connections.
+        With probability 1/2, a new server is drawn among those with connections of this balancer,
+        otherwise among all.
         """
         size = self._probe_budget.subset_size(now, len(self._registry.ready))
         remaining = [server for server in self._subset if server.ready]
@@ -1418,7 +1451,10 @@
         wait: int,
         place: Callable[[int, LoginState], None],
     ) -> None:
-        """Queries servers before a hand-off; calls `place` after `wait` if answers are missing."""
+        """Queries servers before a hand-off; calls `place` after `wait` if answers are missing.
+
+        A server whose probe is still pending is not probed again; that probe's answer counts.
+        """
         query_id = state.query_id = state.query_id + 1
         state.pending_answers = len(servers)
         for server in servers:
@@ -1456,9 +1492,9 @@
         self._active_logins: dict[int, LoginState] = {}
         # By server, the load of own connections that ended during standby.
         self._ended_load: dict[int, float] = {}
-        # Clients of another process of this balancer return to this one.
+        # Whether clients of another process of this balancer are expected to return to this one.
         self._has_predecessor = False
-        # When own connections broke or were moved, whose clients are expected to return.
+        # When connections broke or were moved, one entry for each client expected to return.
         self._cut_times: list[int] = []
         self._cost_sum, self._cost_count = 0.0, 0
         self._timers: dict[int, Callable[[int], None]] = {}
@@ -1512,8 +1548,8 @@
     ) -> None:
         """Applies settings, at the start or after a reload.
 
-        Servers, measurements, logins, connections and timers stay as they are, and a workload keeps
-        its number.
+        Servers, measurements, logins, connections and timers stay as they are. A workload keeps its
+        index in `workloads`.
         """
         self._workloads, self._cancel_allowed, self._remembers_subjects = (
             workloads,
@@ -1545,12 +1581,12 @@
         )
 
     def login_arrived(self, now: int, login: Login) -> None:
-        """A client's login has come; the host is told where it goes, or to reject it."""
+        """A client's login has come; it is handed off, waits for queries, or is rejected."""
         state = LoginState(login, self._relative_load(login.cost), self._workloads[login.workload])
         self._active_logins[login.login] = state
         self._probe_budget.record_login(now, login.came_back)
         self._draw.record_group_login(login.group)
-        # A returning client that is not accounted for by a recently broken or moved own connection
+        # Each recently broken or moved connection accounts for one returning client. A further one
         # comes from another balancer. Its load then counts once, as no other balancer places it; in
         # a full fleet all load is counted as usual.
         recent_cuts = [at for at in self._cut_times if now - at < MAX_REPORT_AGE]
@@ -1619,7 +1655,8 @@
     def message_unanswered(self, now: int, server_id: int) -> None:
         """A message on an open connection has had no reply; the server is probed at once."""
         if (server := self._registry.servers.get(server_id)) is not None:
-            # Concerns one connection only, so it does not count towards evacuating the server.
+            # This concerns one connection only. Resetting the start of the delay keeps the server's
+            # other connections from being moved because of it.
             server.delayed_since = now
             if not server.pending_probe_at and not self._load_reports.is_recent(now, server):
                 self._probe_scheduler.probe(now, server)
@@ -1696,7 +1733,8 @@
             server.unanswered += 1
             if server.unanswered < UNANSWERED_TO_EVACUATE and server.ready:
                 self._probe_scheduler.probe(now, server)
-            # A server that may only be too busy to answer gets twice as many probes.
+            # A server that may only be too busy to answer gets twice as many probes before its
+            # connections are moved.
             elif server.unanswered == (
                 UNANSWERED_TO_EVACUATE
                 if (server.utilisation or 0.0) < OVERLOAD_UTILISATION
@@ -1734,7 +1772,7 @@
         """
         if (left := self._registry.take_out_of_service(now, server_id)) is not None:
             self._server_leaves(now, left, "taken out of service by an operator", PROBE_PERIOD)
-        # The server is to become idle, so it is not probed either.
+        # The server is to become idle: probes end, and connections without a client are closed.
         self._host.close_idle(server_id)
 
     def restore_to_service(self, now: int, server_id: int) -> None:
@@ -1854,7 +1892,8 @@
     def placed_by_others(self, now: int, server_id: int, count: int, failed: int) -> None:
         """External placers have sent logins to the server since their last report.
 
-        The logins count like own placements until a report of the server includes them.
+        The logins count like own placements until a report of the server includes them. If all of
+        them failed, that counts as one failed hand-off, otherwise as a success.
         """
         server = self._registry.servers.get(server_id)
         self._probe_budget.record_reported_logins(now, count)
@@ -1876,7 +1915,7 @@
         self._timers.pop(mark, lambda at: None)(now)
 
     def _server_leaves(self, now: int, server: Server, reason: str, duration: int = 0) -> None:
-        # The clients of other balancers there return too, to any balancer.
+        # Other balancers' clients on this server return too, to any balancer.
         self._cut_times += [now] * int(server.count or 0)
         self._moves.evacuate(server, reason, duration)
 
