--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -28,9 +28,9 @@
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
 from corklift.net.limits import MS, SECOND, Counters, LogWriter, raise_descriptor_limit
+from corklift.net.monitoring import DiscoveryWatch, ServerProbes
 from corklift.net.parsers import Listing
 from corklift.net.scheduler import WRITE, Scheduler, wall_clock
-from corklift.net.monitoring import DiscoveryWatch, ServerProbes
 from corklift.rpc.server import RpcServer
 
 UPDATE_INTERVAL = 50 * MS  # between two runs of the update loop
--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -569,7 +569,11 @@
             f"app.store_trouble:{int(bool(core.store_error))}|g\n"
             f"app.store_commits:{core.own_marker.sequence}|c\n"
             "app.store_waiting_ms:"
-            f"{(self._scheduler.now() - self._store_worker.pending_since) // MS if self._store_worker.pending_commits else 0}"
+            f"""{
+                (self._scheduler.now() - self._store_worker.pending_since) // MS
+                if self._store_worker.pending_commits
+                else 0
+            }"""
             "|g\n"
         )
 
--- a/corklift/rpc/server.py
+++ b/corklift/rpc/server.py
@@ -114,7 +114,7 @@
         handler(call)
 
     def shut_down(self, timeout: int) -> None:
-        """Sends GOAWAY to all peers; blocks until the last call has ended, or for the given time."""
+        """Sends GOAWAY to all peers; blocks until all calls have ended, or for the given time."""
         self._stopping = True
         if self._accept_task is not None:
             self._scheduler.wake(self._accept_task)
