--- a/corklift/net/stream.py
+++ b/corklift/net/stream.py
@@ -112,6 +112,7 @@
         self.broken = False  # the connection was reset or a write failed
         self.closed = False
         self._write_shut_down = False
+        self._remote_address: tuple[str, int] | None = None  # of a connect
         Stream.open_count += 1
         if sock.family == socket.AF_INET:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -121,16 +122,27 @@
         """Starts a connect. Once the socket is writable, `connect_failed` returns the result."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         stream = cls(sock, limits)
+        stream._remote_address = address
         code = sock.connect_ex(address)
         if code not in (0, errno.EINPROGRESS):
             stream.broken = True
         return stream
 
     def connect_failed(self) -> bool:
-        if not self.broken and self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        if not self.broken and (
+            self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or self._is_self_connected()
+        ):
             self.broken = True
         return self.broken
 
+    def _is_self_connected(self) -> bool:
+        """Whether the connect reached its own socket instead of a listening one.
+
+        TCP allows this where nobody listens on the address and the system gives the connect that
+        very address as its own. Such a stream would read back what it writes.
+        """
+        return self._remote_address is not None and self._remote_address == self._sock.getsockname()
+
     def receive(self) -> int:
         """Reads what has arrived, as far as the receive buffer has room; returns the byte count."""
         received = 0
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -173,6 +173,18 @@
         assert text == reviewed.read_text()
 
 
+def reserve_port() -> socket.socket:
+    """Returns a socket bound to a free port of loopback on which it doesn't listen.
+
+    A process that sets SO_REUSEADDR can listen on the port meanwhile. Until then a connect to it is
+    refused, and the system gives the port to nobody else, neither to a connect nor to a listener.
+    """
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    sock.bind(("127.0.0.1", 0))
+    return sock
+
+
 class VirtualPoll:
     """Polls real sockets; if none is ready within 2 ms, advances the virtual time to a timer."""
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 from random import Random
 
 import pytest
-from harness import MS, BalancerHarness, PolicyHarness
+from harness import MS, BalancerHarness, PolicyHarness, reserve_port
 
 from corklift.handover import (
     Handover,
@@ -335,10 +335,9 @@
         connection.close()
         return status
 
-    ports = []
-    for _ in range(4):
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            ports.append(free.getsockname()[1])
+    # Each port stays bound, but not listening, so that no connect and no other program is given it.
+    reserved = [reserve_port() for _ in range(4)]
+    ports = [sock.getsockname()[1] for sock in reserved]
     processes, clients = (
         [start(ports[0])],
         [LoadClient(listener.getsockname()[1], number) for number in range(12)],
@@ -382,6 +381,8 @@
             assert "exception" not in process.stderr.read()
         peers.terminate()
         peers.wait(5)
+        for sock in reserved:
+            sock.close()
     results = [
         end
         for client in clients
