--- a/corklift/__main__.py
+++ b/corklift/__main__.py
@@ -8,7 +8,7 @@
 
 import sys
 
-from corklift.service import run_balancer
+from corklift.early_signals import EarlySignals
 
 
 def main() -> int:
@@ -17,7 +17,11 @@
         from corklift.cli import main as run_command
 
         run_command(prog_name="corklift")
-    return run_balancer()
+    # Before the other imports, during which a signal would end the process.
+    early_signals = EarlySignals()
+    from corklift.service import run_balancer
+
+    return run_balancer(early_signals)
 
 
 if __name__ == "__main__":
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -614,16 +614,15 @@
 
     # Shutdown
 
-    def stop(self) -> None:
+    def stop(self, started_at: int) -> None:
         """Shuts down: accepts logins for a moment, then moves all connections, spread over time.
 
-        Returns when no client is left or the stop time is over.
+        Returns when no client is left or the stop time is over, which counts from `started_at`.
         """
-        started_at = self._now()
         if self._socket_shared:
             self.set_accepting(False)  # the next process accepts the queued clients
         accept_time = 0 if self._socket_shared else self._limits.stop_accepting
-        self._scheduler.sleep(accept_time)
+        self._scheduler.sleep(started_at + accept_time - self._now())
         self._rejecting_logins = not self._socket_shared
         move_time, max_count = self._limits.time_to_move_connections(accept_time), 0
         while self._now() < started_at + self._limits.stop_time and (
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -18,6 +18,7 @@
 from typing import Any, Protocol
 
 from corklift.configuration import Configuration, read_config
+from corklift.early_signals import EarlySignals, ignore_signals
 from corklift.interface import Scope
 from corklift.net.admin import Admin, AdminHandler, format_stats
 from corklift.net.facade import Facade
@@ -290,18 +291,21 @@
         """Restores a server to service for an operator; returns whether that succeeded."""
         return self.apply_operator_override(name, False)
 
-    def run(self, early_reloads: Sequence[int] = ()) -> None:
-        """Serves until the process is asked to stop.
-
-        `early_reloads` holds the reload signals that arrived before this call.
-        """
+    def run(self, early_signals: EarlySignals) -> None:
+        """Serves until the process is asked to stop, which may have been before this call."""
         self.scheduler.on_signal(signal.SIGHUP, lambda: self.scheduler.spawn(self.reload))
-        if early_reloads:
-            self.scheduler.spawn(self.reload)
         self.scheduler.on_signal(signal.SIGTERM, self.request_stop)
         self.scheduler.on_signal(signal.SIGINT, self.request_stop)
         self.scheduler.on_signal(signal.SIGUSR1, self._log_counters)
+        if signal.SIGHUP in early_signals.received:
+            self.scheduler.spawn(self.reload)
         self.start()
+        if signal.SIGUSR1 in early_signals.received:
+            self._log_counters()
+        time_since_stop = early_signals.time_since_stop()
+        if time_since_stop is not None:
+            # Clients may be in the queue of the listening socket; they get their answers.
+            self.request_stop(time_since_stop)
         # Shortens garbage collection pauses: objects that exist now are never scanned again.
         gc.collect()
         gc.freeze()
@@ -326,20 +330,23 @@
             self.scheduler.sleep(25 * MS)
         self.relay.ready = True
 
-    def request_stop(self) -> None:
-        """Starts a graceful stop, in which connections are moved; `run` returns when it is over."""
+    def request_stop(self, time_since: int = 0) -> None:
+        """Starts a graceful stop, in which connections are moved; `run` returns when it is over.
+
+        `time_since` is the time in ns since the process was asked to.
+        """
         if not self._stopping:
             self._stopping = True
             self.log_writer.write("told to stop")
             self.handover.leave()
             for component in self._components:
                 component.on_stop_requested()
-            self.scheduler.spawn(self._drain_and_stop)
+            self.scheduler.spawn(self._drain_and_stop, self.scheduler.now() - time_since)
 
-    def _drain_and_stop(self) -> None:
+    def _drain_and_stop(self, asked_at: int) -> None:
         """Shuts down the relay and the components, then lets `run` return."""
         try:
-            self.relay.stop()
+            self.relay.stop(asked_at)
             for component in self._components:
                 component.on_clients_drained()
         finally:
@@ -367,17 +374,23 @@
                 self.log_writer.write_next()
 
 
-def run_balancer() -> int:
+def run_balancer(early_signals: EarlySignals | None = None) -> int:
     """Runs the balancer configured by BALANCER_CONFIG; returns the exit status."""
-    return run_process(lambda: BalancerProcess(read_config(os.environ.get("BALANCER_CONFIG"))))
+    return run_process(
+        lambda: BalancerProcess(read_config(os.environ.get("BALANCER_CONFIG"))), early_signals
+    )
+
 
+def run_process(
+    create_process: Callable[[], BalancerProcess], early_signals: EarlySignals | None = None
+) -> int:
+    """Creates a process and serves until it is asked to stop; returns the exit status.
 
-def run_process(create_process: Callable[[], BalancerProcess]) -> int:
-    """Creates a process and serves until it is asked to stop; returns the exit status."""
-    # SIGHUP would end the process by default. Until the first configuration is in use, it is
-    # recorded here, so that no reload is lost.
-    early_reloads: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early_reloads.append(number))
+    `early_signals` holds the signals since the start, if they were recorded before this call.
+    """
+    early_signals = early_signals or EarlySignals()
+    if early_signals.time_since_stop() is not None:
+        return 0  # nothing listens yet, so that no client is cut off
     try:
         process = create_process()
     except ConfigError as problem:
@@ -386,5 +399,6 @@
     except OSError as problem:
         print(f"corklift: listen: {problem}", file=sys.stderr)
         return 2
-    process.run(early_reloads)
+    process.run(early_signals)
+    ignore_signals()
     return 0
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -3,20 +3,36 @@
 Most run a balancer in virtual time; those of signals, restarts and successions run real processes.
 """
 
+import json
+import os
+import signal
 import socket
+import subprocess
+import sys
+from pathlib import Path
 
 import pytest
-from harness import BalancerHarness, reserve_port
+from harness import MS, BalancerHarness, reserve_port
+from loop import wait_for
 
 from corklift.net import stream as stream_module
 from corklift.net.limits import Limits
 from corklift.net.stream import Stream
 
-ONCE_ONLY = {
-    "name": "plain",
-    "effect": "side_effect",
-    "soft-limit-ns": 800_000_000,
-    "time-limit-ns": 3_200_000_000,
+PLAIN = {"name": "plain", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}
+ONCE_ONLY = PLAIN | {"effect": "side_effect"}
+# Of a real process; no discovery answers at this address.
+CONFIG = {
+    "listen": "",
+    "discovery": "127.0.0.1:1",
+    "seed": "5",
+    "limits": {"memory_mb": 64, "sockets": 200},
+    "known": {"index": 1, "snapshot": True, "endpoints": []},
+    "settings": {
+        "workloads": [PLAIN | {"time-limit-ns": 900 * MS}],
+        "rules": {},
+        "permissions": {"connect-timeout-ns": 200 * MS, "keepalive-ns": 5000 * MS},
+    },
 }
 
 
@@ -63,3 +79,141 @@
     answers = [line.split()[1:] for line in harness.trace if "c1 <" in line]
     assert [answer[:3] for answer in answers] == [["c1", "<", "BUSY"]]
     assert harness.counters["hand-offs not connected"] and not harness.counters["hand-offs error"]
+
+
+# Real processes
+
+# Starts a balancer that pauses at one point until told to go on: `POINT` names a module about to be
+# imported, or a method of `Relay` that has just returned.
+PAUSING = """
+import os, runpy, sys
+point = os.environ["POINT"]
+def pause():
+    print("paused", flush=True)
+    sys.stdin.readline()
+class Imports:
+    def find_spec(self, name, path=None, target=None):
+        if name == point:
+            sys.meta_path.remove(imports)
+            pause()
+imports = Imports()
+if point.startswith("corklift."):
+    sys.meta_path.insert(0, imports)
+else:
+    from corklift.net.relay import Relay
+    original = getattr(Relay, point)
+    def paused(*arguments):
+        result = original(*arguments)
+        pause()
+        return result
+    setattr(Relay, point, paused)
+sys.argv = ["corklift"]
+runpy.run_module("corklift", run_name="__main__", alter_sys=True)
+"""
+
+
+class RealProcess:
+    """A balancer in a process of its own, whose listening port is reserved before its start."""
+
+    def __init__(self, directory, point="", **changes) -> None:
+        self.reserved = reserve_port()
+        self.address = self.reserved.getsockname()
+        self.path = directory / "config.json"
+        self.config = CONFIG | {"listen": f"127.0.0.1:{self.address[1]}"} | changes
+        self.path.write_text(json.dumps(self.config))
+        environment = os.environ | {"BALANCER_CONFIG": str(self.path), "POINT": point}
+        self.process = subprocess.Popen(
+            [sys.executable, *(("-c", PAUSING) if point else ("-m", "corklift"))],
+            cwd=Path(__file__).parent.parent,
+            env=environment,
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            text=True,
+        )
+        if point:
+            assert self.process.stdout.readline() == "paused\n"
+
+    def __enter__(self):
+        return self
+
+    def __exit__(self, *_) -> None:
+        if self.process.poll() is None:
+            self.process.kill()
+        self.process.communicate()
+        self.reserved.close()
+
+    def signal(self, *numbers) -> None:
+        for number in numbers:
+            self.process.send_signal(number)
+
+    def go_on(self) -> None:
+        self.process.stdin.write("\n")
+        self.process.stdin.flush()
+
+    def connect(self, text=b"") -> socket.socket:
+        """Returns a client that has sent the text, as soon as the balancer listens."""
+
+        def attempt():
+            try:
+                return socket.create_connection(self.address, 10)
+            except ConnectionRefusedError:
+                return None
+
+        client = wait_for(attempt)
+        client.sendall(text)
+        return client
+
+    def end(self, seconds=10):
+        """Waits for the end; returns the exit status and the log."""
+        _, log = self.process.communicate(timeout=seconds)
+        return self.process.returncode, log
+
+
+def read_all(client):
+    """Returns what the client still receives until the connection ends in an orderly way."""
+    with client:
+        content = b""
+        while chunk := client.recv(4096):
+            content += chunk
+        return content
+
+
+LOGIN = b"OPEN %b 7f c=plain,d=400\r\n"
+
+
+@pytest.mark.parametrize("signals", ["SIGTERM", "SIGINT", "SIGHUP SIGTERM", "SIGTERM SIGTERM"])
+def test_stop_during_the_imports_ends_the_process_before_it_listens(tmp_path, signals):
+    with RealProcess(tmp_path, "corklift.net.relay") as balancer:
+        balancer.signal(*(getattr(signal, name) for name in signals.split()))
+        balancer.go_on()
+        code, log = balancer.end()
+        assert (code, log) == (0, "")
+
+
+@pytest.mark.parametrize("signals", ["SIGTERM", "SIGHUP SIGTERM", "SIGTERM SIGHUP SIGTERM"])
+def test_stop_before_the_first_accept_answers_the_queued_clients(tmp_path, signals):
+    # The listening socket is open, and nothing else is assembled yet.
+    with RealProcess(tmp_path, "listen") as balancer:
+        clients = [balancer.connect(LOGIN % (b"c%d" % number)) for number in range(3)]
+        clients.append(balancer.connect(b"nonsense\r\n"))
+        balancer.signal(*(getattr(signal, name) for name in signals.split()))
+        balancer.go_on()
+        answers = [read_all(client) for client in clients]
+        assert answers[3] == b"ERR\r\n" and {answer[:4] for answer in answers[:3]} <= {
+            b"BUSY",
+            b"FAIL",
+        }
+        code, log = balancer.end()
+        assert code == 0 and "told to stop" in log and "exception" not in log
+        assert log.count("configuration read anew") == ("SIGHUP" in signals)
+
+
+def test_early_reload_and_counters_end_no_process(tmp_path):
+    with RealProcess(tmp_path, "corklift.net.relay") as balancer:
+        balancer.signal(signal.SIGHUP, signal.SIGUSR1)
+        balancer.go_on()
+        assert read_all(balancer.connect(LOGIN % b"c1"))
+        balancer.signal(signal.SIGTERM)
+        code, log = balancer.end()
+        assert code == 0 and "configuration read anew" in log and log.count("counters: ") == 2
