--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -62,7 +62,7 @@
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
         self.sent_at = 0
-        self.to_move = self.cancelled = False
+        self.to_move = self.cancelled = self.is_connected = False
 
 
 class Facade:
@@ -96,6 +96,7 @@
             arguments, report_names, measurement, localities, machine_types
         )
         self._logins: dict[int, LoginHandle] = {}
+        self._stop_answering_at: int | None = None  # every login has its answer by then
         self._connection_count = 0  # logins that have become connections
         self._next_login = 1
         # Hook of peer membership, which has to notice that this process was suspended.
@@ -244,6 +245,7 @@
         assert handle.target is not None
         now = self._scheduler.now()
         self._connection_count += 1
+        handle.is_connected = True
         self.login_finished(handle.number, True)
         self._balancer.hand_off_started(
             now,
@@ -264,6 +266,7 @@
             now,
         )
         self._connection_count += 1
+        handle.is_connected = True
         self._balancer.connection_resumed(now, self._to_login(handle, login_request), server)
         return handle
 
@@ -293,6 +296,22 @@
         if self._logins.pop(handle.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
+    def answer_all_until(self, time_limit_at: int) -> None:
+        """Gives every login, present or future, this time limit if its own is later."""
+        self._stop_answering_at = time_limit_at
+        for handle in self._logins.values():
+            handle.time_limit_at = min(handle.time_limit_at, time_limit_at)
+            if handle.decision is None and not handle.is_connected:
+                self._scheduler.wake(handle.task)
+
+    def tasks_of_hand_offs(self) -> list[Task]:
+        """Returns the tasks that wait for a server's answer to a hand-off."""
+        return [
+            handle.task
+            for handle in self._logins.values()
+            if isinstance(handle.decision, HandOffTarget) and not handle.is_connected
+        ]
+
     def report_measurement(self, handle: LoginHandle, value: float) -> None:
         """Reports a measurement that the server sent on this connection.
 
@@ -647,6 +666,8 @@
         )
 
     def _new_login(self, time_limit_at: int) -> LoginHandle:
+        if self._stop_answering_at is not None:
+            time_limit_at = min(time_limit_at, self._stop_answering_at)
         handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
         self._next_login += 1
         self._logins[handle.number] = handle
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -103,6 +103,9 @@
     ready_time: int = 1500 * MS
     # How long clients are still accepted after SIGTERM.
     stop_accepting: int = 500 * MS
+    # How long before the end of the stop time every login gets its answer, and no client is
+    # accepted any more; the rest of the time is for the answers to arrive.
+    stop_margin: int = 100 * MS
     # Interval between reads of the files of other processes of this balancer.
     look_pause: int = 50 * MS
     # Maximum number of operators' connections at a time.
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -46,6 +46,10 @@
     """The client disconnected before it was answered."""
 
 
+class StopTimeOverError(Exception):
+    """The process is about to end, and the login still waits for its server."""
+
+
 class HandOffResult(NamedTuple):
     """The server's stream and its `UP` line; otherwise an outcome and a load report."""
 
@@ -153,6 +157,8 @@
                 self._evict_idle_clients()
                 continue
             for listener in list(self._listeners):
+                if not self._accepting:
+                    break  # since a pause in `_accept_batch`; the listeners may be closed
                 # Clients that connected to an address just before a reload replaced it are still
                 # accepted.
                 replaced = listener is not self._listeners[-1]
@@ -207,6 +213,9 @@
         except (Malformed, LineTooLongError) as problem:
             self._counters[f"bad lines of clients ({str(problem) or 'over-long'})"] += 1
             self._reject(client)
+        except StopTimeOverError:
+            self._counters["logins ended by the stop"] += 1
+            self._reject(client, FAILED)  # no effect if it was answered already
         finally:
             self._pending.pop(client, None)
             self._evicted.discard(client)
@@ -618,16 +627,29 @@
         """Shuts down: accepts logins for a moment, then moves all connections, spread over time.
 
         Returns when no client is left or the stop time is over, which counts from `started_at`.
+        By then every login has been answered, and nobody can connect any more. A reload during
+        the stop does not change its times.
         """
+        limits = self._limits
+        stop_at = started_at + limits.stop_time
+        answer_at = stop_at - limits.stop_margin
+        self._facade.answer_all_until(answer_at)
         if self._socket_shared:
             self.set_accepting(False)  # the next process accepts the queued clients
-        accept_time = 0 if self._socket_shared else self._limits.stop_accepting
+        accept_time = 0 if self._socket_shared else limits.stop_accepting
         self._scheduler.sleep(started_at + accept_time - self._now())
         self._rejecting_logins = not self._socket_shared
-        move_time, max_count = self._limits.time_to_move_connections(accept_time), 0
-        while self._now() < started_at + self._limits.stop_time and (
-            self._active_names or self._pending
-        ):
+        move_time, max_count = limits.time_to_move_connections(accept_time), 0
+        is_ending = False
+        while self._now() < stop_at:
+            if not (self._active_names or self._pending) and self._close_empty_listeners():
+                if not self._pending:
+                    return
+            if self._now() >= answer_at:
+                self._close_empty_listeners()
+                if not is_ending:
+                    self._end_unanswered_logins()
+                is_ending = True
             staying = sorted(
                 number for number, handle in self._connections.items() if not handle.to_move
             )
@@ -647,3 +669,29 @@
                 handle.to_move = True
                 self._scheduler.wake(handle.task)
             self._scheduler.sleep(20 * MS)
+        self._end_unanswered_logins()
+        self._scheduler.sleep(20 * MS)  # for the last answers to be written
+
+    def _end_unanswered_logins(self) -> None:
+        """Answers the logins that still wait for a server, and clients without a whole line."""
+        self._rejecting_logins = True
+        for task in self._facade.tasks_of_hand_offs():
+            self._scheduler.interrupt(task, StopTimeOverError())
+        for client, task in self._pending.items():
+            self._evicted.add(client)
+            self._scheduler.wake(task)
+
+    def _close_empty_listeners(self) -> bool:
+        """Accepts the queued clients; closes the listening sockets once their queues are empty.
+
+        Between the last look at a queue and the close no other task runs. Returns whether they are
+        closed. A socket that other processes share stays open for these.
+        """
+        if self._socket_shared:
+            return True
+        if not all([self._accept_batch(listener) for listener in self._listeners]):
+            return False
+        self.set_accepting(False)
+        while self._listeners:
+            self._listeners.pop().close()
+        return True
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -3,6 +3,7 @@
 Most run a balancer in virtual time; those of signals, restarts and successions run real processes.
 """
 
+import errno
 import json
 import os
 import signal
@@ -81,6 +82,130 @@
     assert harness.counters["hand-offs not connected"] and not harness.counters["hand-offs error"]
 
 
+# The end of a process, in virtual time
+
+
+def hold(harness, stream, line):
+    """Behaviour of a server that answers probes, but never a login."""
+
+
+def answers(harness):
+    """Returns the clients' lines in their order, as client and keyword."""
+    return [
+        f"{line.split()[1]} {line.split()[3]}"
+        for line in harness.trace
+        if line.split()[2] == "<" and line.split()[1].startswith("c")
+    ]
+
+
+def stop(harness):
+    """Stops the balancer and returns after how many ms its process ends."""
+    began = harness.now
+    harness.process.request_stop()
+    harness.process.scheduler.run()
+    return (harness.now - began) / MS
+
+
+def login(name, wait):
+    return f"OPEN {name} 7f c=plain,d={wait}\r\n"
+
+
+@pytest.mark.parametrize(
+    "limit, known",
+    [(3200, True), (900, True), (10_000, True), (3200, False)],
+)
+def test_each_login_has_its_answer_before_the_end_whatever_hangs(limit, known):
+    # SIGKILL comes 0.7 s after the longest time limit, or after 3 s if that is less.
+    harness = BalancerHarness(
+        hold,
+        known=known,
+        workloads=[PLAIN | {"time-limit-ns": limit * MS}],
+        extra_config=None if known else {"discovery": "127.0.0.1:1"},
+    )
+    harness.run(2000)
+    harness.client("c1", login("c1", limit))
+    harness.run(50)
+    harness.client("c2", 450, login("c2", limit))
+    harness.client("c3", 480, login("c3", limit)[:-7], 10, login("c3", limit)[-7:])
+    harness.client("c4", 600, login("c4", limit))
+    assert stop(harness) <= min(limit, 3000) + 600
+    harness.run(50)  # for the clients alone; the process has ended
+    received = answers(harness)
+    assert sorted(answer.split()[0] for answer in received) == ["c1", "c2", "c3", "c4"]
+    assert "c4 BUSY" in received and not harness.counters["exceptions"]
+    assert not harness.process.facade.in_flight
+
+
+def test_half_a_line_is_answered_and_a_silent_client_closed_before_the_end():
+    harness = BalancerHarness("up", workloads=[PLAIN | {"time-limit-ns": 400 * MS}])
+    harness.run(2000)
+    harness.client("c1", "OPEN c1 7f c=pl")
+    harness.client("c2")
+    harness.client("c3", 610, "OPEN c3 7f c=plain,", 20, "d=300\r\n")
+    harness.client("c4", 690, "OPEN c4 7f c=plain,", 20, "d=300\r\n")
+    assert stop(harness) <= 1100
+    harness.run(50)
+    assert answers(harness)[0] == "c3 BUSY" and sorted(answers(harness)[1:]) == ["c1 ERR", "c4 ERR"]
+    assert [line.split()[1:] for line in harness.trace if " c2 " in line] == [["c2", "ended"]]
+
+
+class Door:
+    """A listening socket that can be out of descriptors for a while."""
+
+    def __init__(self, sock) -> None:
+        self._sock, self.is_short = sock, False
+        self.fileno, self.close, self.getsockname = sock.fileno, sock.close, sock.getsockname
+
+    def accept(self):
+        if self.is_short:
+            raise OSError(errno.EMFILE, "no descriptor")
+        return self._sock.accept()
+
+
+class LastMoment:
+    """A component of the process; runs a function after the last client has gone."""
+
+    def __init__(self, run) -> None:
+        self.on_clients_drained = run
+
+    def on_stop_requested(self) -> None:
+        pass
+
+
+def test_clients_queued_at_the_last_look_are_answered():
+    harness = BalancerHarness("up")
+    harness.run(1500)
+    door = harness.process.relay._listeners[0] = Door(harness.process.relay._listeners[0])
+    harness.spawn(lambda: (harness.sleep(400 * MS), setattr(door, "is_short", True)))
+
+    def arrive():
+        harness.sleep(450 * MS)
+        for number in range(3):
+            harness.client(f"c{number}", login(f"c{number}", 2000))
+
+    harness.spawn(arrive)
+    harness.client("warm", 10, None)  # the acceptor takes the new door with its next client
+    harness.spawn(lambda: (harness.sleep(900 * MS), setattr(door, "is_short", False)))
+    stop(harness)
+    harness.run(50)
+    assert answers(harness) == ["c0 BUSY", "c1 BUSY", "c2 BUSY"]
+
+
+def test_nobody_is_queued_once_the_last_client_has_gone():
+    # A client that the system accepts for a process that is about to exit would be reset.
+    harness = BalancerHarness("up")
+    harness.run(1500)
+    address, codes = ("127.0.0.1", harness.process.port), []
+
+    def connect():
+        with socket.socket() as sock:
+            codes.append(sock.connect_ex(address))
+
+    harness.process._components.append(LastMoment(connect))
+    stop(harness)
+    assert codes == [errno.ECONNREFUSED]
+
+
 # Real processes
 
 # Starts a balancer that pauses at one point until told to go on: `POINT` names a module about to be
