--- a/corklift/service.py
+++ b/corklift/service.py
@@ -9,6 +9,7 @@
 
 import gc
 import os
+import select
 import signal
 import socket
 import sys
@@ -31,6 +32,9 @@
 from corklift.net.stream import Stream
 from corklift.settings import find_missing_key
 
+# How long the end of the process waits for standard error to accept a line.
+LAST_LINE_MS = 50
+
 
 def open_inherited_socket(text: str) -> socket.socket:
     """Opens the listening socket whose descriptor this process inherited at its start."""
@@ -312,7 +316,17 @@
         gc.set_threshold(50_000, 20, 20)
         self.scheduler.run()
         self._log_counters()
-        self.log_writer.flush()
+        self._flush_log()
+
+    def _flush_log(self) -> None:
+        """Writes the last log lines, as far as standard error takes them at once.
+
+        A reader that has stopped must not keep the process from ending.
+        """
+        poll = select.poll()
+        poll.register(sys.stderr.fileno(), select.POLLOUT)
+        while self.log_writer.has_pending_lines and poll.poll(LAST_LINE_MS):
+            self.log_writer.write_next()
 
     def _log_counters(self) -> None:
         self.counters["sockets open"] = Stream.open_count
