--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -4,18 +4,14 @@
 """
 
 import errno
-import json
 import os
 import signal
 import socket
-import subprocess
-import sys
 import time
-from pathlib import Path
 
 import pytest
 from harness import MS, BalancerHarness, reserve_port
-from loop import wait_for
+from real_process import CONFIG, LOGIN, RealProcess, read_all
 
 from corklift.net import stream as stream_module
 from corklift.net.limits import Limits
@@ -30,19 +26,6 @@
     "connect-timeout-ns": 200 * MS,
     "keepalive-ns": 5000 * MS,
 }
-# Of a real process; no discovery answers at this address.
-CONFIG = {
-    "listen": "",
-    "discovery": "127.0.0.1:1",
-    "seed": "5",
-    "limits": {"memory_mb": 64, "sockets": 200},
-    "known": {"index": 1, "snapshot": True, "endpoints": []},
-    "settings": {
-        "workloads": [PLAIN | {"time-limit-ns": 900 * MS}],
-        "rules": {},
-        "permissions": {"connect-timeout-ns": 200 * MS, "keepalive-ns": 5000 * MS},
-    },
-}
 
 
 def connect_from(monkeypatch, port):
@@ -309,104 +292,6 @@
 
 # Real processes
 
-# Starts a balancer that pauses at one point until told to go on: `POINT` names a module about to be
-# imported, or a method of `Relay` that has just returned.
-PAUSING = """
-import os, runpy, sys
-point = os.environ["POINT"]
-def pause():
-    print("paused", flush=True)
-    sys.stdin.readline()
-class Imports:
-    def find_spec(self, name, path=None, target=None):
-        if name == point:
-            sys.meta_path.remove(imports)
-            pause()
-imports = Imports()
-if point.startswith("corklift."):
-    sys.meta_path.insert(0, imports)
-else:
-    from corklift.net.relay import Relay
-    original = getattr(Relay, point)
-    def paused(*arguments):
-        result = original(*arguments)
-        pause()
-        return result
-    setattr(Relay, point, paused)
-sys.argv = ["corklift"]
-runpy.run_module("corklift", run_name="__main__", alter_sys=True)
-"""
-
-
-class RealProcess:
-    """A balancer in a process of its own, whose listening port is reserved before its start."""
-
-    def __init__(self, directory, point="", stderr=subprocess.PIPE, **changes) -> None:
-        self.reserved = reserve_port()
-        self.address = self.reserved.getsockname()
-        self.path = directory / "config.json"
-        self.config = CONFIG | {"listen": f"127.0.0.1:{self.address[1]}"} | changes
-        self.path.write_text(json.dumps(self.config))
-        environment = os.environ | {"BALANCER_CONFIG": str(self.path), "POINT": point}
-        self.process = subprocess.Popen(
-            [sys.executable, *(("-c", PAUSING) if point else ("-m", "corklift"))],
-            cwd=Path(__file__).parent.parent,
-            env=environment,
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            stderr=stderr,
-            text=True,
-        )
-        if point:
-            assert self.process.stdout.readline() == "paused\n"
-
-    def __enter__(self):
-        return self
-
-    def __exit__(self, *_) -> None:
-        if self.process.poll() is None:
-            self.process.kill()
-        self.process.communicate()
-        self.reserved.close()
-
-    def signal(self, *numbers) -> None:
-        for number in numbers:
-            self.process.send_signal(number)
-
-    def go_on(self) -> None:
-        self.process.stdin.write("\n")
-        self.process.stdin.flush()
-
-    def connect(self, text=b"") -> socket.socket:
-        """Returns a client that has sent the text, as soon as the balancer listens."""
-
-        def attempt():
-            try:
-                return socket.create_connection(self.address, 10)
-            except ConnectionRefusedError:
-                return None
-
-        client = wait_for(attempt)
-        client.sendall(text)
-        return client
-
-    def end(self, seconds=10):
-        """Waits for the end; returns the exit status and the log."""
-        _, log = self.process.communicate(timeout=seconds)
-        return self.process.returncode, log
-
-
-def read_all(client):
-    """Returns what the client still receives until the connection ends in an orderly way."""
-    with client:
-        content = b""
-        while chunk := client.recv(4096):
-            content += chunk
-        return content
-
-
-LOGIN = b"OPEN %b 7f c=plain,d=400\r\n"
-
 
 @pytest.mark.parametrize("signals", ["SIGTERM", "SIGINT", "SIGHUP SIGTERM", "SIGTERM SIGTERM"])
 def test_stop_during_the_imports_ends_the_process_before_it_listens(tmp_path, signals):
