--- a/tests/real_process.py
+++ b/tests/real_process.py
@@ -33,9 +33,9 @@
 LOGIN = b"OPEN %b 7f c=plain,d=400\r\n"
 
 # Starts a balancer that pauses at one point until told to go on: `POINT` names a module about to be
-# imported, or a method of `Relay` that has just returned.
+# imported, or a method, as `module:Class.method`, that has just returned.
 PAUSING = """
-import os, runpy, sys
+import importlib, os, runpy, sys
 point = os.environ["POINT"]
 def pause():
     print("paused", flush=True)
@@ -46,16 +46,18 @@
             sys.meta_path.remove(imports)
             pause()
 imports = Imports()
-if point.startswith("corklift."):
+module, _, name = point.partition(":")
+if not name:
     sys.meta_path.insert(0, imports)
 else:
-    from corklift.net.relay import Relay
-    original = getattr(Relay, point)
+    name, _, method = name.partition(".")
+    owner = getattr(importlib.import_module(module), name)
+    original = getattr(owner, method)
     def paused(*arguments):
         result = original(*arguments)
         pause()
         return result
-    setattr(Relay, point, paused)
+    setattr(owner, method, paused)
 sys.argv = ["corklift"]
 runpy.run_module("corklift", run_name="__main__", alter_sys=True)
 """
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -305,7 +305,7 @@
 @pytest.mark.parametrize("signals", ["SIGTERM", "SIGHUP SIGTERM", "SIGTERM SIGHUP SIGTERM"])
 def test_stop_before_the_first_accept_answers_the_queued_clients(tmp_path, signals):
     # The listening socket is open, and nothing else is assembled yet.
-    with RealProcess(tmp_path, "listen") as balancer:
+    with RealProcess(tmp_path, "corklift.net.relay:Relay.listen") as balancer:
         clients = [balancer.connect(LOGIN % (b"c%d" % number)) for number in range(3)]
         clients.append(balancer.connect(b"nonsense\r\n"))
         balancer.signal(*(getattr(signal, name) for name in signals.split()))
--- /dev/null
+++ b/tests/test_crossings_succession.py
@@ -0,0 +1,191 @@
+"""Tests that force crossings of two processes of one balancer with their clients.
+
+Real processes share one listening socket, which the test holds as a supervisor does. Each client is
+answered by whichever process has accepted it, and a client that nobody has accepted waits in the
+queue for the next process.
+"""
+
+import contextlib
+import json
+import signal
+import socket
+import threading
+import time
+
+import pytest
+from real_process import CONFIG, LOGIN, RealProcess, read_all
+
+# A process has opened the shared socket and written its first state, and nothing of it runs yet.
+START = "corklift.net.handover_driver:HandoverDriver.join"
+
+
+class Discovery(threading.Thread):
+    """Answers the first call of each balancer with a list, and never a watch.
+
+    The only server refuses connections, so that a login is refused as soon as that is known.
+    """
+
+    def __init__(self) -> None:
+        super().__init__(daemon=True)
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=16)
+        self.address = f"127.0.0.1:{self._listener.getsockname()[1]}"
+        self._open: list[socket.socket] = []
+        self.start()
+
+    def run(self) -> None:
+        entry = {"name": "s1", "address": "127.0.0.1:1", "status": "active"}
+        body = json.dumps({"index": 1, "snapshot": True, "endpoints": [entry]}).encode()
+        with contextlib.suppress(OSError):
+            while True:
+                sock, _ = self._listener.accept()
+                self._open.append(sock)
+                if b"wait" not in sock.recv(4096):
+                    sock.sendall(
+                        b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+                    )
+
+    def close(self) -> None:
+        for sock in (self._listener, *self._open):
+            sock.close()
+
+
+class Succession:
+    """Processes of one balancer, and the socket that they share."""
+
+    def __init__(self, directory) -> None:
+        self._directory, self._discovery = directory, Discovery()
+        self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
+        self.processes: list[RealProcess] = []
+
+    def __enter__(self):
+        return self
+
+    def __exit__(self, *error) -> None:
+        for process in self.processes:
+            process.__exit__(*error)
+        self.listener.close()
+        self._discovery.close()
+
+    def start(self, **options) -> RealProcess:
+        """Starts the next process."""
+        settings = CONFIG["settings"]
+        settings = settings | {"permissions": settings["permissions"] | {"probes": True}}
+        process = RealProcess(
+            self._directory,
+            inherited=self.listener,
+            discovery=self._discovery.address,
+            settings=settings,
+            **options,
+        )
+        self.processes.append(process)
+        return process
+
+    def start_serving(self, before=lambda: None) -> RealProcess:
+        """Starts the next process; returns it once it accepts clients, and the others don't.
+
+        `before` is called when most of the start is over: clients that have sent no login are
+        closed after 2 s.
+        """
+        process = self.start(point=START)
+        before()
+        process.go_on()
+        process.wait_for_log(f"process {len(self.processes)} of this balancer is serving")
+        return process
+
+    def connect(self, text=b"") -> socket.socket:
+        """Returns a client that has sent the text; it may be in the queue only."""
+        client = socket.create_connection(self.listener.getsockname(), 10)
+        client.sendall(text)
+        return client
+
+    def accepted(self) -> socket.socket:
+        """Returns a client that a process has accepted and that has sent no login yet."""
+        client = self.connect(b"PING\r\n")
+        assert client.recv(100) == b"PONG\r\n"
+        return client
+
+
+def log_in(client, name):
+    """Sends the login and returns the client's answer."""
+    client.sendall(LOGIN % name)
+    return read_all(client)
+
+
+def ends_well(process):
+    process.signal(signal.SIGTERM)
+    code, log = process.end()
+    return code == 0 and "exception" not in log
+
+
+def test_clients_between_accept_and_first_line_are_answered_after_both_have_yielded(tmp_path):
+    with Succession(tmp_path) as balancer:
+        first = balancer.start_serving()
+        at_first, at_second = [], []
+        second = balancer.start_serving(lambda: at_first.append(balancer.accepted()))
+        assert log_in(at_first[0], b"c1") == b"BUSY\r\n"
+        third = balancer.start_serving(
+            lambda: at_second.extend([balancer.accepted(), balancer.accepted()])
+        )
+        assert log_in(at_second[0], b"c2") == b"BUSY\r\n"
+        # Half a line now, the rest after the process was asked to stop.
+        at_second[1].sendall(b"OPEN c3 7f c=pl")
+        for process in (first, second):
+            process.signal(signal.SIGTERM)
+            process.wait_for_log("told to stop")
+        at_second[1].sendall(b"ain,d=400\r\n")
+        assert read_all(at_second[1]) == b"BUSY\r\n"
+        assert first.end()[0] == second.end()[0] == 0
+        assert log_in(balancer.accepted(), b"c4") == b"BUSY\r\n" and ends_well(third)
+        assert not any("exception" in process.log for process in balancer.processes)
+
+
+def test_earlier_process_takes_the_queue_of_a_later_one_that_dies(tmp_path):
+    with Succession(tmp_path) as balancer:
+        first = balancer.start_serving()
+        held = []
+        second = balancer.start_serving(lambda: held.append(balancer.accepted()))
+        lost = balancer.accepted()
+        second.signal(signal.SIGSTOP)
+        queued = balancer.connect(LOGIN % b"c1")  # the second would accept it, but is held up
+        second.process.kill()
+        second.process.wait()
+        assert read_all(queued) == b"BUSY\r\n"
+        first.wait_for_log("process 1 of this balancer is serving", 2)
+        assert log_in(held[0], b"c2") == b"BUSY\r\n"
+        assert log_in(balancer.accepted(), b"c3") == b"BUSY\r\n"
+        lost.close()
+        assert ends_well(first)
+
+
+def test_later_process_that_dies_before_it_serves_leaves_the_earlier_one_serving(tmp_path):
+    with Succession(tmp_path) as balancer:
+        first = balancer.start_serving()
+        second = balancer.start(point=START)
+        held = balancer.accepted()
+        time.sleep(0.2)  # some looks of the first process at the state of the second
+        second.process.kill()
+        second.process.wait()
+        assert "yielded" not in first.log
+        assert log_in(held, b"c1") == b"BUSY\r\n"
+        assert log_in(balancer.accepted(), b"c2") == b"BUSY\r\n" and ends_well(first)
+
+
+@pytest.mark.parametrize("both", [False, True])
+def test_queue_waits_for_the_next_process_when_the_serving_one_leaves(tmp_path, both):
+    # The next process is still starting, and in one case is asked to stop as well.
+    with Succession(tmp_path) as balancer:
+        first = balancer.start_serving()
+        held = balancer.accepted()
+        second = balancer.start(point=START)
+        first.signal(signal.SIGTERM)
+        first.wait_for_log("told to stop")
+        queued = [balancer.connect(LOGIN % b"q%d" % number) for number in range(3)]
+        assert log_in(held, b"c1") == b"BUSY\r\n" and first.end()[0] == 0
+        if both:
+            second.signal(signal.SIGTERM)
+        second.go_on()
+        if both:
+            assert second.end()[0] == 0 and "serving" not in second.log
+            second = balancer.start_serving()
+        assert [read_all(client) for client in queued] == [b"BUSY\r\n"] * 3
+        assert ends_well(second)
