--- a/corklift/configuration.py
+++ b/corklift/configuration.py
@@ -11,9 +11,15 @@
 from typing import Any, NamedTuple
 
 from corklift.interface import MeasurementKind
-from corklift.net.limits import ConfigError, Limits, raise_descriptor_limit, require_key
+from corklift.net.limits import (
+    MAX_DESCRIPTORS,
+    ConfigError,
+    Limits,
+    raise_descriptor_limit,
+    require_key,
+)
 from corklift.net.parsers import Listing, Malformed, parse_listing
-from corklift.settings import SettingsError, pushed_measurement, report_names, translate
+from corklift.settings import MAX_TIME, SettingsError, pushed_measurement, report_names, translate
 
 
 def parse_address(config: Any, key: str, override: str | None = None) -> tuple[str, int]:
@@ -31,12 +37,20 @@
 
 
 def _parse_names(settings: dict[str, Any], key: str) -> list[str]:
-    names = settings.get(key) or []
+    names = settings.get(key, [])
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ConfigError(f"config: settings.{key} holds {names!r:.60}")
     return names
 
 
+def _parse_time(permissions: Any, key: str, minimum: int = 0) -> int:
+    where = "settings.permissions."
+    value: int = require_key(permissions, key, int, where)
+    if not minimum <= value <= MAX_TIME:
+        raise ConfigError(f"config: {where}{key} holds {value!r:.60}")
+    return value
+
+
 def read_config(path: str | None) -> Any:
     """Reads the JSON file that configures `corklift run`."""
     if not path:
@@ -97,14 +111,14 @@
         except Malformed as problem:
             raise ConfigError(f"config: known: {problem}") from None
         permissions = require_key(settings, "permissions", dict, "settings.")
-        connect_timeout = require_key(
-            permissions, "connect-timeout-ns", int, "settings.permissions."
-        )
+        connect_timeout = _parse_time(permissions, "connect-timeout-ns", minimum=1)
+        probe_keepalive = _parse_time(permissions, "keepalive-ns")
         max_time_limit = max(workload.time_limit for workload in arguments["workloads"])
         limits_table = require_key(config, "limits", dict)
-        limits_table = limits_table | {
-            "sockets": raise_descriptor_limit(require_key(limits_table, "sockets", int, "limits."))
-        }
+        sockets = require_key(limits_table, "sockets", int, "limits.")
+        if sockets > MAX_DESCRIPTORS:
+            raise ConfigError(f"config: limits.sockets holds {sockets!r:.60}")
+        limits_table = limits_table | {"sockets": raise_descriptor_limit(sockets)}
         try:
             limits = Limits.from_deployment(
                 limits_table,
@@ -128,7 +142,7 @@
             measurement,
             _parse_names(settings, "localities"),
             _parse_names(settings, "skus"),
-            require_key(permissions, "keepalive-ns", int, "settings.permissions."),
+            probe_keepalive,
             admin,
             config,
         )
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -19,6 +19,10 @@
 SECOND = 1_000 * MS
 # Standard streams, listener, signal socket pair, and some that the interpreter opens.
 RESERVED_DESCRIPTORS = 8
+# The system counts descriptors in 31 bits ...
+MAX_DESCRIPTORS = (1 << 31) - 1
+# ... and addresses in 64, of which a process has 47.
+MAX_MEMORY_MB = 1 << 27
 
 
 class ConfigError(Exception):
@@ -159,6 +163,8 @@
         """
         sockets = require_key(limits, "sockets", int, "limits.")
         memory = require_key(limits, "memory_mb", (int, float), "limits.")
+        if not 0 < memory <= MAX_MEMORY_MB:
+            raise ConfigError(f"config: limits.memory_mb holds {memory!r:.60}")
         probes = max(8, min(2 * servers + 8, sockets // 8))
         waiting = max(8, sockets // 8)
         calls = max(4, min(32, sockets // 16)) if operated else 0
