--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -92,6 +92,7 @@
         self._workloads: dict[str, int] = {}  # index by name of the workloads in the settings
         # All workloads since the start: connections may belong to one that a reload has removed.
         self._all_workloads: list[Workload] = []
+        self._all_indices: dict[str, int] = {}  # of these, by name
         arguments = self._prepare_arguments(
             arguments, report_names, measurement, localities, machine_types
         )
@@ -171,10 +172,10 @@
         ):
             for name in names:
                 known_indices.setdefault(name, len(known_indices))
-        indices = {workload.name: index for index, workload in enumerate(self._all_workloads)}
         self._workloads = {}
         for workload in arguments["workloads"]:
-            index = self._workloads[workload.name] = indices.setdefault(workload.name, len(indices))
+            index = self._all_indices.setdefault(workload.name, len(self._all_indices))
+            self._workloads[workload.name] = index
             self._all_workloads[index : index + 1] = [workload]
         zone = arguments["zone"]
         self._arguments = arguments | {
@@ -676,7 +677,7 @@
     def _to_login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
             handle.number,
-            self._workloads[login_request.workload],
+            self._all_indices[login_request.workload],  # a reload may have removed it meanwhile
             0,
             stable_id(login_request.subject),
             handle.time_limit_at,
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -20,12 +20,6 @@
 
 PLAIN = {"name": "plain", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}
 ONCE_ONLY = PLAIN | {"effect": "side_effect"}
-PERMISSIONS = {
-    "probes": True,
-    "max-hand-offs": 3,
-    "connect-timeout-ns": 200 * MS,
-    "keepalive-ns": 5000 * MS,
-}
 
 
 def connect_from(monkeypatch, port):
@@ -290,6 +284,58 @@
     assert codes == [errno.ECONNREFUSED]
 
 
+# A reload between two tries, in virtual time
+
+
+@pytest.mark.parametrize("change", ["class", "deadlines", "limits"])
+def test_login_is_answered_by_what_it_came_under(tmp_path, change):
+    # The first server holds the login until the reload is over, and then refuses it.
+    harness = BalancerHarness("up", "up", workloads=[PLAIN])
+    harness.run(2000)
+    streams = []
+    for name in harness.behaviour:
+        harness.behaviour[name] = lambda harness, stream, line: streams.append(stream)
+    harness.client("c1", login("c1", 3000))
+    while not streams:
+        harness.run(10)
+    settings = harness.config["settings"]
+    changes = {
+        "class": {"settings": settings | {"workloads": [PLAIN | {"name": "other"}]}},
+        "deadlines": {
+            "settings": settings
+            | {"workloads": [PLAIN | {"soft-limit-ns": 50 * MS, "time-limit-ns": 100 * MS}]}
+        },
+        "limits": {"limits": harness.config["limits"] | {"sockets": 60}},
+    }
+    harness.reload(tmp_path / "config.json", **changes[change])
+    harness.run(150)
+    for name in harness.behaviour:
+        harness.behaviour[name] = "up"
+    streams[0].write(b"BUSY\r\n")
+    harness.run(100)
+    assert answers(harness) == ["c1 UP"] and not harness.counters["exceptions"]
+    assert harness.counters.answers == {("served", "plain"): 1}
+    assert harness.counters["configurations taken"] == 1
+
+
+def test_connection_is_restored_although_its_class_is_gone_by_then(tmp_path):
+    harness = BalancerHarness("up", workloads=[PLAIN])
+    harness.run(2000)
+    streams = []
+    harness.behaviour["s1"] = lambda harness, stream, line: streams.append(stream)
+    harness.client("c1", "OPEN 1 7f c=plain,at=s1\r\n")
+    while not streams:
+        harness.run(10)
+    settings = harness.config["settings"] | {"workloads": [PLAIN | {"name": "other"}]}
+    harness.reload(tmp_path / "config.json", settings=settings)
+    harness.run(50)
+    streams[0].write(b"UP s1\r\n")
+    harness.run(50)
+    assert answers(harness) == ["c1 UP"] and not harness.counters["exceptions"]
+    assert stop(harness) <= 3600
+    assert answers(harness) == ["c1 UP", "c1 MOVE"]
+
+
 # Real processes
 
 
