--- a/corklift/interface.py
+++ b/corklift/interface.py
@@ -1,4 +1,4 @@
-"""The interface between the decisions (`corklift/policy.py`) and the program around them.
+"""The interface between the decisions (`corklift.policy`) and the program around them.
 
 `Host` is what the decisions may ask for; the other types are the values that both sides exchange.
 Times are whole nanoseconds of the host's clock. Logins, servers, groups and subjects are opaque
--- a/corklift/records.py
+++ b/corklift/records.py
@@ -1,6 +1,6 @@
 """Plain records of what the decisions know: measurements, logins and servers.
 
-Nothing is decided here; `corklift/policy.py` reads and updates these records. Times are whole
+Nothing is decided here; `corklift.policy` reads and updates these records. Times are whole
 nanoseconds of the host's clock.
 """
 
--- a/corklift/service.py
+++ b/corklift/service.py
@@ -2,7 +2,7 @@
 
 `corklift run` uses this module alone; `corklift serve` adds components for peers and recovery.
 Without these, the balancer works alone and by the settings of its file. The decisions are made
-elsewhere (`corklift/policy.py`).
+elsewhere (`corklift.policy`).
 """
 
 from __future__ import annotations
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions in `corklift/policy.py`, event by event in virtual time.
+"""Tests of the decisions in `corklift.policy`, event by event in virtual time.
 
 Some compare the trace of actions with a reviewed one in `tests/traces`.
 """
