--- a/corklift/policy/balancer.py
+++ b/corklift/policy/balancer.py
@@ -29,6 +29,7 @@
 )
 from corklift.policy.draw import WeightedDraw
 from corklift.policy.failures import FailureTracker, RetryPolicy
+from corklift.policy.groups import GroupHomes
 from corklift.policy.load_reports import LoadReports
 from corklift.policy.moves import ConnectionMoves
 from corklift.policy.probe_budget import ProbeBudget
@@ -75,12 +76,13 @@
         self._failures = FailureTracker(host, rng, self._load_reports)
         self._probe_budget = ProbeBudget(now)
         self._cold_budget = ColdBudget(self._load_reports, self._probe_budget)
+        self._groups = GroupHomes(self._registry, self._load_reports)
         self._draw = WeightedDraw(
-            rng, self._registry, self._load_reports, self._failures, self._cold_budget
+            rng, self._registry, self._load_reports, self._failures, self._cold_budget, self._groups
         )
         self._retry_policy = RetryPolicy(self._registry)
         self._moves = ConnectionMoves(
-            host, rng, self._load_reports, self._draw.group_load, self._after
+            host, rng, self._load_reports, self._groups.group_load, self._after
         )
         self._probe_scheduler = ProbeScheduler(
             host,
@@ -154,7 +156,7 @@
         state = LoginState(login, self._relative_load(login.cost), self._workloads[login.workload])
         self._active_logins[login.login] = state
         self._probe_budget.record_login(now, login.came_back)
-        self._draw.record_group_login(login.group)
+        self._groups.record_group_login(login.group)
         # Each recently broken or moved connection accounts for one returning client. A further one
         # comes from another balancer. Its load then counts once, as no other balancer places it; in
         # a full fleet all load is counted as usual.
@@ -170,7 +172,7 @@
         """A connection that was open before this process started is open here now."""
         state = LoginState(login, self._relative_load(login.cost), self._workloads[login.workload])
         self._probe_budget.record_existing_connection(now)
-        self._draw.record_group_login(login.group)
+        self._groups.record_group_login(login.group)
         attempt = Attempt(server_id, now)
         state.attempts.append(attempt)
         self._active_logins[login.login] = state
@@ -383,7 +385,7 @@
                 ]
                 for s in self._registry.servers.values()
             ],
-            "homes": list(self._draw.last_homes.items()),
+            "homes": list(self._groups.last_homes.items()),
             "rate": self._probe_budget.export_rate(now),
             "open": [
                 [s.id, state.login.group]
@@ -417,10 +419,10 @@
                     int(excluded_until),
                 )
         for group, home in learned["homes"]:
-            self._draw.last_homes.setdefault(int(group), int(home))
+            self._groups.last_homes.setdefault(int(group), int(home))
         for server_id, group in learned["open"]:
             if server_id in self._registry.servers:
-                self._draw.reserve(self._registry.servers[server_id], int(group))
+                self._groups.reserve(self._registry.servers[server_id], int(group))
         self._probe_budget.import_rate(now, *learned["rate"])
         self._has_predecessor = True
 
@@ -436,7 +438,7 @@
 
     def other_processes_ended(self) -> None:
         """No other process of this balancer is running any longer."""
-        self._draw.release_reservations()
+        self._groups.release_reservations()
         self._has_predecessor = False
 
     def set_standby(self, standby: bool) -> None:
@@ -556,7 +558,7 @@
     def _connection_opened(self, state: LoginState, server_id: int) -> None:
         state.is_open = True
         server = self._registry.servers.get(server_id)
-        self._draw.count_connection(state, server, 1)
+        self._groups.count_connection(state, server, 1)
         if server is not None:
             server.connections[state.login.login] = state
             if self._remembers_subjects and state.login.subject:
@@ -582,7 +584,7 @@
             server_id = state.attempts[-1].server
             if self._cold_budget.standby:
                 self._ended_load[server_id] = self._ended_load.get(server_id, 0.0) + state.load
-            self._draw.count_connection(state, self._registry.servers.get(server_id), -1)
+            self._groups.count_connection(state, self._registry.servers.get(server_id), -1)
         for attempt in state.attempts[-1:]:
             server = self._registry.servers.get(attempt.server)
             if server is not None:
--- a/corklift/policy/draw.py
+++ b/corklift/policy/draw.py
@@ -1,4 +1,4 @@
-"""The draw of a login's server: candidates, weights and the home servers of groups."""
+"""The draw of a login's server: candidates and weights."""
 
 from __future__ import annotations
 
@@ -11,13 +11,11 @@
 from corklift.policy.cold_budget import ColdBudget
 from corklift.policy.constants import FULL_UTILISATION, HEADROOM_UTILISATION, PROBE_PERIOD
 from corklift.policy.failures import FailureTracker
+from corklift.policy.groups import GroupHomes, first_with_capacity, group_rank
 from corklift.policy.load_reports import LoadReports
 from corklift.policy.registry import ServerRegistry
 from corklift.records import LoginState, Server
 
-# The home servers of a group with a share s of the load have this multiple of s of the fleet's
-# capacity.
-GROUP_CAPACITY_FACTOR = 1.15
 # A zone crossing that costs more than this fraction of a login's value is avoided while the
 # balancer's own zone has headroom.
 EXPENSIVE_ZONE_CROSSING = 0.01
@@ -35,15 +33,12 @@
 # With up to this many cold servers whose admission is random, all combinations of admitted servers
 # are enumerated; with more, this many random combinations are sampled.
 MAX_ENUMERATED_SERVERS, SAMPLED_COMBINATIONS = 6, 2000
-# The assumed number of groups; the estimate of a group's share starts from 1/EXPECTED_GROUPS.
-EXPECTED_GROUPS = 40
 
 
 class WeightedDraw:
     """Selects the candidates for a login and draws one of them by weight.
 
-    Each group has home servers, which its logins go to first. A group has only as many homes as its
-    load needs, because each server that holds a group pays a fixed cost for it.
+    Each group has home servers (`GroupHomes`), which its logins go to first.
     """
 
     def __init__(
@@ -53,6 +48,7 @@
         load_reports: LoadReports,
         health: FailureTracker,
         cold_budget: ColdBudget,
+        groups: GroupHomes,
     ) -> None:
         self._rng, self._registry, self._load_reports, self._failures, self._cold_budget = (
             rng,
@@ -61,22 +57,13 @@
             health,
             cold_budget,
         )
-        # This balancer's open connections and reservations, of each group and in total.
-        self.group_load: dict[int, int] = {}
-        self.total_load = 0
-        # The server of each group's last new connection.
-        self.last_homes: dict[int, int] = {}
+        self._groups = groups
         # The ready servers in each group's order, and the registry's version they were sorted for.
         # The key is (group, whether the servers of this balancer's zone come first).
         self._server_orders: dict[tuple[int, bool], list[Server]] = {}
         self._orders_version = 0
         # Until this time the fleet counts as full, and a login queries no servers beyond its homes.
         self._fleet_full_until = 0
-        # Logins of each group and in total, halved from time to time.
-        self._group_logins: dict[int, float] = {}
-        self._group_logins_total = 0.0
-        # The server and group of each connection that `reserve` counted.
-        self._reservations: list[tuple[Server, int]] = []
 
     def configure(
         self,
@@ -272,7 +259,7 @@
         order = self._server_orders.get((group, own_zone_first)) if group else state.server_order
         if not order:
             order = (
-                sorted(self._registry.ready, key=lambda s: _rank(group, s))
+                sorted(self._registry.ready, key=lambda s: group_rank(group, s))
                 if group
                 else self._rng.sample(self._registry.ready, len(self._registry.ready))
             )
@@ -307,30 +294,6 @@
                     break
         return candidates or fallback
 
-    def record_group_login(self, group: int) -> None:
-        """Counts a login for the estimate of its group's share; old logins decay."""
-        self._group_logins[group] = self._group_logins.get(group, 0.0) + 1.0
-        self._group_logins_total += 1.0
-        if self._group_logins_total > 10 * EXPECTED_GROUPS:
-            self._group_logins = {
-                other: logins / 2 for other, logins in self._group_logins.items() if logins > 0.5
-            }
-            self._group_logins_total = sum(self._group_logins.values())
-
-    def _estimated_home_count(self, group: int) -> int:
-        """How many servers the group's load fills, estimated from this balancer's logins.
-
-        One of hundreds of balancers sees few logins, so the observed share is smoothed towards that
-        of one of EXPECTED_GROUPS equal groups.
-        """
-        share = (self._group_logins.get(group, 0.0) + 1.0) / (
-            self._group_logins_total + EXPECTED_GROUPS
-        )
-        used_fraction = min(
-            1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION)
-        )
-        return 1 + int(share * used_fraction * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
-
     def query_or_pick(
         self, now: int, state: LoginState, allowed: Callable[[Server], bool]
     ) -> tuple[list[Server], Server | None]:
@@ -343,7 +306,7 @@
         """
         self._load_reports.expire_placements(now)
         group = state.login.group if self._grouped else 0
-        home_count = self._estimated_home_count(group) if group else FIRST_QUERY_SIZE
+        home_count = self._groups.estimated_home_count(group) if group else FIRST_QUERY_SIZE
         max_round = 1 if now < self._fleet_full_until else LAST_QUERY_ROUND
         while True:
             # Round 0 queries a few of the homes, round 1 all of them, later rounds further servers.
@@ -435,40 +398,20 @@
         group's own cost too. Guards against groups that spread over a full fleet until every server
         pays the cost of every group.
         """
-        homes = self._home_servers(group)
+        homes = self._groups.home_servers(group)
         selected = [s for s in with_headroom if s in homes]
         if not selected:
             others = self._with_room_for_group(
                 group, [s for s in with_headroom if s not in homes], HEADROOM_UTILISATION
             )
-            others.sort(key=lambda s: (-s.groups.get(group, 0), _rank(group, s)))
-            selected = _first_with_capacity(others, sum(s.relative_capacity for s in homes))
+            others.sort(key=lambda s: (-s.groups.get(group, 0), group_rank(group, s)))
+            selected = first_with_capacity(others, sum(s.relative_capacity for s in homes))
         return (
             selected
             or [s for s in fresh if s in homes]
             or self._with_room_for_group(group, fresh, FULL_UTILISATION)
         )
 
-    def _home_servers(self, group: int) -> list[Server]:
-        """As many servers as the group's load needs, with or without headroom.
-
-        Those that hold most of the group come first, then the server of its last new connection.
-        """
-        share = self.group_load.get(group, 0) / self.total_load if self.total_load else 0.0
-        required = (
-            share
-            * GROUP_CAPACITY_FACTOR
-            * sum(server.relative_capacity for server in self._registry.ready)
-        )
-        last_home = self.last_homes.get(group)
-        return _first_with_capacity(
-            sorted(
-                self._registry.ready,
-                key=lambda s: (-s.groups.get(group, 0), s.id != last_home, _rank(group, s)),
-            ),
-            required,
-        )
-
     def _with_room_for_group(self, group: int, servers: list[Server], limit: float) -> list[Server]:
         """Servers below the limit, with a margin for the group's cost if they do not hold it."""
         return [
@@ -477,51 +420,3 @@
             if (self._load_reports.projected_utilisation(s) or 0.0)
             < limit - (0.0 if group in s.groups else GROUP_COST_MARGIN)
         ]
-
-    def count_connection(self, state: LoginState, server: Server | None, sign: int) -> None:
-        """Counts an opened (+1) or ended (-1) connection in its group."""
-        if sign > 0 and server is not None and state.login.group:
-            self.last_homes[state.login.group] = server.id
-        self._add_group_load(state.login.group, server, sign)
-
-    def _add_group_load(self, group: int, server: Server | None, change: int) -> None:
-        self.total_load += change
-        for counts in (
-            (self.group_load, server.groups if server is not None else {}) if group else ()
-        ):
-            load = counts.get(group, 0) + change
-            if load > 0:
-                counts[group] = load
-            else:
-                counts.pop(group, None)
-
-    def reserve(self, server: Server, group: int) -> None:
-        """Counts a connection that another process of this balancer still holds.
-
-        Its client is expected to return to this process. Guards against groups that spread to more
-        servers in the meantime.
-        """
-        self._add_group_load(group, server, 1)
-        self._reservations.append((server, group))
-
-    def release_reservations(self) -> None:
-        while self._reservations:
-            server, group = self._reservations.pop()
-            self._add_group_load(group, server, -1)
-
-
-def _first_with_capacity(servers: list[Server], required: float) -> list[Server]:
-    """The first servers that together have the required relative capacity; at least one."""
-    for count, server in enumerate(servers, 1):
-        required -= server.relative_capacity
-        if required <= 0:
-            return servers[:count]
-    return servers
-
-
-def _rank(group: int, server: Server) -> int:
-    """The sort key of the group's server order, the same at every balancer.
-
-    The high bits depend on all bits of both ids.
-    """
-    return (group ^ server.id_hash) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -188,11 +188,11 @@
         placed["new"].append(new.login(number, group=77, came_back=True))
         placed["stranger"].append(stranger.login(number, group=77, came_back=True))
     assert set(placed["new"]) <= homes and None in placed["stranger"]
-    draw = new.balancer._draw
+    groups = new.balancer._groups
     new.balancer.other_processes_ended()
     assert (
-        draw.total_load == 0
-        and not draw.group_load
+        groups.total_load == 0
+        and not groups.group_load
         and not any(s.groups for s in new.balancer._registry.ready)
     )
 
