--- a/corklift/policy/balancer.py
+++ b/corklift/policy/balancer.py
@@ -63,7 +63,7 @@
         # By server, the load of own connections that ended during standby.
         self._ended_load: dict[int, float] = {}
         # Whether clients of another process of this balancer are expected to return to this one.
-        self._has_predecessor = False
+        self._expects_returning_clients = False
         # When connections broke or were moved, one entry for each client expected to return.
         self._cut_times: list[int] = []
         self._cost_sum, self._cost_count = 0.0, 0
@@ -162,7 +162,8 @@
         # a full fleet all load is counted as usual.
         recent_cuts = [at for at in self._cut_times if now - at < MAX_REPORT_AGE]
         may_count_once = (
-            self._has_predecessor or self._load_reports.mean_utilisation < HEADROOM_UTILISATION
+            self._expects_returning_clients
+            or self._load_reports.mean_utilisation < HEADROOM_UTILISATION
         )
         state.from_other_balancer = login.came_back and not recent_cuts and may_count_once
         self._cut_times = recent_cuts[login.came_back :]
@@ -289,10 +290,9 @@
         server.pending_probe_at = 0
         if outcome is Outcome.FULFILLED:
             unreported_for = now - max(server.reported_at, server.listed_at)
-            if (
-                server.unanswered > int(self._load_reports.probes_subset)
-                and unreported_for > MAX_REPORT_AGE
-            ):
+            # With subset probing, a single unanswered probe is not taken for a restart.
+            tolerated = 1 if self._load_reports.probes_subset else 0
+            if server.unanswered > tolerated and unreported_for > MAX_REPORT_AGE:
                 # Guards against overloading a server that has restarted before the list says so.
                 server.started_at = max(server.started_at, now)
                 self._host.log(f"server {server_id} answers again: taken as just started")
@@ -424,7 +424,7 @@
             if server_id in self._registry.servers:
                 self._groups.reserve(self._registry.servers[server_id], int(group))
         self._probe_budget.import_rate(now, *learned["rate"])
-        self._has_predecessor = True
+        self._expects_returning_clients = True
 
     def connection_ended_elsewhere(self, now: int, server_id: int, load: float) -> None:
         """Connections of another process of this balancer have ended.
@@ -439,7 +439,7 @@
     def other_processes_ended(self) -> None:
         """No other process of this balancer is running any longer."""
         self._groups.release_reservations()
-        self._has_predecessor = False
+        self._expects_returning_clients = False
 
     def set_standby(self, standby: bool) -> None:
         """Whether another process of this balancer places its logins.
--- a/corklift/policy/draw.py
+++ b/corklift/policy/draw.py
@@ -21,6 +21,8 @@
 EXPENSIVE_ZONE_CROSSING = 0.01
 # How long a measured message delay is valid; servers repeat it every second while it lasts.
 DELAY_VALIDITY = 3 * PROBE_PERIOD // 2
+# A server whose message delay exceeds this multiple of the shortest message limit has no headroom.
+HEADROOM_DELAY_FACTOR = 0.5
 # The utilisation that a group may add to a server that does not hold it yet.
 GROUP_COST_MARGIN = 0.1
 # With subset probing: how many servers are queried before a hand-off; later rounds query more.
@@ -46,7 +48,7 @@
         rng: Random,
         registry: ServerRegistry,
         load_reports: LoadReports,
-        health: FailureTracker,
+        failures: FailureTracker,
         cold_budget: ColdBudget,
         groups: GroupHomes,
     ) -> None:
@@ -54,7 +56,7 @@
             rng,
             registry,
             load_reports,
-            health,
+            failures,
             cold_budget,
         )
         self._groups = groups
@@ -97,7 +99,7 @@
         )
 
     def has_headroom(self, now: int, server: Server) -> bool:
-        if now < server.full_until or self.is_delayed(now, server, 0.5):
+        if now < server.full_until or self.is_delayed(now, server, HEADROOM_DELAY_FACTOR):
             return False
         utilisation = self._load_reports.projected_utilisation(server)
         return utilisation is None or utilisation < max(
@@ -278,7 +280,10 @@
                 server.ready
                 and now >= server.full_until
                 and allowed(server)
-                and (not server.message_delay or not self.is_delayed(now, server, 0.5))
+                and (
+                    not server.message_delay
+                    or not self.is_delayed(now, server, HEADROOM_DELAY_FACTOR)
+                )
                 and (
                     not server.started_at or self._cold_budget.admits(now, server, state, self._rng)
                 )
--- a/corklift/policy/failures.py
+++ b/corklift/policy/failures.py
@@ -16,6 +16,9 @@
 from corklift.policy.registry import ServerRegistry
 from corklift.records import Attempt, LoginState, Server
 
+# Unanswered probes or connects in a row that exclude a server from the draw: one fewer than after
+# which it counts as lost.
+UNANSWERED_TO_EXCLUDE = UNANSWERED_TO_EVACUATE - 1
 # Each login earns this many resends after failures that may have a common cause, and at most
 # MAX_SAVED_RESENDS are saved; beyond that, logins are bounced.
 RESENDS_PER_LOGIN = 0.3
@@ -37,7 +40,7 @@
         With subset probing, unanswered probes count only while a probe is pending and for
         MAX_REPORT_AGE after the last probe.
         """
-        if server.unanswered >= UNANSWERED_TO_EVACUATE - 1 and (
+        if server.unanswered >= UNANSWERED_TO_EXCLUDE and (
             not self._load_reports.probes_subset
             or server.pending_probe_at
             or now - server.probed_at <= MAX_REPORT_AGE
--- a/corklift/policy/groups.py
+++ b/corklift/policy/groups.py
@@ -10,6 +10,9 @@
 # The home servers of a group with a share s of the load have this multiple of s of the fleet's
 # capacity.
 GROUP_CAPACITY_FACTOR = 1.15
+# The estimate of a group's home count assumes that at least this fraction of the fleet's headroom
+# is in use.
+MIN_USED_FRACTION = 0.5
 # The assumed number of groups; the estimate of a group's share starts from 1/EXPECTED_GROUPS.
 EXPECTED_GROUPS = 40
 
@@ -54,7 +57,7 @@
             self._group_logins_total + EXPECTED_GROUPS
         )
         used_fraction = min(
-            1.0, max(0.5, self._load_reports.mean_utilisation / HEADROOM_UTILISATION)
+            1.0, max(MIN_USED_FRACTION, self._load_reports.mean_utilisation / HEADROOM_UTILISATION)
         )
         return 1 + int(share * used_fraction * GROUP_CAPACITY_FACTOR * len(self._registry.ready))
 
--- a/corklift/policy/load_reports.py
+++ b/corklift/policy/load_reports.py
@@ -16,6 +16,9 @@
 # At most this many balancers, including this one, are assumed to place the same load on the same
 # server at the same time.
 MAX_BALANCERS_IN_STEP = 4
+# A server's capacity is estimated as count / utilisation, from reports with at least this count and
+# more than this utilisation.
+MIN_COUNT_FOR_CAPACITY, MIN_UTILISATION_FOR_CAPACITY = 4, 0.04
 
 
 class LoadReports:
@@ -47,7 +50,12 @@
         horizon = now - REPORT_LAG
         for login in [login for login, (at, _, _) in server.unreported.items() if at <= horizon]:
             self.remove_placement(server, login)
-        if server.count and server.utilisation and server.count >= 4 and server.utilisation > 0.04:
+        if (
+            server.count
+            and server.utilisation
+            and server.count >= MIN_COUNT_FOR_CAPACITY
+            and server.utilisation > MIN_UTILISATION_FOR_CAPACITY
+        ):
             capacity = server.count / server.utilisation
             server.capacity.add(capacity)
             self._capacity_by_kind.setdefault(server.kind, Histogram()).add(capacity)
--- a/corklift/policy/moves.py
+++ b/corklift/policy/moves.py
@@ -18,6 +18,8 @@
 # Connections stay on a server above OVERLOAD_UTILISATION that is below this multiple of the fleet's
 # mean: in a uniformly full fleet a move would only shift the load.
 OVERLOAD_OVER_MEAN = 1.15
+# Above this utilisation connections are moved away in a full fleet too.
+LIMIT_UTILISATION = FULL_UTILISATION + 0.1
 # The time until a move shows in the reports; the server moves no further connections before.
 MOVE_PAUSE = 5 * PROBE_PERIOD // 2
 # The fraction of the excess load that one step moves away; each balancer moves its own part.
@@ -70,7 +72,7 @@
         # A server at its limit serves none of its connections well, so it sheds load even in a full
         # fleet.
         if utilisation <= max(
-            OVERLOAD_UTILISATION, min(OVERLOAD_OVER_MEAN * mean, FULL_UTILISATION + 0.1)
+            OVERLOAD_UTILISATION, min(OVERLOAD_OVER_MEAN * mean, LIMIT_UTILISATION)
         ):
             return
         target = max(HEADROOM_UTILISATION, min(mean, OVERLOAD_UTILISATION))
--- a/corklift/policy/probes.py
+++ b/corklift/policy/probes.py
@@ -48,7 +48,7 @@
         When they are allowed again, the choice between all servers and a subset is made anew.
         """
         if allowed and not self._allowed and self._registry.ready:
-            self._after(0, self._review)
+            self._after(0, self._choose_probed_servers)
         self._allowed, self._subset_decision = allowed, self._subset_decision if allowed else None
 
     def servers_started(self, first_list: bool, servers: list[Server]) -> None:
@@ -58,11 +58,11 @@
         if first_list:
             # Deferred, because connections that were open at the start are reported right after the
             # first list and show the rate of logins.
-            self._after(0, self._review)
+            self._after(0, self._choose_probed_servers)
         elif not self._load_reports.probes_subset:
             self._start_probing(servers)
 
-    def _review(self, now: int) -> None:
+    def _choose_probed_servers(self, now: int) -> None:
         """Decides whether to probe all servers or a subset, and renews the subset.
 
         Repeated about every MAX_REPORT_AGE. While all servers are probed and the rate of logins is
@@ -85,7 +85,7 @@
             if self._probe_budget.is_rate_known(now) or use_subset
             else PROBE_PERIOD // 10
         )
-        self._after(int(wait * self._rng.uniform(0.9, 1.1)), self._review)
+        self._after(int(wait * self._rng.uniform(0.9, 1.1)), self._choose_probed_servers)
 
     def _start_probing(self, servers: list[Server]) -> None:
         """Starts periodic probes at random phases; replaces those already running."""
