--- a/corklift/recovery/core.py
+++ b/corklift/recovery/core.py
@@ -246,6 +246,9 @@
         self.facts = Facts()
         self.phase = RecoveryPhase.READ
         self.own_marker = Marker()
+        self._opened_marker = Marker()  # the store's position when it was loaded
+        # By peer: the highest position of this store that this process may have told it.
+        self._told_sequences: dict[str, int] = {}
         self._store_deadline = now + int(config.store_timeout * config.period) if disk else now
         self._store_done = not disk
         self.store_error = ""  # the store's present error; empty: none
@@ -305,7 +308,7 @@
             error: why the store can't be written; empty: it can.
         """
         late, self._store_done = self._store_done, True
-        self.own_marker, self.store_error = marker, error
+        self.own_marker, self._opened_marker, self.store_error = marker, marker, error
         changed = [fact for fact in facts if self.facts.merge(fact, Provenance.READ)]
         self.behind = self.behind or bool(lost)
         ended = self.facts.get(ENDED)
@@ -484,7 +487,13 @@
         self._host.request_state(
             request_id,
             name,
-            StateRequest(self.name, self._instance_id, self.own_marker, self.facts.digest, full),
+            StateRequest(
+                self.name,
+                self._instance_id,
+                self._marker_for(name, name in self.replies),
+                self.facts.digest,
+                full,
+            ),
             now + int(self.config.reply_timeout * self.config.period),
         )
 
@@ -500,7 +509,7 @@
                 now + int(self.config.unclean_query_timeout * self.config.period),
             )
         self.replies[reply.sender] = reply.has_memory or self.replies.get(reply.sender, False)
-        self.peer_markers[reply.sender] = reply.marker
+        self._record_marker(reply.sender, reply.marker)
         changed = [
             fact
             for fact, provenance in zip(reply.facts, reply.provenances)
@@ -517,18 +526,20 @@
             self._store_done
             and known_marker.store
             and (
-                known_marker.store != self.own_marker.store
-                or known_marker.sequence > self.own_marker.sequence
+                known_marker.store != self._opened_marker.store
+                or known_marker.sequence
+                > max(self._opened_marker.sequence, self._told_sequences.get(reply.sender, 0))
             )
         ):
             # The peer knows a later position of this store: it was rolled back or emptied, or
-            # acknowledged a sync without doing it.
+            # acknowledged a sync without doing it. The present position is no measure, because the
+            # writes since the start may have reached the one that the peer knows.
             if not self.behind:
                 self._host.log(
                     "behind",
                     by=reply.sender,
                     had=known_marker.sequence,
-                    has=self.own_marker.sequence,
+                    has=self._opened_marker.sequence,
                     other_store=known_marker.store != self.own_marker.store,
                 )
             self.behind = True
@@ -575,31 +586,43 @@
             lived_through,
             tuple(known.fact for known in selected),
             tuple(int(known.provenance) for known in selected),
-            self.own_marker,
+            self._marker_for(request.sender, request.sender in self.replies),
             requester_marker,
             self._host.server_start_times() if lived_through and request.full else {},
             self._has_memory,
             self._assume_cold,
         )
-        if request.marker.store and (
-            request.marker.store != requester_marker.store
-            or request.marker.sequence > requester_marker.sequence
-        ):
-            self._record_marker(now, request.sender, request.marker)
+        self._record_marker(request.sender, request.marker)
         return reply
 
-    def _record_marker(self, now: int, name: str, marker: Marker) -> None:
-        """Remembers the position of a peer's store.
+    def _marker_for(self, name: str, present: bool) -> Marker:
+        """Returns the position of this store to tell a peer, and remembers that it was told.
+
+        Until the peer has replied to a query of this process, a query and its reply tell the
+        position at which the store was loaded: the present one would replace what the peer knows
+        from before. Facts are sent and acknowledged with the present one in any case.
+        """
+        if not present:
+            return self._opened_marker
+        self._told_sequences[name] = max(
+            self._told_sequences.get(name, 0), self.own_marker.sequence
+        )
+        return self.own_marker
+
+    def _record_marker(self, name: str, marker: Marker) -> None:
+        """Remembers the highest known position of a peer's store.
 
         It is stored with the next override, which is often enough.
         """
-        self.peer_markers[name] = marker
+        known = self.peer_markers.get(name, Marker())
+        if marker.store and (marker.store != known.store or marker.sequence > known.sequence):
+            self.peer_markers[name] = marker
 
     def replicate_received(
         self, now: int, request: Replicate, reply: Callable[[ReplicateReply], None]
     ) -> None:
         """A peer sends facts; the reply follows once they are stored or the write has failed."""
-        self._record_marker(now, request.sender, request.marker)
+        self._record_marker(request.sender, request.marker)
         newer = []
         changed = []
         for fact in request.facts:
@@ -611,7 +634,7 @@
                 current = self.facts.get(*fact.key)
                 if current is not None and current.rank > fact.rank:
                     newer.append(current)
-        marker = self.peer_markers[request.sender]
+        marker = self.peer_markers.get(request.sender, Marker())
         written = (
             *(fact for fact in request.facts if fact.kind in BINDING_SHARED and not newer),
             Fact(
@@ -625,7 +648,11 @@
         )
         self._persist(
             written,
-            lambda succeeded: reply(ReplicateReply(succeeded, tuple(newer), self.own_marker)),
+            lambda succeeded: reply(
+                ReplicateReply(
+                    succeeded, tuple(newer), self._marker_for(request.sender, present=True)
+                )
+            ),
         )
         self._apply_facts(changed)
 
@@ -704,7 +731,9 @@
             self._host.replicate(
                 request_id,
                 name,
-                Replicate(self.name, self._instance_id, self.own_marker, tuple(facts)),
+                Replicate(
+                    self.name, self._instance_id, self._marker_for(name, present=True), tuple(facts)
+                ),
                 replication.deadline,
             )
 
@@ -713,8 +742,8 @@
     ) -> None:
         """A peer has replied to a replication; None: the call has failed."""
         replication_id, name = self._replicate_calls.pop(request_id, (0, ""))
-        if reply is not None and reply.marker.store:
-            self._record_marker(now, name, reply.marker)
+        if reply is not None:
+            self._record_marker(name, reply.marker)
         replication = self._replications.get(replication_id)
         if replication is None:
             return
@@ -970,6 +999,8 @@
             self.power_lost,
             self._query_deadline - now,
             self.own_marker,
+            self._opened_marker,
+            sorted(self._told_sequences.items()),
             sorted(self.peer_markers.items()),
             sorted(
                 (
