--- a/corklift/rig/checker.py
+++ b/corklift/rig/checker.py
@@ -399,7 +399,12 @@
                 for period in periods
             )
         ):
-            yield Violation(event.at, "process", f"{event.fields['who']} ended by itself")
+            yield Violation(
+                event.at,
+                "process",
+                f"{event.fields['who']} ended by itself with status {event.fields.get('status')}, "
+                f"its last lines: {event.fields.get('last')}",
+            )
         elif (
             event.what.startswith("exception")
             and "MemoryError" in str(event)
--- a/corklift/rig/fleet.py
+++ b/corklift/rig/fleet.py
@@ -15,6 +15,7 @@
 import subprocess
 import sys
 import tempfile
+from collections import deque
 from collections.abc import Callable
 from itertools import count
 from random import Random
@@ -33,6 +34,8 @@
 DRAIN_GRACE = 500 * MS
 # The ports on which each balancer listens, at an address of its own.
 CLIENT_PORT, PEER_PORT, ADMIN_PORT = 9000, 7000, 9500
+# Of a process that has ended: the last lines that are kept, and the size of each.
+LAST_LINES, LINE_BYTES = 8, 500
 # Numbers the rigs of this process, so that each gets a network of its own.
 _RIG_NUMBERS = count()
 
@@ -114,6 +117,12 @@
     def alive(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
+    def read_errors(self) -> list[str]:
+        """Returns the last lines that the process wrote to the stream without events."""
+        with open(self._error_path, "rb") as file:
+            file.seek(-min(os.fstat(file.fileno()).st_size, LAST_LINES * LINE_BYTES), os.SEEK_END)
+            return _last_lines(file.read().splitlines())
+
     def signal(self, number: int) -> None:
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
@@ -141,7 +150,7 @@
         self.shape, self._mutants, self._show = shape, mutants or {}, show
         self.rng = Random(shape.seed)
         self.problems: list[str] = []
-        # By balancer: processes started, and processes whose end has been recorded.
+        # By name: processes started, and processes whose end has been recorded.
         self._start_counts: dict[str, int] = {}
         self._end_counts: dict[str, int] = {}
         # By balancer: offset of its clock in nanoseconds.
@@ -253,7 +262,7 @@
 
     def _read_events(self, name: str, pipe: Any) -> None:
         os.set_blocking(pipe.fileno(), False)
-        buffer = b""
+        buffer, last_lines = b"", deque[bytes](maxlen=LAST_LINES)
         while True:
             self.scheduler.wait({pipe.fileno(): READ})
             try:
@@ -263,6 +272,7 @@
             if not chunk:
                 break
             *lines, buffer = (buffer + chunk).split(b"\n")
+            last_lines.extend(lines)
             for line in lines:
                 try:
                     fields = json.loads(line)
@@ -283,9 +293,18 @@
                 except (ValueError, KeyError, AttributeError):
                     self.record("line", name, text=line.decode("utf-8", "replace")[:500])
         pipe.close()
+        managed = self._process(name)
+        while managed.alive:  # its pipe is closed a moment before the system reports its end
+            self.scheduler.sleep(10 * MS)
         self._end_counts[name] = self._end_counts.get(name, 0) + 1
         self.serving.discard(name)
-        self.record("ended", "rig", who=name)
+        self.record(
+            "ended",
+            "rig",
+            who=name,
+            status=managed.process.returncode,
+            last=_last_lines([*last_lines, buffer]) + managed.read_errors(),
+        )
 
     # Starting
 
@@ -320,7 +339,7 @@
             stdin=True,
         )
         for process in [*self.servers.values(), self.discovery]:
-            self.scheduler.spawn(self._read_events, process.name, process.start(log_on_error=False))
+            self._start_process(process, log_on_error=False)
             self.record("started", who=process.name)
         ports = {
             name: self.wait_until(
@@ -498,20 +517,35 @@
             )
         return "\n".join(lines) + "\n"
 
+    def _has_ended(self, name: str) -> bool:
+        """Tells whether no process of this name runs, and the end of the last one is recorded.
+
+        All later events of this name are then of its next start.
+        """
+        return not self._process(name).alive and self._end_counts.get(
+            name, 0
+        ) >= self._start_counts.get(name, 0)
+
+    def _start_process(self, process: ManagedProcess, log_on_error: bool) -> None:
+        self._start_counts[process.name] = self._start_counts.get(process.name, 0) + 1
+        self.scheduler.spawn(self._read_events, process.name, process.start(log_on_error))
+
     def start(self, name: str) -> None:
         """Starts a balancer unless it runs."""
         process = self.balancers[name]
+        self.wait_until(
+            lambda: process.alive or self._has_ended(name), what=f"{name} runs or has ended"
+        )
         if not process.alive:
             self._write_files(name)
             self._member_states[name], self._balancer_counts[name] = {}, 0
-            self._start_counts[name] = self._start_counts.get(name, 0) + 1
             command = process.command
             if self._failing_starts.get(name, 0):
                 self._failing_starts[name] -= 1
                 process.command = [sys.executable, "-c", "raise SystemExit(71)"]
             else:
                 self.record("started", who=name)
-            self.scheduler.spawn(self._read_events, name, process.start(log_on_error=True))
+            self._start_process(process, log_on_error=True)
             process.command = command
 
     def list_server(self, server: str, since_ms: int = 0) -> None:
@@ -645,9 +679,9 @@
 
         `listed` puts its entry, with the time of its start, into the list of discovery.
         """
-        process = self.servers[server]
+        self.wait_until(lambda: self._has_ended(server), what=f"{server} has ended")
         earlier_starts = len(self.events_from(server, "listens"))
-        self.scheduler.spawn(self._read_events, server, process.start(log_on_error=False))
+        self._start_process(self.servers[server], log_on_error=False)
         self.record("started", who=server)
         port = self.wait_until(
             lambda: self.events_from(server, "listens")[earlier_starts:], what=f"{server} listens"
@@ -714,14 +748,7 @@
     def restart(self, *names: str) -> None:
         """Starts balancers again, each once its last process has ended."""
         for name in names:
-            # Its end is recorded before the next start, so that all later events are of that start.
-            self.wait_until(
-                lambda name=name: (
-                    not self._process(name).alive
-                    and self._end_counts.get(name, 0) >= self._start_counts.get(name, 0)
-                ),
-                what=f"{name} has ended",
-            )
+            self.wait_until(lambda name=name: self._has_ended(name), what=f"{name} has ended")
             self.start(name)
             self.scheduler.spawn(self._admit_when_ready, name)
 
@@ -902,6 +929,10 @@
             return 0, 0
 
 
+def _last_lines(lines: list[bytes]) -> list[str]:
+    return [line.decode("utf-8", "replace")[:LINE_BYTES] for line in lines if line][-LAST_LINES:]
+
+
 def _toml(value: Any) -> str:
     """Returns a value as TOML on one line."""
     if isinstance(value, dict):
