--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -1,4 +1,4 @@
-"""Adapts the event-driven `Balancer` to the blocking style of the network tasks.
+"""Adapts the event-driven `Balancer` to the network tasks, which block.
 
 The facade owns the only Balancer of the process, drives its timers, and maps the ids that it uses
 to names and addresses. Network code sees hand-off targets and rejections only. The facade touches
@@ -204,24 +204,23 @@
     def time_limit(self, login_request: LoginRequest) -> int:
         return self._all_workloads[self._workloads[login_request.workload]].time_limit
 
-    def place_login(
-        self, login_request: LoginRequest, time_limit_at: int
-    ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
-        """Registers a new login and blocks until its target or rejection is decided."""
+    def place_login(self, login_request: LoginRequest, time_limit_at: int) -> LoginHandle:
+        """Registers a new login; its task is woken when its target or rejection is decided."""
         self.before_placement()
         rejection = self.admission_check(login_request, self._next_login)
         handle = self._new_login(time_limit_at)
         if rejection is not None:
-            return handle, rejection
+            handle.decision = rejection
+            return handle
         now = self._scheduler.now()
         self._reports_valid_at = self._reports_valid_at or now + self._settle_time
         self._balancer.login_arrived(now, self._to_login(handle, login_request))
-        return handle, self._await_decision(handle)
+        return handle
 
     def report_failed_hand_off(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
-    ) -> HandOffTarget | Rejection:
-        """Reports a hand-off that ended without a connection; blocks until the next decision."""
+    ) -> None:
+        """Reports a hand-off that ended without a connection; the next decision follows."""
         assert handle.target is not None
         now = self._scheduler.now()
         handle.decision = None
@@ -237,7 +236,15 @@
             now - handle.sent_at,
             self._to_report(values),
         )
-        return self._await_decision(handle)
+
+    def reject_undecided(self, handle: LoginHandle) -> Rejection:
+        """Ends a login that is undecided at its time limit.
+
+        Every login gets an answer in time, whatever the Balancer waits for.
+        """
+        self._counters["undecided at the time limit"] += 1
+        self.release_login(handle)
+        return Rejection(False, 0)
 
     def report_connected(self, handle: LoginHandle) -> None:
         """Reports that the hand-off has become a connection."""
@@ -665,17 +672,6 @@
             login_request.came_back,
         )
 
-    def _await_decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
-        while handle.decision is None:
-            now = self._scheduler.now()
-            if now >= handle.time_limit_at:
-                # Every login gets an answer in time, whatever the Balancer waits for.
-                self._counters["undecided at the time limit"] += 1
-                self.release_login(handle)
-                return Rejection(False, 0)
-            self._scheduler.wait({}, handle.time_limit_at)
-        return handle.decision
-
     def _report_if_unresponsive(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
             self.server_unresponsive(server)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -14,7 +14,7 @@
 
 from corklift.interface import Outcome
 from corklift.net.blocking import drain_and_close, listening_socket
-from corklift.net.facade import Facade, HandOffTarget, LoginHandle
+from corklift.net.facade import Facade, HandOffTarget, LoginHandle, Rejection
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
     BUSY,
@@ -310,12 +310,12 @@
         ):
             raise Malformed("absurd time to wait")
         time_limit = min(request.max_wait, self._facade.time_limit(request))
-        handle, decision = self._facade.place_login(
+        handle = self._facade.place_login(
             request, self._now() + time_limit - self._limits.answer_margin
         )
         answer, result_name = FAILED, "failed"
         try:
-            while isinstance(decision, HandOffTarget):
+            while isinstance(decision := self._await_decision(client, handle), HandOffTarget):
                 result = self._hand_off(client, decision, request)
                 if result.server is not None:
                     try:
@@ -327,9 +327,7 @@
                     finally:
                         result.server.close()
                 self._counters[f"hand-offs {result.outcome.value}"] += 1
-                decision = self._facade.report_failed_hand_off(
-                    handle, result.outcome, result.values
-                )
+                self._facade.report_failed_hand_off(handle, result.outcome, result.values)
             if decision.retry_is_safe:
                 answer, result_name = format_busy(decision.retry_in), "refused"
             self._counters["logins bounced" if decision.retry_is_safe else "logins terminated"] += 1
@@ -346,6 +344,14 @@
             if answer:
                 self._finish(client, answer)
 
+    def _await_decision(self, client: Stream, handle: LoginHandle) -> HandOffTarget | Rejection:
+        """Blocks until the login's target or rejection is decided; raises as `_wait_for_client`."""
+        while handle.decision is None:
+            if self._now() >= handle.time_limit_at:
+                return self._facade.reject_undecided(handle)
+            self._wait_for_client(client, handle.time_limit_at)
+        return handle.decision
+
     def _restore_connection(self, client: Stream, request: LoginRequest) -> None:
         """Re-establishes a connection from before the start, at the same server only."""
         until = self._now() + min(
@@ -367,7 +373,7 @@
                         finally:
                             result.server.close()
                     self._counters[f"standing connections {result.outcome.value}"] += 1
-                self._scheduler.sleep(self._limits.standing_pause)
+                self._wait_for_client(client, self._now() + self._limits.standing_pause)
         except ClientDisconnectedError:
             pass
         finally:
@@ -447,19 +453,28 @@
                 # Yield: a flood of lines must not delay other clients.
                 self._scheduler.wait({}, self._now())
 
-    def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
-        """Waits for an event on the server's stream and returns whether there was one.
+    def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> int:
+        """Waits for an event on the server's stream and returns its events, 0 if there are none.
+
+        Raises as `_wait_for_client`.
+        """
+        return self._wait_for_client(client, until, {server.fd: mask}).get(server.fd, 0)
+
+    def _wait_for_client(
+        self, client: Stream, until: int, fds: dict[int, int] | None = None
+    ) -> dict[int, int]:
+        """Waits as `Scheduler.wait` while the client waits for its answer.
 
         Raises:
             ClientDisconnectedError: the client has disconnected.
             Malformed: the client sent data before it was answered.
         """
-        events = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
+        events = self._scheduler.wait({client.fd: READ | READ_CLOSED, **(fds or {})}, until)
         if events.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
             raise ClientDisconnectedError
         if client.fd in events:
             raise Malformed("a line before its answer")
-        return server.fd in events
+        return events
 
     # An established connection
 
