--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -16,6 +16,7 @@
 from typing import Any, NamedTuple
 
 from corklift.interface import (
+    Effect,
     ListedServer,
     Login,
     MeasurementKind,
@@ -39,11 +40,15 @@
 
 
 class HandOffTarget(NamedTuple):
-    """The server that a login is handed to, and when the hand-off is given up."""
+    """The server that a login is handed to, and when the hand-off is given up.
+
+    The login's first byte may only be sent before `send_before`.
+    """
 
     server: int
     address: tuple[str, int]
     cut_at: int
+    send_before: int
 
 
 class Rejection(NamedTuple):
@@ -56,8 +61,11 @@
 class LoginHandle:
     """The relay's handle of a login under way, or of the connection that it became."""
 
-    def __init__(self, number: int, task: Task, time_limit_at: int) -> None:
+    def __init__(self, number: int, task: Task, time_limit_at: int, workload: Workload) -> None:
         self.number, self.task, self.time_limit_at = number, task, time_limit_at
+        self.workload = workload  # as in the settings when the login came
+        # When servers may no longer recognise a repeat of a tagged login that may have run.
+        self.repeat_before: int | None = None
         self.decision: HandOffTarget | Rejection | None = None
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
@@ -208,7 +216,7 @@
         """Registers a new login; its task is woken when its target or rejection is decided."""
         self.before_placement()
         rejection = self.admission_check(login_request, self._next_login)
-        handle = self._new_login(time_limit_at)
+        handle = self._new_login(time_limit_at, login_request)
         if rejection is not None:
             handle.decision = rejection
             return handle
@@ -224,6 +232,10 @@
         assert handle.target is not None
         now = self._scheduler.now()
         handle.decision = None
+        if handle.workload.effect is Effect.TAGGED and not outcome.proves_not_run:
+            handle.repeat_before = handle.repeat_before or (
+                handle.sent_at + handle.workload.dedup_window
+            )
         self.login_finished(handle.number, False)
         self._report_if_unresponsive(handle.target.server, outcome)
         self._balancer.hand_off_ended(
@@ -260,18 +272,17 @@
             now - handle.sent_at,
         )
 
-    def report_restored(self, login_request: LoginRequest, server: int) -> LoginHandle:
-        """Reports that a connection from before the start is open again, at the same server."""
+    def report_restored(self, login_request: LoginRequest, target: HandOffTarget) -> LoginHandle:
+        """Reports that a connection from before the start is open again, at the same server.
+
+        In the meantime, the server may have left the list, and the workload the settings.
+        """
         now = self._scheduler.now()
         self._reports_valid_at = now + self._settle_time
-        handle = self._new_login(now)
-        handle.target, handle.hand_off_count, handle.sent_at = (
-            HandOffTarget(server, self._addresses[server], now),
-            1,
-            now,
-        )
+        handle = self._new_login(now, login_request)
+        handle.target, handle.hand_off_count, handle.sent_at = target, 1, now
         self._connection_count += 1
-        self._balancer.connection_resumed(now, self._to_login(handle, login_request), server)
+        self._balancer.connection_resumed(now, self._to_login(handle, login_request), target.server)
         return handle
 
     def report_connection_end(
@@ -340,7 +351,7 @@
         """Returns the server with this name, without a deadline; None if it is unknown."""
         server = self._server_id(name)
         address = self._addresses.get(server)
-        return None if address is None else HandOffTarget(server, address, 0)
+        return None if address is None else HandOffTarget(server, address, 0, 0)
 
     # Called by the control service, whose proxies place logins themselves
 
@@ -533,7 +544,7 @@
             while self._probe_queue:
                 server = self._probe_queue.popleft()
                 if server in self._addresses:
-                    return HandOffTarget(server, self._addresses[server], 0)
+                    return HandOffTarget(server, self._addresses[server], 0, 0)
                 self.probe_finished(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
@@ -582,11 +593,9 @@
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         handle = self._logins[login]
-        target = HandOffTarget(
-            server,
-            self._addresses[server],
-            min(cut_at or handle.time_limit_at, handle.time_limit_at),
-        )
+        cut_at = min(cut_at or handle.time_limit_at, handle.time_limit_at)
+        send_before = min(cut_at, handle.repeat_before or cut_at)
+        target = HandOffTarget(server, self._addresses[server], cut_at, send_before)
         handle.target, handle.decision = target, target
         handle.hand_off_count += 1
         handle.sent_at = self._scheduler.now()
@@ -653,8 +662,13 @@
             else stable_id(name, allow_hexadecimal=False)
         )
 
-    def _new_login(self, time_limit_at: int) -> LoginHandle:
-        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
+    def _workload_since_start(self, login_request: LoginRequest) -> int:
+        """Returns the index of an admitted login's workload, even if a reload has removed it."""
+        return self.workload_names().index(login_request.workload)
+
+    def _new_login(self, time_limit_at: int, login_request: LoginRequest) -> LoginHandle:
+        workload = self._all_workloads[self._workload_since_start(login_request)]
+        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at, workload)
         self._next_login += 1
         self._logins[handle.number] = handle
         return handle
@@ -662,7 +676,7 @@
     def _to_login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
             handle.number,
-            self._workloads[login_request.workload],
+            self._workload_since_start(login_request),
             0,
             stable_id(login_request.subject),
             handle.time_limit_at,
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -362,10 +362,12 @@
             while self._now() < until:
                 target = self._facade.find_server(request.previous_server)
                 if target is not None:
-                    result = self._hand_off(client, target._replace(cut_at=until), request)
+                    result = self._hand_off(
+                        client, target._replace(cut_at=until, send_before=until), request
+                    )
                     if result.server is not None:
                         try:
-                            handle = self._facade.report_restored(request, target.server)
+                            handle = self._facade.report_restored(request, target)
                             self._restoring, is_counted = self._restoring - 1, False
                             return self._run_connection(
                                 client, result.server, result.line, handle, request
@@ -406,28 +408,50 @@
         self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
     ) -> HandOffResult:
         """Connects to the server, sends the login request and waits for the server's answer."""
-
-        def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
-            return HandOffResult(None, b"", outcome, values)
-
         self._counters["hand-offs"] += 1
         until = min(target.cut_at, self._now() + self._limits.connect_time)
         while not server.broken and not self._wait_for_server(client, server, WRITE, until):
             if self._now() >= until:
-                return failed(Outcome.NOT_CONNECTED)
+                return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
         if server.connect_failed():
-            return failed(Outcome.NOT_CONNECTED)
-        if not (request.previous_server or self._facade.accepts_logins(target.server)):
-            # The server started to drain during the connect.
-            return failed(Outcome.NOT_SENT)
-        server.write(request.with_time_limit(target.cut_at - self._now()))
-        while len(server.send_buffer):
-            # The last byte of the request has not been sent, so the server has not run it.
-            if server.broken or self._now() >= target.cut_at:
-                return failed(Outcome.NOT_CONNECTED)
-            self._wait_for_server(client, server, WRITE, target.cut_at)
-            server.flush()
+            return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
+        outcome = self._send_request(client, server, target, request)
+        if outcome is not None:
+            return HandOffResult(None, b"", outcome)
         self._counters["hand-offs written"] += 1
+        return self._read_answer(client, server, target)
+
+    def _send_request(
+        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+    ) -> Outcome | None:
+        """Sends the login request; returns an outcome if its last byte was not sent.
+
+        The server has then not run it.
+        """
+        if self._now() >= target.send_before or not (
+            request.previous_server or self._facade.accepts_logins(target.server)
+        ):
+            # During the connect the time ran out, or the server started to drain.
+            return Outcome.NOT_SENT
+        server.receive()
+        has_ended = server.peer_closed and not len(server.receive_buffer)
+        if not has_ended:
+            server.write(request.with_time_limit(target.cut_at - self._now()))
+        while has_ended or len(server.send_buffer):
+            if has_ended or server.broken or self._now() >= target.cut_at:
+                return Outcome.NOT_CONNECTED
+            events = self._wait_for_server(client, server, WRITE | READ_CLOSED, target.cut_at)
+            has_ended = bool(events & READ_CLOSED)
+            if not has_ended:
+                server.flush()
+        return None
+
+    def _read_answer(self, client: Stream, server: Stream, target: HandOffTarget) -> HandOffResult:
+        """Waits for the server's answer to a login request that has been sent."""
+
+        def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
+            return HandOffResult(None, b"", outcome, values)
+
         while True:
             server.receive()
             try:
@@ -451,7 +475,7 @@
                 self._wait_for_server(client, server, READ, target.cut_at)
             else:
                 # Yield: a flood of lines must not delay other clients.
-                self._scheduler.wait({}, self._now())
+                self._wait_for_client(client, self._now())
 
     def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> int:
         """Waits for an event on the server's stream and returns its events, 0 if there are none.
