--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -14,7 +14,7 @@
 
 from corklift.interface import Outcome
 from corklift.net.blocking import drain_and_close, listening_socket
-from corklift.net.facade import Facade, HandOffTarget, LoginHandle
+from corklift.net.facade import Facade, HandOffTarget, LoginHandle, Rejection
 from corklift.net.limits import MS, Counters, Limits
 from corklift.net.parsers import (
     BUSY,
@@ -319,12 +319,12 @@
         ):
             raise Malformed("absurd time to wait")
         time_limit = min(request.max_wait, self._facade.time_limit(request))
-        handle, decision = self._facade.place_login(
+        handle = self._facade.place_login(
             request, self._now() + time_limit - self._limits.answer_margin
         )
         answer, result_name = FAILED, "failed"
         try:
-            while isinstance(decision, HandOffTarget):
+            while isinstance(decision := self._await_decision(client, handle), HandOffTarget):
                 result = self._hand_off(client, decision, request)
                 if result.server is not None:
                     try:
@@ -336,9 +336,7 @@
                     finally:
                         result.server.close()
                 self._counters[f"hand-offs {result.outcome.value}"] += 1
-                decision = self._facade.report_failed_hand_off(
-                    handle, result.outcome, result.values
-                )
+                self._facade.report_failed_hand_off(handle, result.outcome, result.values)
             if decision.retry_is_safe:
                 answer, result_name = format_busy(decision.retry_in), "refused"
             self._counters["logins bounced" if decision.retry_is_safe else "logins terminated"] += 1
@@ -355,6 +353,14 @@
             if answer:
                 self._finish(client, answer)
 
+    def _await_decision(self, client: Stream, handle: LoginHandle) -> HandOffTarget | Rejection:
+        """Blocks until the login's target or rejection is decided; raises as `_wait_for_client`."""
+        while handle.decision is None:
+            if self._now() >= handle.time_limit_at:
+                return self._facade.reject_undecided(handle)
+            self._wait_for_client(client, handle.time_limit_at)
+        return handle.decision
+
     def _restore_connection(self, client: Stream, request: LoginRequest) -> None:
         """Re-establishes a connection from before the start, at the same server only."""
         until = self._now() + min(
@@ -365,10 +371,12 @@
             while self._now() < until:
                 target = self._facade.find_server(request.previous_server)
                 if target is not None:
-                    result = self._hand_off(client, target._replace(cut_at=until), request)
+                    result = self._hand_off(
+                        client, target._replace(cut_at=until, send_before=until), request
+                    )
                     if result.server is not None:
                         try:
-                            handle = self._facade.report_restored(request, target.server)
+                            handle = self._facade.report_restored(request, target)
                             self._restoring, is_counted = self._restoring - 1, False
                             return self._run_connection(
                                 client, result.server, result.line, handle, request
@@ -376,7 +384,7 @@
                         finally:
                             result.server.close()
                     self._counters[f"standing connections {result.outcome.value}"] += 1
-                self._scheduler.sleep(self._limits.standing_pause)
+                self._wait_for_client(client, self._now() + self._limits.standing_pause)
         except ClientDisconnectedError:
             pass
         finally:
@@ -409,28 +417,50 @@
         self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
     ) -> HandOffResult:
         """Connects to the server, sends the login request and waits for the server's answer."""
-
-        def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
-            return HandOffResult(None, b"", outcome, values)
-
         self._counters["hand-offs"] += 1
         until = min(target.cut_at, self._now() + self._limits.connect_time)
         while not server.broken and not self._wait_for_server(client, server, WRITE, until):
             if self._now() >= until:
-                return failed(Outcome.NOT_CONNECTED)
+                return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
         if server.connect_failed():
-            return failed(Outcome.NOT_CONNECTED)
-        if not (request.previous_server or self._facade.accepts_logins(target.server)):
-            # The server started to drain during the connect.
-            return failed(Outcome.NOT_SENT)
-        server.write(request.with_time_limit(target.cut_at - self._now()))
-        while len(server.send_buffer):
-            # The last byte of the request has not been sent, so the server has not run it.
-            if server.broken or self._now() >= target.cut_at:
-                return failed(Outcome.NOT_CONNECTED)
-            self._wait_for_server(client, server, WRITE, target.cut_at)
-            server.flush()
+            return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
+        outcome = self._send_request(client, server, target, request)
+        if outcome is not None:
+            return HandOffResult(None, b"", outcome)
         self._counters["hand-offs written"] += 1
+        return self._read_answer(client, server, target)
+
+    def _send_request(
+        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+    ) -> Outcome | None:
+        """Sends the login request; returns an outcome if its last byte was not sent.
+
+        The server has then not run it.
+        """
+        if self._now() >= target.send_before or not (
+            request.previous_server or self._facade.accepts_logins(target.server)
+        ):
+            # During the connect the time ran out, or the server started to drain.
+            return Outcome.NOT_SENT
+        server.receive()
+        has_ended = server.peer_closed and not len(server.receive_buffer)
+        if not has_ended:
+            server.write(request.with_time_limit(target.cut_at - self._now()))
+        while has_ended or len(server.send_buffer):
+            if has_ended or server.broken or self._now() >= target.cut_at:
+                return Outcome.NOT_CONNECTED
+            events = self._wait_for_server(client, server, WRITE | READ_CLOSED, target.cut_at)
+            has_ended = bool(events & READ_CLOSED)
+            if not has_ended:
+                server.flush()
+        return None
+
+    def _read_answer(self, client: Stream, server: Stream, target: HandOffTarget) -> HandOffResult:
+        """Waits for the server's answer to a login request that has been sent."""
+
+        def failed(outcome: Outcome, values: dict[str, float] | None = None) -> HandOffResult:
+            return HandOffResult(None, b"", outcome, values)
+
         while True:
             server.receive()
             try:
@@ -454,21 +484,30 @@
                 self._wait_for_server(client, server, READ, target.cut_at)
             else:
                 # Yield: a flood of lines must not delay other clients.
-                self._scheduler.wait({}, self._now())
+                self._wait_for_client(client, self._now())
+
+    def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> int:
+        """Waits for an event on the server's stream and returns its events, 0 if there are none.
+
+        Raises as `_wait_for_client`.
+        """
+        return self._wait_for_client(client, until, {server.fd: mask}).get(server.fd, 0)
 
-    def _wait_for_server(self, client: Stream, server: Stream, mask: int, until: int) -> bool:
-        """Waits for an event on the server's stream and returns whether there was one.
+    def _wait_for_client(
+        self, client: Stream, until: int, fds: dict[int, int] | None = None
+    ) -> dict[int, int]:
+        """Waits as `Scheduler.wait` while the client waits for its answer.
 
         Raises:
             ClientDisconnectedError: the client has disconnected.
             Malformed: the client sent data before it was answered.
         """
-        events = self._scheduler.wait({server.fd: mask, client.fd: READ | READ_CLOSED}, until)
+        events = self._scheduler.wait({client.fd: READ | READ_CLOSED, **(fds or {})}, until)
         if events.get(client.fd, 0) & (READ_CLOSED | ERROR_EVENTS):
             raise ClientDisconnectedError
         if client.fd in events:
             raise Malformed("a line before its answer")
-        return server.fd in events
+        return events
 
     # An established connection
 
