--- a/corklift/net/backoff.py
+++ b/corklift/net/backoff.py
@@ -20,10 +20,14 @@
         self._rng, self._min_delay, self._max_delay = rng, min_delay, max(min_delay, max_delay)
         self.failures = 0
 
-    def next_delay(self) -> int:
-        """Counts a failure and returns the delay before the next call, in ns."""
-        delay = self._min_delay << min(self.failures, 32)
+    def next_delay(self, at_most: int | None = None) -> int:
+        """Counts a failure and returns the delay before the next call, in ns.
+
+        With `at_most` the whole range of the delay is scaled down to at most that value, so that
+        delays of several callers still differ.
+        """
+        delay = min(self._min_delay << min(self.failures, 32), self._max_delay)
         self.failures += 1
-        return int(
-            min(delay, self._max_delay) * self._rng.uniform(1 - self.JITTER, 1 + self.JITTER)
-        )
+        if at_most is not None:
+            delay = min(delay, int(max(at_most, 0) / (1 + self.JITTER)))
+        return int(delay * self._rng.uniform(1 - self.JITTER, 1 + self.JITTER))
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -19,6 +19,9 @@
 SECOND = 1_000 * MS
 # Standard streams, listener, signal socket pair, and some that the interpreter opens.
 RESERVED_DESCRIPTORS = 8
+# A change of the server list counts as known at the latest this long after discovery had it and
+# could be reached, whatever calls have failed meanwhile. The operators set this time, not a key.
+LIST_DEADLINE = 6 * SECOND
 
 
 class ConfigError(Exception):
@@ -82,10 +85,14 @@
     silent_time: int = 5 * SECOND
     # Time to pass on the end of a connection and for the other side to close.
     end_time: int = 700 * MS
-    # How long discovery may hold a request of the list watch.
-    watch_wait: int = 4 * SECOND
+    # How long discovery may hold a request of the list watch. This time, `watch_slack`, a pause and
+    # the answer of the next call fit into `LIST_DEADLINE`.
+    watch_wait: int = LIST_DEADLINE // 2
     # How late an answer may be before the watch starts again; it can come 2 s late.
-    watch_slack: int = 2500 * MS
+    watch_slack: int = LIST_DEADLINE * 3 // 8
+    # Maximum time from the start of a failed call to the next call; a late answer to that one still
+    # comes within `LIST_DEADLINE`.
+    watch_interval: int = LIST_DEADLINE * 5 // 8
     # How long an answer that has begun may stall; less than the minimum grace period of a drain.
     watch_stall: int = 100 * MS
     # Mean delay after a failed call to discovery, doubled after each further failure ...
@@ -93,8 +100,8 @@
     # ... up to this value.
     watch_pause_most: int = 2500 * MS
     # The same delays after discovery answered that it is overloaded.
-    overbooked_pause: int = 5 * SECOND
-    overbooked_pause_most: int = 20 * SECOND
+    overbooked_pause: int = 2500 * MS
+    overbooked_pause_most: int = 2500 * MS
     # Maximum random delay of the first call to discovery by a process that starts with a known
     # list, where discovery only answers requests.
     first_call_spread: int = 0
@@ -126,6 +133,11 @@
         remaining = self.stop_time - accepting
         return max(remaining // 2, remaining - 500 * MS)
 
+    @property
+    def shortest_watch_pause(self) -> int:
+        """Upper bound of the delay after a call to discovery that took all of its time."""
+        return 2 * self.watch_pause
+
     @property
     def unanswered_line_time(self) -> int:
         """Interval after which an unanswered line is reported to the decisions, each time again."""
@@ -179,14 +191,35 @@
             connect_time=connect_time,
             calls=calls,
             stop_time=min(time_limit, 3 * SECOND) + 400 * MS,
-            watch_pause_most=ask_within // 4,
-            overbooked_pause=ask_within // 2,
-            overbooked_pause_most=2 * ask_within,
-            first_call_spread=ask_within // 5 if ask_for_list else 0,
+            **_list_times(ask_within, ask_for_list),
             body=min(cls.body, int(memory * (1 << 20)) // 64),
         )
 
 
+def _list_times(ask_within: int, ask_for_list: bool) -> dict[str, int]:
+    """Returns the times of the list watch, as shares of the time when a change counts as known.
+
+    Where lists are asked for, a change counts as known four times `ask_within` after a failed call,
+    if that is less than `LIST_DEADLINE`. Where they are pushed, one counts as known as soon as the
+    agent on this machine has it, so that the pause after any failure is shorter than the grace
+    period of a drain; the agent answers at once and at no cost.
+    """
+    deadline = min(LIST_DEADLINE, max(4 * ask_within, SECOND)) if ask_for_list else LIST_DEADLINE
+    interval = deadline * 5 // 8
+    longest_pause = interval * 2 // 3 if ask_for_list else Limits.watch_stall
+    return dict(
+        watch_wait=deadline // 2,
+        watch_slack=deadline * 3 // 8,
+        watch_interval=interval,
+        watch_pause_most=min(ask_within // 4, longest_pause) if ask_for_list else longest_pause,
+        overbooked_pause=min(max(ask_within // 2, Limits.watch_pause), longest_pause)
+        if ask_for_list
+        else longest_pause,
+        overbooked_pause_most=longest_pause,
+        first_call_spread=min(ask_within // 5, deadline // 3) if ask_for_list else 0,
+    )
+
+
 def raise_descriptor_limit(wanted: int) -> int:
     """Raises the soft limit of descriptors as far as needed and allowed.
 
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -230,6 +230,7 @@
         self._index = known_index
         self._rng = rng
         self._failures = 0  # consecutive
+        self._called_at = 0  # start of the latest call
         self._set_backoff(limits)
         self.has_answered = False  # whether discovery has answered since the start
         self._task: Task | None = None
@@ -294,12 +295,17 @@
                     )
                 if isinstance(problem, Malformed):
                     self._index = None  # request the full list again
-                backoff = (
-                    self._overload_backoff
-                    if isinstance(problem, Overbooked)
-                    else self._fault_backoff
-                )
-                self._scheduler.sleep(backoff.next_delay())
+                self._scheduler.sleep(self._delay_after(problem))
+
+    def _delay_after(self, problem: Exception) -> int:
+        """Returns the delay before the next call.
+
+        It counts from the start of the failed call: a change that came while this one hung has to
+        be known in time as well.
+        """
+        backoff = self._overload_backoff if isinstance(problem, Overbooked) else self._fault_backoff
+        remaining = self._called_at + self._limits.watch_interval - self._scheduler.now()
+        return backoff.next_delay(max(remaining, self._limits.shortest_watch_pause))
 
     def _close_stream(self) -> None:
         if self._stream is not None:
@@ -307,35 +313,17 @@
             self._stream = None
 
     def _fetch_update(self) -> None:
-        now = self._scheduler.now()
+        now = self._called_at = self._scheduler.now()
         path, until = LIST_PATH, now + self._limits.watch_slack
         if self._index is not None:
-            # The first call does not wait for a change: it confirms the list known at start.
-            wait = self._limits.watch_wait if self.has_answered else 0
+            # The first call does not wait for a change: it confirms the list known at start. Nor
+            # does a call after a failure: it tells at once whether discovery is back.
+            wait = self._limits.watch_wait if self.has_answered and not self._failures else 0
             path = f"{LIST_PATH}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
-        if self._stream is None:
-            self._stream = connect(
-                self._scheduler, self._limits, self._address, now + self._limits.watch_slack
-            )
-        stream = self._stream
+        stream = self._connected_stream(now + self._limits.watch_slack)
         send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
-        response = HttpResponse(self._limits.body)
-        while not response.done:
-            stream.receive()
-            if len(stream.receive_buffer):
-                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
-                # A response that stalls may contain a drain that discovery considers delivered. It
-                # is given up early and requested again at once.
-                until = self._scheduler.now() + self._limits.watch_stall
-            elif stream.peer_closed and not stream.broken:
-                response.connection_closed()
-            elif stream.broken:
-                raise Gone
-            elif self._scheduler.now() >= until:
-                raise Late
-            else:
-                self._scheduler.wait({stream.fd: READ}, until)
+        response = self._receive_response(stream, until)
         if not response.keep_alive:
             self._close_stream()
         if response.status in (429, 503):
@@ -348,3 +336,40 @@
             self._counters["discovery entries that can't be read"] += content.unreadable_count
         self._facade.apply_listing(Scope.FULL if content.is_full else Scope.DELTA, content)
         self._index, self.has_answered = content.version, True
+
+    def _connected_stream(self, until: int) -> Stream:
+        """Returns the kept connection, or a new one."""
+        if self._stream is None:
+            self._stream = connect(self._scheduler, self._limits, self._address, until)
+        return self._stream
+
+    def _receive_response(self, stream: Stream, until: int) -> HttpResponse:
+        """Returns the complete response, which has to begin before `until`."""
+        response, ends_at = HttpResponse(self._limits.body), 0
+        while not response.done:
+            stream.receive()
+            if len(stream.receive_buffer):
+                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
+                ends_at = ends_at or self._response_ends_at()
+                if not response.done and self._scheduler.now() >= ends_at:
+                    raise Late
+                # A response that stalls may contain a drain that discovery considers delivered. It
+                # is given up early and requested again at once. After each failure the next may
+                # stall for longer, so that a slow but complete one is taken.
+                stall = self._limits.watch_stall << min(self._failures, 8)
+                until = min(ends_at, self._scheduler.now() + stall)
+            elif stream.broken:
+                raise Gone
+            elif stream.peer_closed:
+                response.connection_closed()
+            elif self._scheduler.now() >= until:
+                raise Late
+            else:
+                self._scheduler.wait({stream.fd: READ}, until)
+        return response
+
+    def _response_ends_at(self) -> int:
+        """Returns until when a response that begins now has to be complete, however it comes."""
+        if self._failures:
+            return self._called_at + self._limits.watch_interval - self._limits.shortest_watch_pause
+        return self._scheduler.now() + self._limits.watch_slack
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -369,7 +369,8 @@
                 self.waiting_watch = self.process.scheduler.current
                 while self.watch_response is None and self.now < until:
                     self.wait({}, until)
-                self.waiting_watch = None
+                if self.waiting_watch is self.process.scheduler.current:
+                    self.waiting_watch = None
                 content = self.watch_response or content | {"snapshot": False, "endpoints": []}
                 self.watch_response = None
             body = content if isinstance(content, bytes) else json.dumps(content).encode()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -50,3 +50,26 @@
     for mean in (100, 200, 400, 800, 1000, 1000):
         delays = [backoff.next_delay() for backoff in backoffs]
         assert mean / 2 <= min(delays) < 0.6 * mean and 1.4 * mean < max(delays) <= 1.5 * mean
+
+
+def test_delays_with_an_upper_limit_differ_and_still_let_an_overbooked_service_answer_all():
+    # A balancer may not stay away for longer than a change of the list may stay unknown. With this
+    # limit the service recovers as long as its queue is not longer than a caller waits.
+    longest = SECOND * 15 // 4
+    backoffs = [Backoff(Random(number), 5 * SECOND, 20 * SECOND) for number in range(200)]
+    for _ in range(3):
+        delays = [backoff.next_delay(longest) for backoff in backoffs]
+        assert longest / 3 <= min(delays) < 0.4 * longest and 0.95 * longest < max(delays)
+        assert max(delays) <= longest and len(set(delays)) == 200
+    assert {backoff.next_delay(0) for backoff in backoffs} == {0}
+    assert (
+        count_answered(
+            40,
+            lambda number: backoffs[number].next_delay(longest),
+            SECOND // 4,
+            SECOND * 9 // 4,
+            8,
+            60 * SECOND,
+        )
+        == 40
+    )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -316,15 +316,28 @@
     assert {line.split()[-1] for line in harness.trace if " d" in line and "< UP" in line} == {"s2"}
 
 
-def test_overloaded_discovery_is_asked_late_and_for_changes_only():
-    # Dozens of balancers that request the full list at once would keep discovery overloaded.
-    harness = BalancerHarness("up", "up")
-    harness.run(500)
-    harness.send_list(b"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n")
-    harness.run(8000)
-    after = [(at, path) for at, path in harness.discovery_requests if at > 500]
-    assert 3000 <= after[0][0] <= 8000 and harness.counters["discovery failures"] == 1, after
-    assert not any(path == "/registry/instances" for _, path in harness.discovery_requests)
+@pytest.mark.parametrize(
+    "discovery, earliest, latest", [("on_request", 1250, 3750), ("pushed", 50, 150)]
+)
+def test_overloaded_discovery_is_asked_late_and_for_changes_only(discovery, earliest, latest):
+    # Dozens of balancers that request the full list at once would keep discovery overloaded. A
+    # change counts as known 6 s after discovery had it, though, and where lists are pushed as soon
+    # as the agent on the same machine has it: the next call may not come later either.
+    pauses = set()
+    for seed in range(6):
+        harness = BalancerHarness("up", "up", seed=str(seed), discovery=discovery)
+        harness.run(2500)
+        refused, overloaded = len(harness.discovery_requests), b"HTTP/1.1 503 Later\r\n"
+        for _ in range(2):  # first the call that waits, then one that does not
+            harness.send_list(overloaded + b"Content-Length: 0\r\n\r\n")
+            harness.run(1)
+        harness.run(8000)
+        times = [at for at, _ in harness.discovery_requests[refused : refused + 2]]
+        assert times[0] - 2500 <= latest + 2 and harness.counters["discovery failures"] == 2
+        assert earliest <= times[1] - times[0] <= latest + 2, times
+        assert not any(path == "/registry/instances" for _, path in harness.discovery_requests)
+        pauses.add(times[1] - times[0])
+    assert len(pauses) > 3, pauses
     harness.client("c1", OPEN)
     harness.run(100)
     assert any("c1 < UP" in line for line in harness.trace)
