--- a/corklift/recovery/driver.py
+++ b/corklift/recovery/driver.py
@@ -206,11 +206,9 @@
                 self._resumed = True
                 if self._peers:
                     self._peers.resume(*self.core.next_incarnation, self.core.max_balancers)
+            self._update_members(now)
             if self._peers and self._resumed:
                 membership = self._peers.core
-                self.core.members_changed(
-                    now, [record.name for record in membership.live_members], membership.admitted
-                )
                 if (
                     membership.own_record.incarnation,
                     membership.own_record.restart_count,
@@ -233,6 +231,14 @@
             due = self.core.tick(self._scheduler.now())
             self._scheduler.wait({}, min(due, now + self._period // POLLS_PER_PERIOD))
 
+    def _update_members(self, now: int) -> None:
+        """Passes on to the core which members live now, once this process takes part."""
+        if self._peers and self._resumed:
+            membership = self._peers.core
+            self.core.members_changed(
+                now, [record.name for record in membership.live_members], membership.admitted
+            )
+
     # Host of the recovery core
 
     def request_state(self, request_id: int, name: str, message: StateRequest, until: int) -> None:
@@ -537,6 +543,9 @@
             outcomes.append((outcome, copies, wanted))
             self._scheduler.wake(task)
 
+        # Operators see the present members, so the override is sent to these, and not to those of
+        # the last look.
+        self._update_members(self._scheduler.now())
         self.core.set_out_of_service(self._scheduler.now(), name, out_of_service, on_outcome)
         while not outcomes:
             self._scheduler.wait({}, self._scheduler.now() + self._period)
