--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -160,10 +160,16 @@
         twins = [fleet.proxy(service, node="twin") for _ in range(3)]
         for twin in twins:
             fleet.wait_for_servers(twin, *ALL_SERVERS)
-        answer = fetch_status(("127.0.0.1", service.port), node="twin")
-        assert len(answer.config) == 3 and all(
-            row["view"] == "synced" for row in status_rows(answer)
-        )
+
+        def twins_are_synced():
+            # "synced" follows the ACK, which may still be under way when the twin has its servers.
+            answer = fetch_status(("127.0.0.1", service.port), node="twin")
+            assert len(answer.config) == 3
+            rows = list(status_rows(answer))
+            assert {row["view"] for row in rows} <= {"synced", "stale", "not_sent"}
+            return len(rows) == 3 * 4 and all(row["view"] == "synced" for row in rows)
+
+        wait_for(twins_are_synced)
         fleet.mark("s3", "leaving")
         for twin in twins:
             fleet.wait_for_servers(twin, "s1", "s2")
