--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -68,14 +68,12 @@
         """Takes new draw probabilities; returns whether they are published. Call `may_publish`
         first.
 
-        Without any probabilities, the ready servers stay with even weights while all logins are
-        dropped.
+        Without any probabilities, or with zeros only, the ready servers stay with even weights
+        while all logins are dropped.
         """
-        if probabilities:
-            dropped = max(
-                0, min(TOTAL_WEIGHT, round((1.0 - sum(probabilities.values())) * TOTAL_WEIGHT))
-            )
-            total = sum(probabilities.values())
+        total = sum(probabilities.values())
+        if total > 0:
+            dropped = max(0, min(TOTAL_WEIGHT, round((1.0 - total) * TOTAL_WEIGHT)))
             weights = {
                 name: max(MIN_WEIGHT, round(probability / total * TOTAL_WEIGHT))
                 for name, probability in sorted(probabilities.items())
--- /dev/null
+++ b/tests/test_cold_weights.py
@@ -0,0 +1,182 @@
+"""The weights of cold servers, by figures in virtual time: no proxy connects, no clock runs.
+
+The control service's own update step publishes the weights. `VirtualFleet` places and reports
+logins by them, each at the time that the test says.
+"""
+
+from collections import Counter
+from random import Random
+
+from fleet import CONFIG
+
+from corklift.control.config import parse_config
+from corklift.control.program import UPDATE_INTERVAL, Program
+from corklift.control.weights import TOTAL_WEIGHT, WeightPublisher, WeightSettings
+from corklift.interface import Outcome, Scope, Status
+from corklift.net.limits import MS, SECOND
+from corklift.net.parsers import Listing, ServerEntry
+
+STEP = 10 * MS
+MULTIPLE = 3.0
+COLD_TABLE = "\n[cold]\nstart_share = 0.3\nramp_ms = %d\nmultiple = 3.0\n"
+
+
+class VirtualFleet:
+    """A control service, its servers and its proxies, in steps of virtual time.
+
+    Proxies apply new weights `apply_delay` after they are published. Each of them reports its
+    logins every `report_interval`; a report arrives `report_delay` later. With a seed, proxies draw
+    at random, otherwise in exact proportion to the weights.
+    """
+
+    def __init__(
+        self,
+        weights_ms=500,
+        login_rate=120,
+        apply_delay=0,
+        report_interval=200 * MS,
+        report_delay=0,
+        proxies=20,
+        seed=None,
+        size=100,
+        ramp=4 * SECOND,
+    ):
+        self.now = 1_000 * SECOND
+        self.login_rate, self.apply_delay, self.report_interval, self.report_delay = (
+            login_rate,
+            apply_delay,
+            report_interval,
+            report_delay,
+        )
+        self.size, self.ramp = size, ramp  # connections that fill a server; its warm-up time
+        table = COLD_TABLE % (ramp // MS)
+        text = CONFIG % (1, "", f"{table}[weights]\nevery_ms = {weights_ms}")
+        self.program = Program(parse_config(text.encode()), now=lambda: self.now)
+        self.program.server._listener.close()  # nobody connects
+        self.rng = None if seed is None else Random(seed)
+        self.servers = [f"s{number}" for number in range(1, 6)]
+        self.utilisation = dict.fromkeys(self.servers, 0.4)
+        self.views = []  # (when proxies apply it, weights), oldest first
+        self.exact_parts = Counter()  # fractions of logins, without a seed
+        self.unreported = [Counter() for _ in range(proxies)]
+        self.reports = []  # (when it arrives, server, count)
+        self.placed = []  # (at, server)
+        self.arrived = 0
+        self.list_servers({name: 1 for name in self.servers})
+
+    def list_servers(self, started_at, status=Status.READY):
+        entries = tuple(
+            ServerEntry(name, ("127.0.0.1", 1), "", "", 0, status, 1.0, at)
+            for name, at in started_at.items()
+        )
+        self.program.apply_listing(Scope.DELTA, Listing(1, False, entries, 0))
+
+    def restart(self, name):
+        self.list_servers({name: self.now})
+        self.utilisation[name] = 0.0
+
+    def probe(self):
+        facade = self.program.facade
+        for name in self.servers:
+            values = {"inflight": self.size * self.utilisation[name], "x0": self.utilisation[name]}
+            facade.probe_finished(facade._server_id(name), Outcome.FULFILLED, MS, values)
+        facade._probe_queue.clear()
+
+    def published(self):
+        return self.program.weights.published.get("plain")
+
+    def run(self, duration):
+        until = self.now + duration
+        while self.now < until:
+            if self.now % SECOND == 0:
+                self.probe()
+            if self.now % UPDATE_INTERVAL == 0:
+                self.program._update_weights(self.now)
+            view = self.published()
+            if view is not None and (not self.views or self.views[-1][1] != view):
+                self.views.append((self.now + self.apply_delay, view))
+            self._place()
+            self._report()
+            self.now += STEP
+
+    def _place(self):
+        view = next((view for at, view in reversed(self.views) if at <= self.now), None)
+        due = (self.now % SECOND + STEP) * self.login_rate // SECOND
+        due -= self.now % SECOND * self.login_rate // SECOND
+        for _ in range(due if view is not None else 0):
+            server = self._draw(view)
+            proxy = self.unreported[self.arrived % len(self.unreported)]
+            self.arrived += 1
+            proxy[server] += 1
+            if server is not None:
+                self.placed.append((self.now, server))
+
+    def _draw(self, view):
+        names = [*view.weights, None]
+        kept, total = TOTAL_WEIGHT - view.dropped, sum(view.weights.values())
+        shares = [weight / total * kept / TOTAL_WEIGHT for weight in view.weights.values()]
+        shares.append(view.dropped / TOTAL_WEIGHT)
+        if self.rng is not None:
+            return self.rng.choices(names, shares)[0]
+        self.exact_parts.update(dict(zip(names, shares, strict=True)))
+        name = max(names, key=lambda name: self.exact_parts[name])
+        self.exact_parts[name] -= 1
+        return name
+
+    def _report(self):
+        for number, counts in enumerate(self.unreported):
+            phase = number * self.report_interval // len(self.unreported) // STEP * STEP
+            if (self.now - phase) % self.report_interval == 0 and counts:
+                self.reports += [
+                    (self.now + self.report_delay, server, count)
+                    for server, count in counts.items()
+                ]
+                counts.clear()
+        arrived = [report for report in self.reports if report[0] <= self.now]
+        self.reports = [report for report in self.reports if report[0] > self.now]
+        for _, server, count in arrived:
+            if server is not None:
+                self.program.record_placements("plain", server, count, 0)
+
+    def bearable(self, age):
+        """The logins that a cold server bears in a second, this long after its start."""
+        warm_share = 0.3 + 0.7 * min(1.0, age / self.ramp)
+        return MULTIPLE * warm_share * self.size * SECOND / self.ramp
+
+    def worst_second(self, server, restarted_at):
+        """The largest share of what the cold server bears that was placed there in one second."""
+        times = [at for at, name in self.placed if name == server and at >= restarted_at]
+        assert times, "the cold server is offered to no proxy"
+        return max(
+            sum(at - SECOND < other <= at for other in times) / self.bearable(at - restarted_at)
+            for at in times
+        )
+
+
+def play_restart(**options):
+    """A server leaves and returns cold under load; returns the fleet and the worst second."""
+    fleet = VirtualFleet(**options)
+    fleet.run(3500 * MS)
+    fleet.list_servers({"s1": 1}, Status.DRAINING)
+    fleet.run(1200 * MS)
+    restarted_at = fleet.now
+    fleet.restart("s1")
+    fleet.run(4 * SECOND)
+    assert "exceptions" not in fleet.program.counters
+    return fleet, fleet.worst_second("s1", restarted_at)
+
+
+def test_if_nothing_may_be_sent_to_the_only_candidate_all_logins_are_dropped():
+    fleet = VirtualFleet()
+    fleet.utilisation = dict.fromkeys(fleet.servers, 0.99)
+    fleet.run(3 * SECOND)
+    fleet.restart("s1")
+    # Proxies report more on the cold server, the only one that is not full, than it bears.
+    fleet.program.record_placements("plain", "s1", 600, 0)
+    for _ in range(20):
+        fleet.run(50 * MS)
+        assert fleet.published().dropped == TOTAL_WEIGHT
+    assert "exceptions" not in fleet.program.counters
+    publisher = WeightPublisher(WeightSettings(interval=SECOND, dead_band=0.05))
+    assert publisher.publish(0, "w", {"a": 0.0}, ["a", "b"])
+    assert publisher.published["w"] == ({"a": 5000, "b": 5000}, TOTAL_WEIGHT)
