--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -1,4 +1,4 @@
-"""Adapts the event-driven `Balancer` to the blocking style of the network tasks.
+"""Adapts the event-driven `Balancer` to the network tasks, which block.
 
 The facade owns the only Balancer of the process, drives its timers, and maps the ids that it uses
 to names and addresses. Network code sees hand-off targets and rejections only. The facade touches
@@ -16,6 +16,7 @@
 from typing import Any, NamedTuple
 
 from corklift.interface import (
+    Effect,
     ListedServer,
     Login,
     MeasurementKind,
@@ -39,11 +40,15 @@
 
 
 class HandOffTarget(NamedTuple):
-    """The server that a login is handed to, and when the hand-off is given up."""
+    """The server that a login is handed to, and when the hand-off is given up.
+
+    The login's first byte may only be sent before `send_before`.
+    """
 
     server: int
     address: tuple[str, int]
     cut_at: int
+    send_before: int
 
 
 class Rejection(NamedTuple):
@@ -56,8 +61,11 @@
 class LoginHandle:
     """The relay's handle of a login under way, or of the connection that it became."""
 
-    def __init__(self, number: int, task: Task, time_limit_at: int) -> None:
+    def __init__(self, number: int, task: Task, time_limit_at: int, workload: Workload) -> None:
         self.number, self.task, self.time_limit_at = number, task, time_limit_at
+        self.workload = workload  # as in the settings when the login came
+        # When servers may no longer recognise a repeat of a tagged login that may have run.
+        self.repeat_before: int | None = None
         self.decision: HandOffTarget | Rejection | None = None
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
@@ -92,7 +100,6 @@
         self._workloads: dict[str, int] = {}  # index by name of the workloads in the settings
         # All workloads since the start: connections may belong to one that a reload has removed.
         self._all_workloads: list[Workload] = []
-        self._all_indices: dict[str, int] = {}  # of these, by name
         arguments = self._prepare_arguments(
             arguments, report_names, measurement, localities, machine_types
         )
@@ -172,10 +179,10 @@
         ):
             for name in names:
                 known_indices.setdefault(name, len(known_indices))
+        indices = {workload.name: index for index, workload in enumerate(self._all_workloads)}
         self._workloads = {}
         for workload in arguments["workloads"]:
-            index = self._all_indices.setdefault(workload.name, len(self._all_indices))
-            self._workloads[workload.name] = index
+            index = self._workloads[workload.name] = indices.setdefault(workload.name, len(indices))
             self._all_workloads[index : index + 1] = [workload]
         zone = arguments["zone"]
         self._arguments = arguments | {
@@ -206,27 +213,30 @@
     def time_limit(self, login_request: LoginRequest) -> int:
         return self._all_workloads[self._workloads[login_request.workload]].time_limit
 
-    def place_login(
-        self, login_request: LoginRequest, time_limit_at: int
-    ) -> tuple[LoginHandle, HandOffTarget | Rejection]:
-        """Registers a new login and blocks until its target or rejection is decided."""
+    def place_login(self, login_request: LoginRequest, time_limit_at: int) -> LoginHandle:
+        """Registers a new login; its task is woken when its target or rejection is decided."""
         self.before_placement()
         rejection = self.admission_check(login_request, self._next_login)
-        handle = self._new_login(time_limit_at)
+        handle = self._new_login(time_limit_at, login_request)
         if rejection is not None:
-            return handle, rejection
+            handle.decision = rejection
+            return handle
         now = self._scheduler.now()
         self._reports_valid_at = self._reports_valid_at or now + self._settle_time
         self._balancer.login_arrived(now, self._to_login(handle, login_request))
-        return handle, self._await_decision(handle)
+        return handle
 
     def report_failed_hand_off(
         self, handle: LoginHandle, outcome: Outcome, values: dict[str, float] | None = None
-    ) -> HandOffTarget | Rejection:
-        """Reports a hand-off that ended without a connection; blocks until the next decision."""
+    ) -> None:
+        """Reports a hand-off that ended without a connection; the next decision follows."""
         assert handle.target is not None
         now = self._scheduler.now()
         handle.decision = None
+        if handle.workload.effect is Effect.TAGGED and not outcome.proves_not_run:
+            handle.repeat_before = handle.repeat_before or (
+                handle.sent_at + handle.workload.dedup_window
+            )
         self.login_finished(handle.number, False)
         self._report_if_unresponsive(handle.target.server, outcome)
         self._balancer.hand_off_ended(
@@ -239,7 +249,15 @@
             now - handle.sent_at,
             self._to_report(values),
         )
-        return self._await_decision(handle)
+
+    def reject_undecided(self, handle: LoginHandle) -> Rejection:
+        """Ends a login that is undecided at its time limit.
+
+        Every login gets an answer in time, whatever the Balancer waits for.
+        """
+        self._counters["undecided at the time limit"] += 1
+        self.release_login(handle)
+        return Rejection(False, 0)
 
     def report_connected(self, handle: LoginHandle) -> None:
         """Reports that the hand-off has become a connection."""
@@ -256,19 +274,18 @@
             now - handle.sent_at,
         )
 
-    def report_restored(self, login_request: LoginRequest, server: int) -> LoginHandle:
-        """Reports that a connection from before the start is open again, at the same server."""
+    def report_restored(self, login_request: LoginRequest, target: HandOffTarget) -> LoginHandle:
+        """Reports that a connection from before the start is open again, at the same server.
+
+        In the meantime, the server may have left the list, and the workload the settings.
+        """
         now = self._scheduler.now()
         self._reports_valid_at = now + self._settle_time
-        handle = self._new_login(now)
-        handle.target, handle.hand_off_count, handle.sent_at = (
-            HandOffTarget(server, self._addresses[server], now),
-            1,
-            now,
-        )
+        handle = self._new_login(now, login_request)
+        handle.target, handle.hand_off_count, handle.sent_at = target, 1, now
         self._connection_count += 1
         handle.is_connected = True
-        self._balancer.connection_resumed(now, self._to_login(handle, login_request), server)
+        self._balancer.connection_resumed(now, self._to_login(handle, login_request), target.server)
         return handle
 
     def report_connection_end(
@@ -353,7 +370,7 @@
         """Returns the server with this name, without a deadline; None if it is unknown."""
         server = self._server_id(name)
         address = self._addresses.get(server)
-        return None if address is None else HandOffTarget(server, address, 0)
+        return None if address is None else HandOffTarget(server, address, 0, 0)
 
     # Called by the control service, whose proxies place logins themselves
 
@@ -546,7 +563,7 @@
             while self._probe_queue:
                 server = self._probe_queue.popleft()
                 if server in self._addresses:
-                    return HandOffTarget(server, self._addresses[server], 0)
+                    return HandOffTarget(server, self._addresses[server], 0, 0)
                 self.probe_finished(server, Outcome.NOT_CONNECTED, 0, None)
             self._scheduler.wait({})
 
@@ -595,11 +612,9 @@
 
     def hand_off(self, login: int, server: int, cut_at: int) -> None:
         handle = self._logins[login]
-        target = HandOffTarget(
-            server,
-            self._addresses[server],
-            min(cut_at or handle.time_limit_at, handle.time_limit_at),
-        )
+        cut_at = min(cut_at or handle.time_limit_at, handle.time_limit_at)
+        send_before = min(cut_at, handle.repeat_before or cut_at)
+        target = HandOffTarget(server, self._addresses[server], cut_at, send_before)
         handle.target, handle.decision = target, target
         handle.hand_off_count += 1
         handle.sent_at = self._scheduler.now()
@@ -666,10 +681,15 @@
             else stable_id(name, allow_hexadecimal=False)
         )
 
-    def _new_login(self, time_limit_at: int) -> LoginHandle:
+    def _workload_since_start(self, login_request: LoginRequest) -> int:
+        """Returns the index of an admitted login's workload, even if a reload has removed it."""
+        return self.workload_names().index(login_request.workload)
+
+    def _new_login(self, time_limit_at: int, login_request: LoginRequest) -> LoginHandle:
         if self._stop_answering_at is not None:
             time_limit_at = min(time_limit_at, self._stop_answering_at)
-        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at)
+        workload = self._all_workloads[self._workload_since_start(login_request)]
+        handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at, workload)
         self._next_login += 1
         self._logins[handle.number] = handle
         return handle
@@ -677,7 +697,7 @@
     def _to_login(self, handle: LoginHandle, login_request: LoginRequest) -> Login:
         return Login(
             handle.number,
-            self._all_indices[login_request.workload],  # a reload may have removed it meanwhile
+            self._workload_since_start(login_request),
             0,
             stable_id(login_request.subject),
             handle.time_limit_at,
@@ -687,17 +707,6 @@
             login_request.came_back,
         )
 
-    def _await_decision(self, handle: LoginHandle) -> HandOffTarget | Rejection:
-        while handle.decision is None:
-            now = self._scheduler.now()
-            if now >= handle.time_limit_at:
-                # Every login gets an answer in time, whatever the Balancer waits for.
-                self._counters["undecided at the time limit"] += 1
-                self.release_login(handle)
-                return Rejection(False, 0)
-            self._scheduler.wait({}, handle.time_limit_at)
-        return handle.decision
-
     def _report_if_unresponsive(self, server: int, outcome: Outcome) -> None:
         if outcome in (Outcome.TIMED_OUT, Outcome.NOT_CONNECTED, Outcome.BROKEN):
             self.server_unresponsive(server)
