--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -88,13 +88,13 @@
         self._accepting = True  # if False, clients stay in the queue of the listening socket
         self._socket_shared = False  # other processes accept from the same listening socket
         self.clients_elsewhere = 0  # clients of the other processes of this balancer
-        # Connections from before the start of this process that are being re-established.
-        self._restoring = 0
+        # Tasks that re-establish a connection from before the start of this process.
+        self._restoring: set[Task] = set()
 
     @property
     def in_flight(self) -> int:
         """Logins and connections that have not ended."""
-        return self._facade.in_flight + self._restoring
+        return self._facade.in_flight + len(self._restoring)
 
     @property
     def is_serving(self) -> bool:
@@ -366,7 +366,8 @@
         until = self._now() + min(
             self._limits.standing_time, request.max_wait or self._limits.standing_time
         )
-        self._restoring, is_counted = self._restoring + 1, True
+        task = self._scheduler.current
+        self._restoring.add(task)
         try:
             while self._now() < until:
                 target = self._facade.find_server(request.previous_server)
@@ -377,7 +378,7 @@
                     if result.server is not None:
                         try:
                             handle = self._facade.report_restored(request, target)
-                            self._restoring, is_counted = self._restoring - 1, False
+                            self._restoring.remove(task)
                             return self._run_connection(
                                 client, result.server, result.line, handle, request
                             )
@@ -385,10 +386,10 @@
                             result.server.close()
                     self._counters[f"standing connections {result.outcome.value}"] += 1
                 self._wait_for_client(client, self._now() + self._limits.standing_pause)
-        except ClientDisconnectedError:
+        except (ClientDisconnectedError, StopTimeOverError):
             pass
         finally:
-            self._restoring -= is_counted
+            self._restoring.discard(task)
         self._counters["standing connections lost"] += 1
         self._counters.count_answer("failed", request.workload)
         self._finish(client, FAILED)
@@ -714,7 +715,7 @@
     def _end_unanswered_logins(self) -> None:
         """Answers the logins that still wait for a server, and clients without a whole line."""
         self._rejecting_logins = True
-        for task in self._facade.tasks_of_hand_offs():
+        for task in (*self._facade.tasks_of_hand_offs(), *self._restoring):
             self._scheduler.interrupt(task, StopTimeOverError())
         for client, task in self._pending.items():
             self._evicted.add(client)
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -148,6 +148,19 @@
     assert not harness.counters["exceptions"]
 
 
+@pytest.mark.parametrize("behaviour", [hold, "reset"])
+def test_connection_that_is_being_restored_is_answered_before_the_end(behaviour):
+    # Its hand-off is out at a server that hangs, or it waits for the next try.
+    harness = BalancerHarness(behaviour)
+    harness.run(2000)
+    harness.client("c1", "OPEN 1 7f c=plain,at=s1\r\n")
+    harness.run(100)
+    assert stop(harness) <= 3600
+    harness.run(50)
+    assert answers(harness) == ["c1 FAILED"] and not harness.process.relay.in_flight
+    assert not harness.counters["exceptions"]
+
+
 @pytest.mark.parametrize("up_at, expected", [(3280, "c1 UP, c1 MOVE"), (3310, "c1 FAILED")])
 def test_up_in_the_last_moment_is_moved_or_never_passed_on(up_at, expected):
     patient = ONCE_ONLY | {"soft-limit-ns": 9800 * MS, "time-limit-ns": 10_000 * MS}
