--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -729,7 +729,12 @@
         """
         if self._socket_shared:
             return True
-        if not all([self._accept_batch(listener) for listener in self._listeners]):
+        try:
+            if not all([self._accept_batch(listener) for listener in self._listeners]):
+                return False
+        except OSError:
+            # An error of one client's connection, which must not end the stop for all others.
+            self._counters["accepts that failed"] += 1
             return False
         self.set_accepting(False)
         while self._listeners:
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -241,15 +241,15 @@
 
 
 class Door:
-    """A listening socket that can be out of descriptors for a while."""
+    """A listening socket whose accept can fail for a while."""
 
     def __init__(self, sock) -> None:
-        self._sock, self.is_short = sock, False
+        self._sock, self.error = sock, 0
         self.fileno, self.close, self.getsockname = sock.fileno, sock.close, sock.getsockname
 
     def accept(self):
-        if self.is_short:
-            raise OSError(errno.EMFILE, "no descriptor")
+        if self.error:
+            raise OSError(self.error, "accept")
         return self._sock.accept()
 
 
@@ -263,11 +263,12 @@
         pass
 
 
-def test_clients_queued_at_the_last_look_are_answered():
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.EPROTO])
+def test_clients_queued_at_the_last_look_are_answered(error):
     harness = BalancerHarness("up")
     harness.run(1500)
     door = harness.process.relay._listeners[0] = Door(harness.process.relay._listeners[0])
-    harness.spawn(lambda: (harness.sleep(400 * MS), setattr(door, "is_short", True)))
+    harness.spawn(lambda: (harness.sleep(400 * MS), setattr(door, "error", error)))
 
     def arrive():
         harness.sleep(450 * MS)
@@ -276,7 +277,7 @@
 
     harness.spawn(arrive)
     harness.client("warm", 10, None)  # the acceptor takes the new door with its next client
-    harness.spawn(lambda: (harness.sleep(900 * MS), setattr(door, "is_short", False)))
+    harness.spawn(lambda: (harness.sleep(900 * MS), setattr(door, "error", 0)))
     stop(harness)
     harness.run(50)
     assert answers(harness) == ["c0 BUSY", "c1 BUSY", "c2 BUSY"]
