--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -132,6 +132,11 @@
     # Maximum log lines waiting to be written.
     print_queue: int = 200
 
+    @property
+    def time_to_accept(self) -> int:
+        """How long clients are accepted after SIGTERM; some of the stop time is left for moves."""
+        return min(self.stop_accepting, self.stop_time - 2 * self.stop_margin)
+
     def time_to_move_connections(self, accepting: int) -> int:
         """Returns how long connections are moved once clients are no longer accepted.
 
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -676,7 +676,7 @@
         self._facade.answer_all_until(answer_at)
         if self._socket_shared:
             self.set_accepting(False)  # the next process accepts the queued clients
-        accept_time = 0 if self._socket_shared else limits.stop_accepting
+        accept_time = 0 if self._socket_shared else limits.time_to_accept
         self._scheduler.sleep(started_at + accept_time - self._now())
         self._rejecting_logins = not self._socket_shared
         move_time, max_count = limits.time_to_move_connections(accept_time), 0
--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -161,6 +161,22 @@
     assert not harness.counters["exceptions"]
 
 
+@pytest.mark.parametrize("limit", [60, 90, 200])
+def test_connections_are_moved_although_the_time_limits_are_short(limit):
+    # SIGKILL comes 0.7 s after the longest one, hardly later than the last new clients.
+    times = {"soft-limit-ns": limit * MS // 2, "time-limit-ns": limit * MS}
+    harness = BalancerHarness("up", workloads=[PLAIN | times])
+    harness.run(2000)
+    for number in range(5):
+        harness.client(f"c{number}", login(f"c{number}", limit))
+    harness.run(100)
+    harness.client("c5", 200, login("c5", limit))
+    assert stop(harness) <= limit + 600
+    harness.run(50)
+    expected = {f"c{number} {word}" for number in range(6) for word in ("UP", "MOVE")}
+    assert set(answers(harness)) == expected and len(answers(harness)) == 12
+
+
 @pytest.mark.parametrize("up_at, expected", [(3280, "c1 UP, c1 MOVE"), (3310, "c1 FAILED")])
 def test_up_in_the_last_moment_is_moved_or_never_passed_on(up_at, expected):
     patient = ONCE_ONLY | {"soft-limit-ns": 9800 * MS, "time-limit-ns": 10_000 * MS}
