--- a/corklift/net/handover_driver.py
+++ b/corklift/net/handover_driver.py
@@ -50,6 +50,7 @@
         self._handover = Handover(0)
         self._has_yielded = False  # the learned state is part of the written state
         self._written_client_count = 0  # the client count in the state written last
+        self._is_written = True  # whether the last write succeeded; it is repeated otherwise
         # Load of the connections that ended at earlier processes and was already applied, by
         # generation and server.
         self._ended_loads: dict[tuple[int, int], float] = {}
@@ -142,6 +143,7 @@
         if self._files is not None:
             self._written_client_count = self._relay.client_count
             learned = self._facade.export_learned_state() if self._has_yielded else {}
+            was_written, self._is_written = self._is_written, False
             try:
                 self._files.write_state(
                     ProcessState(
@@ -152,9 +154,13 @@
                         learned,
                     )
                 )
+                self._is_written = True
             except OSError as problem:
                 self._counters["files that can't be written"] += 1
-                self._log(f"cannot write the state for the balancer's other processes: {problem}")
+                if was_written:  # told once, not at each look
+                    self._log(
+                        f"cannot write the state for the balancer's other processes: {problem}"
+                    )
 
     def _merge_overrides(self, states: list[ProcessState]) -> None:
         for name, out_of_service in (
@@ -170,6 +176,7 @@
             not self._files.has_changed()
             and not self._others_running
             and self._handover.stage is Stage.SERVING
+            and self._is_written
         ):
             return  # still the only process
         running, ended = self._files.read_others()
@@ -184,7 +191,9 @@
             self._apply_stage(running)
             self._write_state()
             running, _ = self._files.read_others()
-        if running and self._written_client_count != self._relay.client_count:
+        if not self._is_written or (
+            running and self._written_client_count != self._relay.client_count
+        ):
             self._write_state()
 
     def _apply_ended_connections(self, state: ProcessState) -> None:
--- a/tests/test_crossings_succession.py
+++ b/tests/test_crossings_succession.py
@@ -15,6 +15,9 @@
 import pytest
 from real_process import CONFIG, LOGIN, RealProcess, read_all
 
+from corklift.net.handover_driver import HandoverDriver
+from corklift.net.limits import Counters
+
 # A process has opened the shared socket and written its first state, and nothing of it runs yet.
 START = "corklift.net.handover_driver:HandoverDriver.join"
 
@@ -189,3 +192,66 @@
             second = balancer.start_serving()
         assert [read_all(client) for client in queued] == [b"BUSY\r\n"] * 3
         assert ends_well(second)
+
+
+# The drivers of two processes, step by step
+
+
+class Stub:
+    """Stands for the relay and the decisions of a process; records what its driver sets."""
+
+    def __init__(self) -> None:
+        self.ready, self.accepts, self.on_standby, self.client_count = True, False, False, 0
+        self.clients_elsewhere = 0
+
+    def set_accepting(self, accepting):
+        self.accepts = accepting
+
+    def set_standby(self, wanted):
+        self.on_standby = wanted
+
+    def export_learned_state(self):
+        return {}
+
+    def import_learned_state(self, learned):
+        pass
+
+    def other_processes_ended(self):
+        pass
+
+
+def make_driver(directory):
+    stub, counters = Stub(), Counters()
+    log = []
+    driver = HandoverDriver(None, None, counters, log.append, stub, stub, str(directory), True)
+    driver.join()
+    return driver, stub, log
+
+
+@pytest.mark.parametrize("failures", [1, 3])
+def test_a_state_that_could_not_be_written_is_written_at_the_next_look(tmp_path, failures):
+    # The earlier process yields, but its disk is full: the later one must learn it all the same,
+    # or nobody accepts clients.
+    first, at_first, log = make_driver(tmp_path)
+    first._poll()
+    second, at_second, _ = make_driver(tmp_path)
+    second._poll()  # ready, and waits for the first
+    assert at_first.accepts and not at_second.accepts
+    write, left = first._files.write_state, [None] * failures
+
+    def write_state(state):
+        if left:
+            left.pop()
+            raise OSError(28, "no space")
+        write(state)
+
+    first._files.write_state = write_state
+    for _ in range(failures):
+        first._poll()
+        assert not at_first.accepts and at_first.on_standby
+        second._poll()
+        assert not (left and at_second.accepts)
+    first._poll()
+    second._poll()
+    assert at_second.accepts and not at_first.accepts
+    assert len([line for line in log if line.startswith("cannot write")]) == 1
