--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -539,19 +539,22 @@
         report_at = 0  # when the unanswered line is reported next
         close_at = 0  # when the wait for the other side's close ends; 0 while both are open
         while True:
-            try:
-                lines = self._forward_lines(server, client)
-            except LineTooLongError:
-                # The server sends garbage; the client is told to log in again.
-                self._counters["bad lines of servers (over-long)"] += 1
-                return Outcome.ERROR, MOVE
-            for line in lines:
+            server_lines: list[bytes] = []
+            client_lines: list[bytes] = []
+            is_garbage = not self._forward_lines(server, client, server_lines)
+            for line in server_lines:
                 if line.startswith(b"LOAD "):
                     self._report_measurement(handle, line)
                     continue
                 last_keyword = line.rstrip(b"\r\n").split(b" ")[0].decode("latin-1")
                 unanswered_since = 0
-            if self._forward_lines(client, server) and not unanswered_since:
+            if is_garbage:
+                # The client is told to log in again, unless the server has ended the connection.
+                self._counters["bad lines of servers (over-long)"] += 1
+                return Outcome.ERROR, b"" if last_keyword in OUTCOME_BY_LAST_LINE else MOVE
+            if not self._forward_lines(client, server, client_lines):
+                raise LineTooLongError
+            if client_lines and not unanswered_since:
                 unanswered_since = self._now()
                 report_at = unanswered_since + self._limits.unanswered_line_time
             if unanswered_since and report_at <= self._now():
@@ -561,6 +564,9 @@
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
+            if (server.broken or handle.to_move) and last_keyword in OUTCOME_BY_LAST_LINE:
+                # The client has read the server's ending: no reset or MOVE may follow it.
+                return OUTCOME_BY_LAST_LINE[last_keyword], b""
             if server.broken:
                 client.abort()
                 return Outcome.BROKEN, b""
@@ -575,6 +581,8 @@
             timed_out = (
                 unanswered_since and self._now() >= unanswered_since + self._limits.silent_time
             )
+            if timed_out and last_keyword in OUTCOME_BY_LAST_LINE:
+                return OUTCOME_BY_LAST_LINE[last_keyword], b""
             if (handle.to_move or timed_out) and client.send_buffer.free_bytes >= len(MOVE):
                 self._counters["clients moved from silence" if timed_out else "clients moved"] += 1
                 return Outcome.TIMED_OUT if timed_out else Outcome.CANCELLED, MOVE
@@ -599,15 +607,19 @@
                 elif events:
                     stream.receive()
 
-    def _forward_lines(self, source: Stream, sink: Stream) -> list[bytes]:
-        """Forwards the complete lines that fit into the sink's send buffer, and returns them."""
-        lines = []
+    def _forward_lines(self, source: Stream, sink: Stream, lines: list[bytes]) -> bool:
+        """Forwards the complete lines that fit into the sink's send buffer, and appends them.
+
+        Returns False if the next line exceeds the limit.
+        """
+        within_limit = True
         while True:
             length = source.receive_buffer.line_length()
             if length > self._limits.line or (
                 not length and len(source.receive_buffer) >= self._limits.line
             ):
-                raise LineTooLongError
+                within_limit = False
+                break
             if not length and source.peer_closed:
                 length = len(source.receive_buffer)  # the rest, without a line end
             if not length or sink.send_buffer.free_bytes < length:
@@ -616,7 +628,7 @@
             sink.send_buffer.append(line)
             lines.append(line)
         sink.flush()
-        return lines
+        return within_limit
 
     def _report_measurement(self, handle: LoginHandle, line: bytes) -> None:
         try:
