--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -22,6 +22,10 @@
 # A change of the server list counts as known at the latest this long after discovery had it and
 # could be reached, whatever calls have failed meanwhile. The operators set this time, not a key.
 LIST_DEADLINE = 6 * SECOND
+# A connection that brings nothing back is moved within this time, by the protocol. Its client sends
+# a line at this interval, so that much may pass before there is a line to answer.
+SILENCE_DEADLINE = 7 * SECOND
+CLIENT_LINE_INTERVAL = 2 * SECOND
 
 
 class ConfigError(Exception):
@@ -82,7 +86,7 @@
     # Time after such a connection is up until load reports are certain to include it.
     settle_time: int = 1500 * MS
     # If a line has had no answer for so long, its client is moved to another server.
-    silent_time: int = 5 * SECOND
+    silent_time: int = SILENCE_DEADLINE - CLIENT_LINE_INTERVAL - 500 * MS
     # Time to pass on the end of a connection and for the other side to close.
     end_time: int = 700 * MS
     # How long discovery may hold a request of the list watch. This time, `watch_slack`, a pause and
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -591,7 +591,11 @@
                 close_at = self._now() + self._limits.end_time
             if close_at and self._now() >= close_at:
                 return Outcome.CANCELLED, b""
-            until = close_at or (report_at if unanswered_since else None)
+            until = close_at or (
+                min(report_at, unanswered_since + self._limits.silent_time)
+                if unanswered_since
+                else None
+            )
             fds = {}
             for stream in (client, server):
                 mask = READ if stream.receive_buffer.free_bytes and not stream.peer_closed else 0
