--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -331,6 +331,10 @@
             # would request the full list from a discovery that is overloaded already.
             raise Overbooked(f"status {response.status}")
         content = parse_listing(response.json())
+        if content.version < self._index if self._index is not None else not content.is_full:
+            # It does not follow the known list: an earlier answer that comes late, or discovery has
+            # started anew. Only the full list, from a new connection, tells what holds.
+            raise Malformed("an earlier version, or changes of no known one")
         self._counters["discovery answers"] += 1
         if content.unreadable_count:
             self._counters["discovery entries that can't be read"] += content.unreadable_count
@@ -338,7 +342,14 @@
         self._index, self.has_answered = content.version, True
 
     def _connected_stream(self, until: int) -> Stream:
-        """Returns the kept connection, or a new one."""
+        """Returns the kept connection, or a new one if that was closed or has unexpected data.
+
+        Such data would be taken for the answer to the next call.
+        """
+        if self._stream is not None:
+            self._stream.receive()
+            if self._stream.peer_closed or self._stream.broken or len(self._stream.receive_buffer):
+                self._close_stream()
         if self._stream is None:
             self._stream = connect(self._scheduler, self._limits, self._address, until)
         return self._stream
@@ -358,7 +369,7 @@
                 # stall for longer, so that a slow but complete one is taken.
                 stall = self._limits.watch_stall << min(self._failures, 8)
                 until = min(ends_at, self._scheduler.now() + stall)
-            elif stream.broken:
+            elif stream.broken or (stream.peer_closed and not response.ends_with_connection):
                 raise Gone
             elif stream.peer_closed:
                 response.connection_closed()
--- a/corklift/net/parsers.py
+++ b/corklift/net/parsers.py
@@ -263,12 +263,19 @@
                 self._parse_plain_body()
         if len(self._body) > self._max_body_bytes:
             raise MessageTooLongError("body too long")
+        if self.done and self._bytes:
+            self.keep_alive = False  # what follows would be taken for the next message
+
+    @property
+    def ends_with_connection(self) -> bool:
+        """Returns whether the header states no length, so that the end of the connection counts."""
+        return self.header_done and self._until_close
 
     def connection_closed(self) -> None:
         """Ends a message without a stated length; any other incomplete message is invalid."""
         self.keep_alive = False
         if not self.done:
-            if not (self.header_done and self._until_close):
+            if not self.ends_with_connection:
                 raise Malformed("message cut off")
             self.done = True
 
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -25,6 +25,7 @@
     path: str
     address: int  # number of the discovery that got it, from 1
     stream: Stream
+    known: int | None  # the version that the balancer had applied
 
     @property
     def index(self) -> int | None:
@@ -108,7 +109,8 @@
         address = int(name.rpartition(" ")[2] or 1)
         for line in self.read_lines(stream):
             if line.startswith("GET"):
-                call = Call(self.at, line.split()[1], address, stream)
+                known = self.applied[-1][1] if self.applied else None
+                call = Call(self.at, line.split()[1], address, stream, known)
                 self.calls.append(call)
                 (self.script.pop(0) if self.script else self.usual)(self, call)
             if stream.closed:
@@ -290,3 +292,223 @@
         assert calls[number + 1] - calls[number] <= (stall + pause << number) + TURN_MS, calls
     # After an answer the next stall is given up as early as the first.
     assert harness.calls[5].wait and calls[5] - calls[4] <= stall + pause + TURN_MS, calls
+
+
+# Versions
+
+
+def full_list(harness, version: int, status: str = "active") -> dict:
+    entries = [harness.list_entry("s1", status), harness.list_entry("s2")]
+    return {"index": version, "snapshot": True, "endpoints": entries}
+
+
+def change(harness, version: int, status: str) -> dict:
+    entries = [harness.list_entry("s1", status)]
+    return {"index": version, "snapshot": False, "endpoints": entries}
+
+
+def watching(version: int = 5) -> ScriptedDiscovery:
+    """A balancer whose watch waits for a change of the given version; the test answers it."""
+    harness = ScriptedDiscovery(ScriptedDiscovery.answer, silent)
+    harness.list_version = version
+    harness.run_until(lambda: harness.calls and harness.calls[-1].wait)
+    assert harness.calls[-1].index == version
+    return harness
+
+
+def reset_by(harness, call) -> None:
+    call.stream.abort()
+
+
+@pytest.mark.parametrize("shown", ["nothing", "half", "all but the last byte", "all"])
+@pytest.mark.parametrize("end", ["reset", "end"])
+def test_watch_that_ends_with_a_change_is_asked_from_the_version_that_was_applied(shown, end):
+    harness = watching()
+    harness.list_version, harness.leaving_since = 6, 6
+    watch = harness.calls[-1]
+    whole = harness.http(call=watch)
+    size = {"nothing": 0, "half": len(whole) // 2, "all but the last byte": len(whole) - 1}
+    harness.write(watch.stream, whole[: size.get(shown, len(whole))])
+    count = len(harness.calls)
+    # In the same moment, before the balancer has run.
+    watch.stream.abort() if end == "reset" else watch.stream.shutdown_write()
+    harness.run_until(lambda: len(harness.calls) > count)
+    asked = harness.calls[count]
+    assert asked.index == asked.known, asked
+    if end == "end":
+        assert asked.known == (6 if shown == "all" else 5)
+        assert harness.counters["discovery failures"] == (0 if shown == "all" else 1)
+    harness.run_until(harness.drains_s1)
+    assert harness.calls[count].at - watch.at < 1000 and harness.counters["exceptions"] == 0
+    # None of these asked for the whole list: the known version was good all the time.
+    assert not any(call.index is None for call in harness.calls)
+
+
+def test_kept_connection_that_discovery_closes_between_two_calls_is_no_failure():
+    def answer_and_close(harness, call) -> None:
+        harness.answer(call)
+        call.stream.shutdown_write()
+
+    harness = ScriptedDiscovery()
+    harness.usual = answer_and_close
+    harness.run(7000)
+    assert len(harness.calls) >= 3 and harness.counters["discovery failures"] == 0
+    assert {call.index for call in harness.calls} == {1}
+
+
+@pytest.mark.parametrize("kind", ["change", "full list"])
+@pytest.mark.parametrize("in_time", [True, False])
+def test_earlier_version_is_never_applied_over_a_later_one(kind, in_time):
+    # An answer of before comes after the drain, in one piece with it or after the next call was
+    # sent. The balancer asks for the full list, once, and takes that of whatever version.
+    harness = watching()
+    stream = harness.calls[-1].stream
+    drain = harness.http(change(harness, 6, "leaving"))
+    late = harness.http((change if kind == "change" else full_list)(harness, 4, "active"))
+    harness.list_version, harness.leaving_since = 6, 6
+    count = len(harness.calls)
+    harness.write(stream, drain + (late if in_time else b""))
+    harness.run_until(lambda: len(harness.calls) > count)
+    assert harness.drains_s1() and harness.calls[count].index == 6
+    if not in_time:
+        assert harness.calls[count].stream is stream
+        harness.write(stream, late)
+    harness.run(100)
+    assert 4 not in [version for _, version, _ in harness.applied]
+    assert harness.drains_s1()
+    asked_anew = [call for call in harness.calls if call.index is None]
+    assert len(asked_anew) == (0 if in_time else 1)
+    assert all(call.stream is not stream for call in harness.calls[count + (not in_time) :])
+
+
+def test_full_list_of_an_earlier_version_is_taken_if_it_was_asked_for():
+    # Discovery has started anew and counts from the beginning.
+    harness = watching(50)
+    harness.list_version, harness.leaving_since = 2, 2
+    harness.usual = lambda harness, call: (
+        harness.hold(call) if call.index == 2 else None,
+        harness.write(call.stream, harness.http(full_list(harness, 2, "leaving"))),
+    )
+    harness.calls[-1].stream.abort()
+    harness.run_until(harness.drains_s1)
+    asked = [call.index for call in harness.calls if call.index not in (1, 50)]
+    assert asked[:2] == [None, 2], asked
+    harness.run(4000)
+    assert harness.counters["discovery failures"] == 2  # the reset, and the earlier version
+
+
+def test_change_before_any_list_is_not_taken_for_the_list():
+    harness = ScriptedDiscovery(
+        lambda harness, call: harness.write(
+            call.stream, harness.http(change(harness, 7, "leaving"))
+        ),
+        known=False,
+    )
+    harness.run_until(lambda: len(harness.applied) >= 1)
+    assert [call.index for call in harness.calls[:2]] == [None, None]
+    assert harness.applied[0][1:] == (1, True) and not harness.drains_s1()
+
+
+@pytest.mark.parametrize("order", [(8, "full", 9), (9, "full", 8), ("full", 9, 8)])
+def test_changes_that_cross_a_full_list_leave_the_latest_state(order):
+    # Two changes and the full list, each the answer to one call: s1 drains in version 8 and is
+    # active again in 9; the full list is of version 8.
+    harness = watching()
+    contents = {
+        8: change(harness, 8, "leaving"),
+        9: change(harness, 9, "active"),
+        "full": full_list(harness, 8, "leaving"),
+    }
+    harness.script = [
+        lambda harness, call, content=contents[part]: harness.write(
+            call.stream, harness.http(content)
+        )
+        for part in order
+    ]
+    harness.list_version, harness.leaving_since = 9, None
+    harness.calls[-1].stream.abort()
+    harness.run_until(lambda: not harness.script and harness.calls[-1].index == 9)
+    harness.run(200)
+    assert not harness.drains_s1()
+    versions = [version for _, version, _ in harness.applied]
+    assert versions == sorted(versions), versions
+
+
+# SIGHUP
+
+
+@pytest.mark.parametrize("moved", ["before the answer", "after it", "within it", "as it is read"])
+def test_answer_of_the_discovery_before_is_not_applied_after_a_reload(moved):
+    harness = watching()
+    watch = harness.calls[-1]
+    drain = harness.http(change(harness, 6, "leaving"))
+    if moved == "within it":
+        harness.write(watch.stream, drain[:-1])
+        harness.run(20)
+    if moved == "after it":
+        harness.write(watch.stream, drain)
+    elif moved == "as it is read":
+        # The watch is ready to run for the answer, but the reload runs before it.
+        move = harness.move_discovery_by_reload
+        harness.spawn(lambda: (harness.write(watch.stream, drain), harness.spawn(move)))
+    if moved != "as it is read":
+        harness.move_discovery_by_reload()
+    if moved in ("before the answer", "within it"):
+        harness.write(watch.stream, drain if moved == "before the answer" else drain[-1:])
+    harness.run_until(lambda: harness.calls[-1].address == 2 and harness.calls[-1].wait)
+    first = next(call for call in harness.calls if call.address == 2)
+    assert first.index is None and first.wait == 0
+    assert 6 not in [version for _, version, _ in harness.applied]
+    assert not harness.drains_s1() and harness.counters["exceptions"] == 0
+    watch.stream.receive()
+    assert watch.stream.peer_closed or watch.stream.broken
+
+
+@pytest.mark.parametrize("failure", [refuse, close, silent])
+def test_reload_ends_the_pause_after_a_failure_and_forgets_the_failures(failure):
+    harness = ScriptedDiscovery(discovery="on_request")
+    harness.usual = failure
+    harness.run_until(lambda: harness.counters["discovery failures"] >= 3)
+    harness.move_discovery_by_reload()
+    harness.usual = ScriptedDiscovery.answer
+    moved_at = harness.at
+    harness.run(50)
+    first = next(call for call in harness.calls if call.address == 2)
+    assert first.at - moved_at <= TURN_MS and first.index is None
+    assert harness.calls[-1].wait and harness.calls[-1].index == 1
+    assert all(call.address == 2 for call in harness.calls if call.at > moved_at)
+
+
+def test_reloads_in_quick_succession_end_at_the_last_address():
+    harness = watching()
+    harness.script = [silent, half, reset]
+    for number in range(4):  # within a call, an answer, a pause and a connect
+        harness.move_discovery_by_reload()
+        harness.run(30 * number)
+    harness.run(2000)
+    assert harness.calls[-1].address == 5 and harness.calls[-1].wait
+    assert next(call for call in harness.calls if call.address == 5).index is None
+    assert harness.counters["exceptions"] == 0
+
+
+def test_discovery_comes_back_with_a_drain_and_a_reload_follows_at_once():
+    harness = watching()
+    harness.usual = silent
+    harness.calls[-1].stream.abort()
+    harness.run(5000)
+    harness.drain()
+    harness.usual = ScriptedDiscovery.answer
+    back_at = harness.at
+    harness.run_until(harness.drains_s1)
+    assert harness.drained_at - back_at <= LIST_DEADLINE_MS
+    harness.move_discovery_by_reload()
+    count = len(harness.calls)
+    harness.run_until(lambda: len(harness.calls) >= count + 2)
+    assert [call.index for call in harness.calls[count : count + 2]] == [None, 6]
+    assert all(call.address == 2 for call in harness.calls[count:])
+    # From the first answer of the one to the first of the other, nothing is placed at s1.
+    for number in range(6):
+        harness.client(f"c{number}", "OPEN 1 7f c=plain,d=2000,x=9\r\n")
+    harness.run(300)
+    ups = {line.split()[-1] for line in harness.trace if "< UP" in line}
+    assert ups == {"s2"}, ups
