--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -487,6 +487,8 @@
         servers = []
         for entry in content.entries:
             server = self._server_id(entry.name)
+            if self._addresses.get(server, entry.address) != entry.address:
+                self.close_probe_connection(server)  # it leads to the process of before
             self._names[server], self._addresses[server] = entry.name, entry.address
             servers.append(
                 ListedServer(
@@ -513,6 +515,8 @@
         in_use = {
             handle.target.server for handle in self._logins.values() if handle.target is not None
         }
+        for server in gone & self._addresses.keys():
+            self.close_probe_connection(server)
         # Forgets servers that are gone, so that memory does not grow with every former server.
         for server in gone - in_use - self._out_of_service.keys():
             for mapping in (self._names, self._addresses):
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -103,17 +103,19 @@
         """
         for server, queue in self._queues.items():
             if not queue and self._tasks[server].pending_exception is None:
-                self._scheduler.interrupt(self._tasks[server], Gone())
+                self._counters["probe connections that made way"] += 1
+                self._scheduler.interrupt(self._tasks[server], ProbingStoppedError())
                 return True
         return False
 
     def _probe_task(self, server: int) -> None:
-        queue, dropped_outcome = self._queues[server], Outcome.BROKEN
+        queue = self._queues[server]
         try:
             while True:
                 while queue:
-                    self._probe(server, queue[0].address)
-                    queue.popleft()
+                    result = self._probe(server, queue[0].address)
+                    queue.popleft()  # before the report, which may raise: one result per probe
+                    self._facade.probe_finished(server, *result)
                 until = self._scheduler.now() + self._idle_time
                 stream = self._connections.get(server)
                 self._scheduler.wait({stream.fd: READ} if stream is not None else {}, until)
@@ -124,23 +126,25 @@
                     self._close_connection(server)
                 elif self._scheduler.now() >= until:
                     return
-        except Gone:
-            self._counters["probe connections that made way"] += 1
         except ProbingStoppedError:
-            dropped_outcome = Outcome.NOT_SENT
+            pass
         finally:
             self._close_connection(server)
             del self._tasks[server], self._queues[server]
+            # This process has ended these probes, which says nothing about the server.
             for _ in queue:
-                self._facade.probe_finished(server, dropped_outcome, 0, None)
+                self._facade.probe_finished(server, Outcome.NOT_SENT, 0, None)
 
     def _close_connection(self, server: int) -> None:
         stream = self._connections.pop(server, None)
         if stream is not None:
             stream.close()
 
-    def _probe(self, server: int, address: tuple[str, int]) -> None:
-        started_at = self._scheduler.now()
+    def _probe(
+        self, server: int, address: tuple[str, int]
+    ) -> tuple[Outcome, int, dict[str, float] | None]:
+        """Returns the outcome of a probe, how long it took, and the load report."""
+        started_at = attempt_at = self._scheduler.now()
         until = started_at + self._limits.probe_time
         outcome, values = Outcome.BROKEN, None
         stream = self._connections.get(server)
@@ -152,7 +156,7 @@
                         self._scheduler,
                         self._limits,
                         address,
-                        min(until, started_at + self._limits.connect_time),
+                        min(until, attempt_at + self._limits.connect_time),
                     )
                     self._connections[server] = stream
                     self._counters["probe connections"] += 1
@@ -175,9 +179,11 @@
                 if is_new:
                     break
                 # The server may have closed an idle connection; that says nothing about its health.
-                stream, is_new = None, True
+                # The new connection has all of the time.
+                stream, is_new, attempt_at = None, True, self._scheduler.now()
+                until = attempt_at + self._limits.probe_time
         self._counters[f"probes {outcome.value}"] += 1
-        self._facade.probe_finished(server, outcome, self._scheduler.now() - started_at, values)
+        return outcome, self._scheduler.now() - started_at, values
 
     def _request_report(
         self, stream: Stream, until: int
