--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -470,11 +470,13 @@
     harness.usual = failure
     harness.run_until(lambda: harness.counters["discovery failures"] >= 3)
     harness.move_discovery_by_reload()
-    harness.usual = ScriptedDiscovery.answer
+    harness.usual, harness.script = ScriptedDiscovery.answer, [half]
     moved_at = harness.at
-    harness.run(50)
-    first = next(call for call in harness.calls if call.address == 2)
+    harness.run(500)
+    first, second = [call for call in harness.calls if call.address == 2][:2]
     assert first.at - moved_at <= TURN_MS and first.index is None
+    # The first stall is given up early, and the pause after it is short.
+    assert second.at - first.at <= (Limits.watch_stall + 2 * Limits.watch_pause) // MS + TURN_MS
     assert harness.calls[-1].wait and harness.calls[-1].index == 1
     assert all(call.address == 2 for call in harness.calls if call.at > moved_at)
 
