--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -132,6 +132,7 @@
             self.counters,
             lambda host: SubscriptionManager(host, config.subscription_settings),
             self.record_placements,
+            self.record_rejections,
             self.event_log.write,
             ttl=config.ttl,
             report_interval=config.table.load_reports.every_ms * MS,
@@ -173,6 +174,11 @@
         if server in self._servers:
             self.facade.placed_by_others(server, count, failed)
 
+    def record_rejections(self, workload: str, count: int) -> None:
+        """Counts logins that proxies turned away: the probabilities are shares of these too."""
+        if workload in self.weights.published:
+            self.facade.rejected_by_others(count)
+
     # Host of the discovery watch
 
     def apply_listing(self, scope: Scope, content: Listing) -> None:
--- a/corklift/control/service.py
+++ b/corklift/control/service.py
@@ -50,6 +50,7 @@
         counters: Counters,
         make_subscriptions: Callable[[XdsService], SubscriptionManager],
         record_placements: Callable[[str, str, int, int], None],
+        record_rejections: Callable[[str, int], None],
         log: Callable[..., None],
         *,
         ttl: int,
@@ -61,6 +62,7 @@
             log,
             record_placements,
         )
+        self._record_rejections = record_rejections
         self.ttl, self.report_interval = ttl, report_interval
         self.subscriptions = make_subscriptions(self)
         self._calls: dict[int, RpcCall] = {}
@@ -205,9 +207,9 @@
         self._counters["load reports"] += 1
         for drops in stats.dropped_requests:
             if drops.category == DROP_CATEGORY:
-                self._counters["logins turned away by proxies"] += min(
-                    drops.dropped_count, MAX_REPORTED_LOGINS
-                )
+                rejected = min(drops.dropped_count, MAX_REPORTED_LOGINS)
+                self._counters["logins turned away by proxies"] += rejected
+                self._record_rejections(stats.cluster_name, rejected)
         for locality in stats.upstream_locality_stats:
             issued, failed = locality.total_issued_requests, locality.total_error_requests
             if locality.locality.sub_zone and issued <= MAX_REPORTED_LOGINS:
--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -33,6 +33,8 @@
 _SERVER_NUMBER = re.compile(r"server (\d+)")
 # A zone or machine type that the settings don't name.
 UNKNOWN_INDEX = 0xFFFF
+# The id of no server: `stable_id` is never negative.
+NO_SERVER = -1
 # Clients state their expected load in microseconds of work per second, the Balancer takes
 # nanoseconds.
 COST_UNIT_NS = 1_000
@@ -357,6 +359,10 @@
             self._scheduler.now(), self._server_id(name), placed, failed
         )
 
+    def rejected_by_others(self, count: int) -> None:
+        """Reports how many logins others refused; they count in the rate of logins only."""
+        self._balancer.placed_by_others(self._scheduler.now(), NO_SERVER, count, 0)
+
     # Called by peer membership
 
     def set_balancer_count(self, count: int) -> None:
--- a/tests/test_cold_weights.py
+++ b/tests/test_cold_weights.py
@@ -7,11 +7,18 @@
 from collections import Counter
 from random import Random
 
+import pytest
+from envoy.config.endpoint.v3 import load_report_pb2
 from fleet import CONFIG
 
 from corklift.control.config import parse_config
 from corklift.control.program import UPDATE_INTERVAL, Program
-from corklift.control.weights import TOTAL_WEIGHT, WeightPublisher, WeightSettings
+from corklift.control.resources import DROP_CATEGORY
+from corklift.control.weights import (
+    TOTAL_WEIGHT,
+    WeightPublisher,
+    WeightSettings,
+)
 from corklift.interface import Outcome, Scope, Status
 from corklift.net.limits import MS, SECOND
 from corklift.net.parsers import Listing, ServerEntry
@@ -50,7 +57,8 @@
         )
         self.size, self.ramp = size, ramp  # connections that fill a server; its warm-up time
         table = COLD_TABLE % (ramp // MS)
-        text = CONFIG % (1, "", f"{table}[weights]\nevery_ms = {weights_ms}")
+        text = CONFIG.replace("every_ms = 200", f"every_ms = {report_interval // MS}")
+        text = text % (1, "", f"{table}[weights]\nevery_ms = {weights_ms}")
         self.program = Program(parse_config(text.encode()), now=lambda: self.now)
         self.program.server._listener.close()  # nobody connects
         self.rng = None if seed is None else Random(seed)
@@ -112,6 +120,8 @@
                 self.placed.append((self.now, server))
 
     def _draw(self, view):
+        if not view.weights:
+            return None
         names = [*view.weights, None]
         kept, total = TOTAL_WEIGHT - view.dropped, sum(view.weights.values())
         shares = [weight / total * kept / TOTAL_WEIGHT for weight in view.weights.values()]
@@ -135,8 +145,13 @@
         arrived = [report for report in self.reports if report[0] <= self.now]
         self.reports = [report for report in self.reports if report[0] > self.now]
         for _, server, count in arrived:
-            if server is not None:
-                self.program.record_placements("plain", server, count, 0)
+            stats = load_report_pb2.ClusterStats(cluster_name="plain")
+            if server is None:
+                stats.dropped_requests.add(category=DROP_CATEGORY, dropped_count=count)
+            else:
+                locality = stats.upstream_locality_stats.add(total_issued_requests=count)
+                locality.locality.sub_zone = server
+            self.program.service._record_report(stats)
 
     def bearable(self, age):
         """The logins that a cold server bears in a second, this long after its start."""
@@ -180,3 +195,15 @@
     publisher = WeightPublisher(WeightSettings(interval=SECOND, dead_band=0.05))
     assert publisher.publish(0, "w", {"a": 0.0}, ["a", "b"])
     assert publisher.published["w"] == ({"a": 5000, "b": 5000}, TOTAL_WEIGHT)
+
+
+@pytest.mark.parametrize("login_rate", [120, 1000])
+def test_logins_that_proxies_turn_away_count_in_the_rate_that_a_cold_server_is_offered(login_rate):
+    fleet = VirtualFleet(login_rate=login_rate)
+    fleet.utilisation = dict.fromkeys(fleet.servers, 0.99)
+    fleet.run(40 * SECOND)  # the fleet is full; nothing has been placed for a long time
+    assert fleet.published().dropped == TOTAL_WEIGHT
+    restarted_at = fleet.now
+    fleet.restart("s1")
+    fleet.run(4 * SECOND)
+    assert fleet.worst_second("s1", restarted_at) <= 1.0
