--- a/corklift/control/config.py
+++ b/corklift/control/config.py
@@ -18,6 +18,10 @@
 from corklift.rpc.core import MS, SECOND, RpcLimits
 from corklift.toml_tables import Table, locate_error
 
+# The fraction of a cold server's `multiple` that the weights give out; the rest covers that each
+# proxy draws at random, and that it applies new weights late.
+PROXY_DRAW_FRACTION = 0.8
+
 Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$")]
 Address = Annotated[str, Meta(pattern=r"^[0-9.]+:[0-9]{1,5}$")]
 Milliseconds = Annotated[int, Meta(ge=1, le=3_600_000)]
@@ -228,6 +232,13 @@
             table.weights.every_ms * MS, table.weights.dead_band
         )
         self.weight_interval = table.weights.every_ms * MS
+        cold = table.cold
+        self.cold_rule = ColdRule(
+            cold.start_share,
+            cold.ramp_ms * MS,
+            cold.multiple * PROXY_DRAW_FRACTION,
+            cold.span_ms * MS,
+        )
         self.rpc_limits = RpcLimits(
             max_connections=limits.proxies,
             max_message_bytes=limits.message_bytes,
@@ -251,13 +262,12 @@
 
     def balancer_arguments(self) -> dict[str, Any]:
         """Returns the arguments of `Balancer`; each control service counts as one balancer."""
-        cold = self.table.cold
         return dict(
             zone=0,
             balancers=self.table.services,
             workloads=self.workloads,
             per_work=False,
-            cold=ColdRule(cold.start_share, cold.ramp_ms * MS, cold.multiple, cold.span_ms * MS),
+            cold=self.cold_rule,
             max_hand_offs=1,
             cancel_allowed=False,
             max_retry_after=0,
--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -24,7 +24,7 @@
 from corklift.control.resources import ServerEndpoint
 from corklift.control.service import XdsService
 from corklift.control.subscriptions import Resource, ResourceKind, SubscriptionManager
-from corklift.control.weights import PublishedWeights, WeightPublisher
+from corklift.control.weights import PublishedWeights, UnreportedGrants, WeightPublisher
 from corklift.interface import Scope, Status
 from corklift.net.facade import Facade
 from corklift.net.limits import MS, SECOND, Counters, LogWriter, raise_descriptor_limit
@@ -123,6 +123,9 @@
             self.counters,
         )
         self.weights = WeightPublisher(config.weight_settings)
+        self.grants = UnreportedGrants(
+            config.cold_rule.span, config.table.load_reports.every_ms * MS
+        )
         self._servers: dict[str, ServerEndpoint] = {}  # all listed servers, by name
         self._statuses: dict[str, Status] = {}
         self._started_at: dict[str, int] = {}
@@ -172,11 +175,14 @@
 
     def record_placements(self, workload: str, server: str, count: int, failed: int) -> None:
         if server in self._servers:
+            if workload in self.weights.published:
+                self.grants.record_report(self.scheduler.now(), workload, server, count)
             self.facade.placed_by_others(server, count, failed)
 
     def record_rejections(self, workload: str, count: int) -> None:
         """Counts logins that proxies turned away: the probabilities are shares of these too."""
         if workload in self.weights.published:
+            self.grants.record_arrivals(self.scheduler.now(), workload, count)
             self.facade.rejected_by_others(count)
 
     # Host of the discovery watch
@@ -216,6 +222,8 @@
             self._list_known_at = now
             self.event_log.write("list known", servers=len(self._servers))
         changed = self.weights.remove_servers(unavailable | gone | restarted)
+        for name in unavailable | gone | restarted:
+            self.grants.forget(name)
         changed += [
             name
             for name, published in self.weights.published.items()
@@ -246,11 +254,15 @@
         ):
             return
         ready = [name for name, status in self._statuses.items() if status is Status.READY]
+        cold = {name for name in ready if self._is_cold(now, name)}
         changed = []
         for workload in self.config.workloads:
             if self.weights.may_publish(now, workload.name):
-                probabilities = self.facade.draw_probabilities(
-                    workload.name, self.config.weight_interval
+                probabilities = self.grants.reduce(
+                    now,
+                    self.config.weight_interval,
+                    self.facade.draw_probabilities(workload.name, self.config.weight_interval),
+                    cold,
                 )
                 if self.config.table.weights.log:
                     self.event_log.write(
@@ -263,8 +275,11 @@
                     workload.name,
                     {n: p for n, p in probabilities.items() if n in self._servers},
                     ready,
+                    cold,
                 ):
                     changed.append(workload.name)
+            shares = self.weights.shares(workload.name)
+            self.grants.publish(now, workload.name, {n: shares[n] for n in cold & shares.keys()})
         if not self.subscriptions.has_snapshot:
             self.subscriptions.update_snapshot(now, self._build_snapshot())
             self.event_log.write(
@@ -276,6 +291,10 @@
                 now, {ResourceKind.ENDPOINTS: self._build_endpoints(changed)}
             )
 
+    def _is_cold(self, now: int, server: str) -> bool:
+        started_at = self._started_at[server]
+        return bool(started_at) and now - started_at < self.config.cold_rule.ramp
+
     def _build_endpoints(self, workloads: list[str]) -> dict[str, Resource]:
         table = dict(self.subscriptions.current_resources(ResourceKind.ENDPOINTS))
         draining = self._marked_draining()
@@ -329,6 +348,8 @@
             new.weight_settings,
             new.subscription_settings,
         )
+        self.grants.configure(new.cold_rule.span, new.table.load_reports.every_ms * MS)
+        self.grants.retain_workloads([workload.name for workload in new.workloads])
         self.weights.retain_workloads([workload.name for workload in new.workloads])
         self.service.ttl, self.service.report_interval = (
             new.ttl,
--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -7,11 +7,14 @@
 
 from __future__ import annotations
 
+from collections import Counter, deque
 from collections.abc import Collection, Mapping
 from typing import NamedTuple
 
 TOTAL_WEIGHT = 10_000  # the sum of the weights of all servers of a workload, up to rounding
 MIN_WEIGHT = 1
+SECOND = 1_000_000_000
+RATE_RESOLUTION = SECOND // 20  # logins that come or are granted within this time count as one
 
 
 class PublishedWeights(NamedTuple):
@@ -52,6 +55,9 @@
                     if name not in servers
                 }
                 self.published[workload] = PublishedWeights(remaining, published.dropped)
+                if not remaining:
+                    # Proxies reject all logins until the next weights: those don't wait.
+                    self._published_at.pop(workload, None)
                 changed.append(workload)
         return changed
 
@@ -63,11 +69,19 @@
         )
 
     def publish(
-        self, now: int, workload: str, probabilities: Mapping[str, float], ready: Collection[str]
+        self,
+        now: int,
+        workload: str,
+        probabilities: Mapping[str, float],
+        ready: Collection[str],
+        cold: Collection[str] = (),
     ) -> bool:
         """Takes new draw probabilities; returns whether they are published. Call `may_publish`
         first.
 
+        A decrease of a cold server is measured against its own share: what it was given was meant
+        for one interval, and its share is a small part of the draw.
+
         Without any probabilities, or with zeros only, the ready servers stay with even weights
         while all logins are dropped.
         """
@@ -82,13 +96,15 @@
             dropped = TOTAL_WEIGHT if ready else 0
             weights = {name: max(MIN_WEIGHT, TOTAL_WEIGHT // len(ready)) for name in sorted(ready)}
         new, old = PublishedWeights(weights, dropped), self.published.get(workload)
-        if old is not None and not self._is_significant(old, new):
+        if old is not None and not self._is_significant(old, new, cold):
             return False
         self.published[workload] = new
         self._published_at[workload] = now
         return True
 
-    def _is_significant(self, old: PublishedWeights, new: PublishedWeights) -> bool:
+    def _is_significant(
+        self, old: PublishedWeights, new: PublishedWeights, cold: Collection[str]
+    ) -> bool:
         if old.weights.keys() != new.weights.keys():
             return True
         old_total, new_total = sum(old.weights.values()) or 1, sum(new.weights.values()) or 1
@@ -103,7 +119,9 @@
         # its decrease moves little of the whole draw.
         has_large_decrease = any(
             new.weights[name] / new_total
-            < self.settings.decrease_ratio * old.weights[name] / old_total
+            < (1.0 - self.settings.dead_band if name in cold else self.settings.decrease_ratio)
+            * old.weights[name]
+            / old_total
             for name in new.weights
         )
         return (
@@ -112,8 +130,127 @@
             or has_large_decrease
         )
 
+    def shares(self, workload: str) -> dict[str, float]:
+        """Returns the share of the workload's logins that proxies send to each server."""
+        published = self.published.get(workload)
+        if published is None or not published.weights:
+            return {}
+        admitted = 1.0 - published.dropped / TOTAL_WEIGHT
+        total = sum(published.weights.values())
+        return {name: weight / total * admitted for name, weight in published.weights.items()}
+
     def retain_workloads(self, workloads: Collection[str]) -> None:
         """Forgets all other workloads."""
         for workload in [name for name in self.published if name not in workloads]:
             self.published.pop(workload)
             self._published_at.pop(workload, None)
+
+
+class UnreportedGrants:
+    """The logins that published weights send to cold servers and that no load report includes yet.
+
+    The decision module learns of a placement from the report of the proxy that made it, and that
+    comes after the next weights are due. Guards against giving the same part of a cold server's
+    budget out again until then. A grant is held until reports include it, at most for a span.
+    """
+
+    def __init__(self, span: int, report_interval: int) -> None:
+        self.configure(span, report_interval)
+        self._shares: dict[str, dict[str, float]] = {}  # published, by workload and server
+        self._grants: dict[str, deque[list[float]]] = {}  # by server, [at, logins], oldest first
+        self._granted_until = 0
+        self._arrivals: deque[tuple[int, Counter[str]]] = deque()  # reported, by workload
+
+    def configure(self, span: int, report_interval: int) -> None:
+        """Sets how long a grant is held, and how often each proxy reports."""
+        self._span, self._rate_window = span, max(SECOND, report_interval)
+
+    def publish(self, now: int, workload: str, shares: Mapping[str, float]) -> None:
+        """Records which share of the workload's logins each cold server is sent from now on."""
+        self._advance(now)
+        self._shares[workload] = dict(shares)
+
+    def record_report(self, now: int, workload: str, server: str, count: int) -> None:
+        """Counts logins that a proxy has placed; the oldest grants are the first to be included."""
+        self.record_arrivals(now, workload, count)
+        grants = self._grants.get(server, ())
+        while count > 0 and grants:
+            included = min(float(count), grants[0][1])
+            count, grants[0][1] = count - included, grants[0][1] - included
+            if grants[0][1] <= 0:
+                grants.popleft()
+
+    def record_arrivals(self, now: int, workload: str, count: int) -> None:
+        """Counts logins that came to proxies, wherever they were sent."""
+        if now - self._granted_until >= RATE_RESOLUTION:
+            self._advance(now)
+        if not self._arrivals or now - self._arrivals[-1][0] >= RATE_RESOLUTION:
+            self._arrivals.append((now, Counter()))
+        self._arrivals[-1][1][workload] += count
+
+    def outstanding(self, now: int, server: str) -> float:
+        """Returns the logins that are held for this server."""
+        self._advance(now)
+        return sum(logins for _, logins in self._grants.get(server, ()))
+
+    def forget(self, server: str) -> None:
+        """Forgets a server that has been removed from the weights."""
+        self._grants.pop(server, None)
+        for shares in self._shares.values():
+            shares.pop(server, None)
+
+    def reduce(
+        self, now: int, interval: int, probabilities: Mapping[str, float], cold: Collection[str]
+    ) -> dict[str, float]:
+        """Takes what is held out of the probabilities for the logins of the next interval.
+
+        The other candidates get it in proportion. If there is no other one, these logins are
+        refused, unless the decision module refuses none: then it has bounded no server.
+        """
+        logins = sum(self._rates(now).values()) * interval / SECOND
+        total = sum(probabilities.values())
+        others = sum(p for name, p in probabilities.items() if name not in cold)
+        if logins <= 0 or (others <= 0 and total > 1.0 - 1e-9):
+            return dict(probabilities)
+        reduced = {
+            name: max(0.0, p - self.outstanding(now, name) / logins) if name in cold else p
+            for name, p in probabilities.items()
+        }
+        freed = total - sum(reduced.values())
+        return {
+            name: p if name in cold or not p else p * (1.0 + freed / others)
+            for name, p in reduced.items()
+        }
+
+    def retain_workloads(self, workloads: Collection[str]) -> None:
+        """Forgets all other workloads."""
+        self._shares = {n: shares for n, shares in self._shares.items() if n in workloads}
+
+    def _rates(self, now: int) -> dict[str, float]:
+        """Logins per second, by workload, over a time in which each proxy has reported."""
+        while self._arrivals and now - self._arrivals[0][0] >= self._rate_window:
+            self._arrivals.popleft()
+        rates: dict[str, float] = {}
+        for _, counts in self._arrivals:
+            for workload, count in counts.items():
+                rates[workload] = rates.get(workload, 0.0) + count * SECOND / self._rate_window
+        return rates
+
+    def _advance(self, now: int) -> None:
+        """Adds what the published shares have granted since the last call."""
+        elapsed, self._granted_until = now - self._granted_until, now
+        rates = self._rates(now) if any(self._shares.values()) else {}
+        for workload, shares in self._shares.items():
+            for server, share in shares.items():
+                logins = share * rates.get(workload, 0.0) * elapsed / SECOND
+                grants = self._grants.setdefault(server, deque())
+                if grants and now - grants[-1][0] < RATE_RESOLUTION:
+                    grants[-1][1] += logins
+                else:
+                    grants.append([now, logins])
+        for server in list(self._grants):
+            grants = self._grants[server]
+            while grants and now - grants[0][0] >= self._span:
+                grants.popleft()
+            if not grants:
+                del self._grants[server]
--- a/tests/test_cold_weights.py
+++ b/tests/test_cold_weights.py
@@ -11,11 +11,12 @@
 from envoy.config.endpoint.v3 import load_report_pb2
 from fleet import CONFIG
 
-from corklift.control.config import parse_config
+from corklift.control.config import PROXY_DRAW_FRACTION, parse_config
 from corklift.control.program import UPDATE_INTERVAL, Program
 from corklift.control.resources import DROP_CATEGORY
 from corklift.control.weights import (
     TOTAL_WEIGHT,
+    UnreportedGrants,
     WeightPublisher,
     WeightSettings,
 )
@@ -197,6 +198,33 @@
     assert publisher.published["w"] == ({"a": 5000, "b": 5000}, TOTAL_WEIGHT)
 
 
+SCENES = [  # how fast the logins come, how large servers are, and how slowly they warm up
+    dict(login_rate=120, size=100, ramp=4 * SECOND),
+    dict(login_rate=600, size=1000, ramp=40 * SECOND),
+    dict(login_rate=1000, size=1000, ramp=20 * SECOND),
+]
+
+
+@pytest.mark.parametrize("scene", SCENES)
+@pytest.mark.parametrize("report_interval", [200 * MS, 500 * MS])
+@pytest.mark.parametrize("report_delay", [0, 300 * MS, 600 * MS])
+def test_what_was_given_out_is_not_given_out_again_before_its_report(
+    scene, report_interval, report_delay
+):
+    # The proxies draw in exact proportion, so what they place is what the weights gave out.
+    _, worst = play_restart(**scene, report_interval=report_interval, report_delay=report_delay)
+    assert worst <= PROXY_DRAW_FRACTION
+
+
+@pytest.mark.parametrize("apply_delay", [0, 300 * MS])
+@pytest.mark.parametrize("seed", range(8))
+def test_proxies_that_draw_at_random_and_apply_late_stay_below_what_a_cold_server_bears(
+    seed, apply_delay
+):
+    _, worst = play_restart(seed=seed, apply_delay=apply_delay, proxies=200)
+    assert worst <= 1.0
+
+
 @pytest.mark.parametrize("login_rate", [120, 1000])
 def test_logins_that_proxies_turn_away_count_in_the_rate_that_a_cold_server_is_offered(login_rate):
     fleet = VirtualFleet(login_rate=login_rate)
@@ -206,4 +234,87 @@
     restarted_at = fleet.now
     fleet.restart("s1")
     fleet.run(4 * SECOND)
-    assert fleet.worst_second("s1", restarted_at) <= 1.0
+    assert fleet.worst_second("s1", restarted_at) <= PROXY_DRAW_FRACTION
+
+
+def test_turned_away_logins_count_in_what_was_given_out():
+    fleet = VirtualFleet(login_rate=1000)
+    fleet.utilisation = dict.fromkeys(fleet.servers, 0.99)
+    fleet.run(5 * SECOND)
+    restarted_at = fleet.now
+    fleet.restart("s1")
+    fleet.report_delay = 10 * SECOND  # from now on, no report comes
+    fleet.run(500 * MS)
+    placed = sum(name == "s1" and at >= restarted_at for at, name in fleet.placed)
+    # The last reports tell the rate, which is counted over a second.
+    assert 0 < placed / 2 <= fleet.program.grants.outstanding(fleet.now, "s1") <= placed + 1
+
+
+def test_the_next_weights_do_not_wait_if_the_only_candidate_drains():
+    fleet = VirtualFleet(weights_ms=60_000)
+    fleet.utilisation |= {name: 0.8 for name in fleet.servers[1:]}
+    fleet.run(SECOND)
+    assert set(fleet.published().weights) == {"s1"}
+    fleet.list_servers({"s1": 1}, Status.DRAINING)
+    fleet.run(UPDATE_INTERVAL + STEP)
+    assert set(fleet.published().weights) == set(fleet.servers[1:])
+
+
+def test_nothing_is_held_for_a_server_that_drains():
+    fleet = VirtualFleet()
+    fleet.run(3 * SECOND)
+    fleet.restart("s1")
+    fleet.report_delay = 10 * SECOND  # from now on, no report comes
+    fleet.run(800 * MS)
+    assert fleet.program.grants.outstanding(fleet.now, "s1") > 1
+    fleet.list_servers({"s1": 1}, Status.DRAINING)
+    assert fleet.program.grants.outstanding(fleet.now, "s1") == 0
+
+
+def grants_after_one_second():
+    """Returns 100 logins a second, a tenth of them granted to one cold server since a second."""
+    grants = UnreportedGrants(span=2 * SECOND, report_interval=SECOND)
+    for tenth in range(11):
+        grants.record_arrivals(tenth * SECOND // 10, "w", 10)
+    grants.publish(SECOND, "w", {"cold": 0.1})
+    for tenth in range(11, 21):
+        grants.record_arrivals(tenth * SECOND // 10, "w", 10)
+    return grants
+
+
+def test_a_grant_is_held_until_its_report_or_for_a_span():
+    grants = grants_after_one_second()
+    held = grants.outstanding(2 * SECOND, "cold")
+    assert held == pytest.approx(10, rel=0.11)
+    assert grants.outstanding(2 * SECOND, "other") == 0
+    grants.record_report(2 * SECOND, "w", "cold", 4)
+    assert grants.outstanding(2 * SECOND, "cold") == pytest.approx(held - 4)
+    # The oldest grants are those that were reported; the others are over a span after they began.
+    grants.publish(2 * SECOND, "w", {})
+    assert grants.outstanding(3 * SECOND, "cold") == pytest.approx(held - 4)
+    assert grants.outstanding(3500 * MS, "cold") == pytest.approx((held - 4) * 5 / 6, rel=0.11)
+    assert grants.outstanding(4100 * MS, "cold") == 0
+    # More than was granted is reported: nothing is held, and nothing is owed.
+    grants.record_report(5 * SECOND, "w", "cold", 40)
+    grants.publish(5 * SECOND, "w", {"cold": 0.1})
+    assert grants.outstanding(5100 * MS, "cold") > 0
+
+
+def test_what_is_held_goes_to_the_others_or_is_refused():
+    now, grants = 2 * SECOND, grants_after_one_second()
+    held = grants.outstanding(now, "cold") / 100  # as a share of the next logins
+    reduced = grants.reduce(now, SECOND, {"cold": 0.2, "a": 0.6, "b": 0.2}, {"cold"})
+    assert reduced["cold"] == pytest.approx(0.2 - held)
+    assert sum(reduced.values()) == pytest.approx(1.0)
+    assert reduced["a"] == pytest.approx(3 * reduced["b"])
+    reduced = grants.reduce(now, SECOND, {"cold": 0.05, "a": 0.95}, {"cold"})
+    assert reduced == pytest.approx({"cold": 0.0, "a": 1.0})
+    # Nobody else can take it.
+    assert grants.reduce(now, SECOND, {"cold": 0.2}, {"cold"}) == pytest.approx(
+        {"cold": 0.2 - held}
+    )
+    # A fleet that is cold as a whole and refuses nothing goes on so.
+    whole = {"cold": 0.5, "colder": 0.5}
+    assert grants.reduce(now, SECOND, whole, {"cold", "colder"}) == whole
+    grants.forget("cold")
+    assert grants.outstanding(now, "cold") == grants.outstanding(now + SECOND, "cold") == 0
