--- a/tests/test_crossings_ending.py
+++ b/tests/test_crossings_ending.py
@@ -20,12 +20,6 @@
 
 PLAIN = {"name": "plain", "soft-limit-ns": 800 * MS, "time-limit-ns": 3200 * MS}
 ONCE_ONLY = PLAIN | {"effect": "side_effect"}
-PERMISSIONS = {
-    "probes": True,
-    "max-hand-offs": 3,
-    "connect-timeout-ns": 200 * MS,
-    "keepalive-ns": 5000 * MS,
-}
 
 
 def connect_from(monkeypatch, port):
@@ -154,6 +148,35 @@
     assert not harness.counters["exceptions"]
 
 
+@pytest.mark.parametrize("behaviour", [hold, "reset"])
+def test_connection_that_is_being_restored_is_answered_before_the_end(behaviour):
+    # Its hand-off is out at a server that hangs, or it waits for the next try.
+    harness = BalancerHarness(behaviour)
+    harness.run(2000)
+    harness.client("c1", "OPEN 1 7f c=plain,at=s1\r\n")
+    harness.run(100)
+    assert stop(harness) <= 3600
+    harness.run(50)
+    assert answers(harness) == ["c1 FAILED"] and not harness.process.relay.in_flight
+    assert not harness.counters["exceptions"]
+
+
+@pytest.mark.parametrize("limit", [60, 90, 200])
+def test_connections_are_moved_although_the_time_limits_are_short(limit):
+    # SIGKILL comes 0.7 s after the longest one, hardly later than the last new clients.
+    times = {"soft-limit-ns": limit * MS // 2, "time-limit-ns": limit * MS}
+    harness = BalancerHarness("up", workloads=[PLAIN | times])
+    harness.run(2000)
+    for number in range(5):
+        harness.client(f"c{number}", login(f"c{number}", limit))
+    harness.run(100)
+    harness.client("c5", 200, login("c5", limit))
+    assert stop(harness) <= limit + 600
+    harness.run(50)
+    expected = {f"c{number} {word}" for number in range(6) for word in ("UP", "MOVE")}
+    assert set(answers(harness)) == expected and len(answers(harness)) == 12
+
+
 @pytest.mark.parametrize("up_at, expected", [(3280, "c1 UP, c1 MOVE"), (3310, "c1 FAILED")])
 def test_up_in_the_last_moment_is_moved_or_never_passed_on(up_at, expected):
     patient = ONCE_ONLY | {"soft-limit-ns": 9800 * MS, "time-limit-ns": 10_000 * MS}
@@ -234,15 +257,15 @@
 
 
 class Door:
-    """A listening socket that can be out of descriptors for a while."""
+    """A listening socket whose accept can fail for a while."""
 
     def __init__(self, sock) -> None:
-        self._sock, self.is_short = sock, False
+        self._sock, self.error = sock, 0
         self.fileno, self.close, self.getsockname = sock.fileno, sock.close, sock.getsockname
 
     def accept(self):
-        if self.is_short:
-            raise OSError(errno.EMFILE, "no descriptor")
+        if self.error:
+            raise OSError(self.error, "accept")
         return self._sock.accept()
 
 
@@ -256,11 +279,12 @@
         pass
 
 
-def test_clients_queued_at_the_last_look_are_answered():
+@pytest.mark.parametrize("error", [errno.EMFILE, errno.EPROTO])
+def test_clients_queued_at_the_last_look_are_answered(error):
     harness = BalancerHarness("up")
     harness.run(1500)
     door = harness.process.relay._listeners[0] = Door(harness.process.relay._listeners[0])
-    harness.spawn(lambda: (harness.sleep(400 * MS), setattr(door, "is_short", True)))
+    harness.spawn(lambda: (harness.sleep(400 * MS), setattr(door, "error", error)))
 
     def arrive():
         harness.sleep(450 * MS)
@@ -269,7 +293,7 @@
 
     harness.spawn(arrive)
     harness.client("warm", 10, None)  # the acceptor takes the new door with its next client
-    harness.spawn(lambda: (harness.sleep(900 * MS), setattr(door, "is_short", False)))
+    harness.spawn(lambda: (harness.sleep(900 * MS), setattr(door, "error", 0)))
     stop(harness)
     harness.run(50)
     assert answers(harness) == ["c0 BUSY", "c1 BUSY", "c2 BUSY"]
@@ -290,6 +314,58 @@
     assert codes == [errno.ECONNREFUSED]
 
 
+# A reload between two tries, in virtual time
+
+
+@pytest.mark.parametrize("change", ["class", "deadlines", "limits"])
+def test_login_is_answered_by_what_it_came_under(tmp_path, change):
+    # The first server holds the login until the reload is over, and then refuses it.
+    harness = BalancerHarness("up", "up", workloads=[PLAIN])
+    harness.run(2000)
+    streams = []
+    for name in harness.behaviour:
+        harness.behaviour[name] = lambda harness, stream, line: streams.append(stream)
+    harness.client("c1", login("c1", 3000))
+    while not streams:
+        harness.run(10)
+    settings = harness.config["settings"]
+    changes = {
+        "class": {"settings": settings | {"workloads": [PLAIN | {"name": "other"}]}},
+        "deadlines": {
+            "settings": settings
+            | {"workloads": [PLAIN | {"soft-limit-ns": 50 * MS, "time-limit-ns": 100 * MS}]}
+        },
+        "limits": {"limits": harness.config["limits"] | {"sockets": 60}},
+    }
+    harness.reload(tmp_path / "config.json", **changes[change])
+    harness.run(150)
+    for name in harness.behaviour:
+        harness.behaviour[name] = "up"
+    streams[0].write(b"BUSY\r\n")
+    harness.run(100)
+    assert answers(harness) == ["c1 UP"] and not harness.counters["exceptions"]
+    assert harness.counters.answers == {("served", "plain"): 1}
+    assert harness.counters["configurations taken"] == 1
+
+
+def test_connection_is_restored_although_its_class_is_gone_by_then(tmp_path):
+    harness = BalancerHarness("up", workloads=[PLAIN])
+    harness.run(2000)
+    streams = []
+    harness.behaviour["s1"] = lambda harness, stream, line: streams.append(stream)
+    harness.client("c1", "OPEN 1 7f c=plain,at=s1\r\n")
+    while not streams:
+        harness.run(10)
+    settings = harness.config["settings"] | {"workloads": [PLAIN | {"name": "other"}]}
+    harness.reload(tmp_path / "config.json", settings=settings)
+    harness.run(50)
+    streams[0].write(b"UP s1\r\n")
+    harness.run(50)
+    assert answers(harness) == ["c1 UP"] and not harness.counters["exceptions"]
+    assert stop(harness) <= 3600
+    assert answers(harness) == ["c1 UP", "c1 MOVE"]
+
+
 # Real processes
 
 
