--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -34,6 +34,8 @@
 _SERVER_NUMBER = re.compile(r"server (\d+)")
 # A zone or machine type that the settings don't name.
 UNKNOWN_INDEX = 0xFFFF
+# The id of no server: `stable_id` is never negative.
+NO_SERVER = -1
 # Clients state their expected load in microseconds of work per second, the Balancer takes
 # nanoseconds.
 COST_UNIT_NS = 1_000
@@ -70,7 +72,7 @@
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
         self.sent_at = 0
-        self.to_move = self.cancelled = False
+        self.to_move = self.cancelled = self.is_connected = False
 
 
 class Facade:
@@ -104,6 +106,7 @@
             arguments, report_names, measurement, localities, machine_types
         )
         self._logins: dict[int, LoginHandle] = {}
+        self._stop_answering_at: int | None = None  # every login has its answer by then
         self._connection_count = 0  # logins that have become connections
         self._next_login = 1
         # Hook of peer membership, which has to notice that this process was suspended.
@@ -263,6 +266,7 @@
         assert handle.target is not None
         now = self._scheduler.now()
         self._connection_count += 1
+        handle.is_connected = True
         self.login_finished(handle.number, True)
         self._balancer.hand_off_started(
             now,
@@ -282,6 +286,7 @@
         handle = self._new_login(now, login_request)
         handle.target, handle.hand_off_count, handle.sent_at = target, 1, now
         self._connection_count += 1
+        handle.is_connected = True
         self._balancer.connection_resumed(now, self._to_login(handle, login_request), target.server)
         return handle
 
@@ -311,6 +316,22 @@
         if self._logins.pop(handle.number, None) is not None:
             self._balancer.login_dropped(self._scheduler.now(), handle.number)
 
+    def answer_all_until(self, time_limit_at: int) -> None:
+        """Gives every login, present or future, this time limit if its own is later."""
+        self._stop_answering_at = time_limit_at
+        for handle in self._logins.values():
+            handle.time_limit_at = min(handle.time_limit_at, time_limit_at)
+            if handle.decision is None and not handle.is_connected:
+                self._scheduler.wake(handle.task)
+
+    def tasks_of_hand_offs(self) -> list[Task]:
+        """Returns the tasks that wait for a server's answer to a hand-off."""
+        return [
+            handle.task
+            for handle in self._logins.values()
+            if isinstance(handle.decision, HandOffTarget) and not handle.is_connected
+        ]
+
     def report_measurement(self, handle: LoginHandle, value: float) -> None:
         """Reports a measurement that the server sent on this connection.
 
@@ -375,6 +396,10 @@
             self._scheduler.now(), self._server_id(name), placed, failed
         )
 
+    def rejected_by_others(self, count: int) -> None:
+        """Reports how many logins others refused; they count in the rate of logins only."""
+        self._balancer.placed_by_others(self._scheduler.now(), NO_SERVER, count, 0)
+
     # Called by peer membership
 
     def set_balancer_count(self, count: int) -> None:
@@ -505,6 +530,8 @@
         servers = []
         for entry in content.entries:
             server = self._server_id(entry.name)
+            if self._addresses.get(server, entry.address) != entry.address:
+                self.close_probe_connection(server)  # it leads to the process of before
             self._names[server], self._addresses[server] = entry.name, entry.address
             servers.append(
                 ListedServer(
@@ -531,6 +558,8 @@
         in_use = {
             handle.target.server for handle in self._logins.values() if handle.target is not None
         }
+        for server in gone & self._addresses.keys():
+            self.close_probe_connection(server)
         # Forgets servers that are gone, so that memory does not grow with every former server.
         for server in gone - in_use - self._out_of_service.keys():
             for mapping in (self._names, self._addresses):
@@ -667,6 +696,8 @@
         return self.workload_names().index(login_request.workload)
 
     def _new_login(self, time_limit_at: int, login_request: LoginRequest) -> LoginHandle:
+        if self._stop_answering_at is not None:
+            time_limit_at = min(time_limit_at, self._stop_answering_at)
         workload = self._all_workloads[self._workload_since_start(login_request)]
         handle = LoginHandle(self._next_login, self._scheduler.current, time_limit_at, workload)
         self._next_login += 1
--- a/corklift/net/limits.py
+++ b/corklift/net/limits.py
@@ -19,6 +19,17 @@
 SECOND = 1_000 * MS
 # Standard streams, listener, signal socket pair, and some that the interpreter opens.
 RESERVED_DESCRIPTORS = 8
+# The system counts descriptors in 31 bits ...
+MAX_DESCRIPTORS = (1 << 31) - 1
+# ... and addresses in 64, of which a process has 47.
+MAX_MEMORY_MB = 1 << 27
+# A change of the server list counts as known at the latest this long after discovery had it and
+# could be reached, whatever calls have failed meanwhile. The operators set this time, not a key.
+LIST_DEADLINE = 6 * SECOND
+# A connection that brings nothing back is moved within this time, by the protocol. Its client sends
+# a line at this interval, so that much may pass before there is a line to answer.
+SILENCE_DEADLINE = 7 * SECOND
+CLIENT_LINE_INTERVAL = 2 * SECOND
 
 
 class ConfigError(Exception):
@@ -79,13 +90,17 @@
     # Time after such a connection is up until load reports are certain to include it.
     settle_time: int = 1500 * MS
     # If a line has had no answer for so long, its client is moved to another server.
-    silent_time: int = 5 * SECOND
+    silent_time: int = SILENCE_DEADLINE - CLIENT_LINE_INTERVAL - 500 * MS
     # Time to pass on the end of a connection and for the other side to close.
     end_time: int = 700 * MS
-    # How long discovery may hold a request of the list watch.
-    watch_wait: int = 4 * SECOND
+    # How long discovery may hold a request of the list watch. This time, `watch_slack`, a pause and
+    # the answer of the next call fit into `LIST_DEADLINE`.
+    watch_wait: int = LIST_DEADLINE // 2
     # How late an answer may be before the watch starts again; it can come 2 s late.
-    watch_slack: int = 2500 * MS
+    watch_slack: int = LIST_DEADLINE * 3 // 8
+    # Maximum time from the start of a failed call to the next call; a late answer to that one still
+    # comes within `LIST_DEADLINE`.
+    watch_interval: int = LIST_DEADLINE * 5 // 8
     # How long an answer that has begun may stall; less than the minimum grace period of a drain.
     watch_stall: int = 100 * MS
     # Mean delay after a failed call to discovery, doubled after each further failure ...
@@ -93,8 +108,8 @@
     # ... up to this value.
     watch_pause_most: int = 2500 * MS
     # The same delays after discovery answered that it is overloaded.
-    overbooked_pause: int = 5 * SECOND
-    overbooked_pause_most: int = 20 * SECOND
+    overbooked_pause: int = 2500 * MS
+    overbooked_pause_most: int = 2500 * MS
     # Maximum random delay of the first call to discovery by a process that starts with a known
     # list, where discovery only answers requests.
     first_call_spread: int = 0
@@ -103,6 +118,9 @@
     ready_time: int = 1500 * MS
     # How long clients are still accepted after SIGTERM.
     stop_accepting: int = 500 * MS
+    # How long before the end of the stop time every login gets its answer, and no client is
+    # accepted any more; the rest of the time is for the answers to arrive.
+    stop_margin: int = 100 * MS
     # Interval between reads of the files of other processes of this balancer.
     look_pause: int = 50 * MS
     # Maximum number of operators' connections at a time.
@@ -118,6 +136,11 @@
     # Maximum log lines waiting to be written.
     print_queue: int = 200
 
+    @property
+    def time_to_accept(self) -> int:
+        """How long clients are accepted after SIGTERM; some of the stop time is left for moves."""
+        return min(self.stop_accepting, self.stop_time - 2 * self.stop_margin)
+
     def time_to_move_connections(self, accepting: int) -> int:
         """Returns how long connections are moved once clients are no longer accepted.
 
@@ -126,6 +149,11 @@
         remaining = self.stop_time - accepting
         return max(remaining // 2, remaining - 500 * MS)
 
+    @property
+    def shortest_watch_pause(self) -> int:
+        """Upper bound of the delay after a call to discovery that took all of its time."""
+        return 2 * self.watch_pause
+
     @property
     def unanswered_line_time(self) -> int:
         """Interval after which an unanswered line is reported to the decisions, each time again."""
@@ -156,6 +184,8 @@
         """
         sockets = require_key(limits, "sockets", int, "limits.")
         memory = require_key(limits, "memory_mb", (int, float), "limits.")
+        if not 0 < memory <= MAX_MEMORY_MB:
+            raise ConfigError(f"config: limits.memory_mb holds {memory!r:.60}")
         probes = max(8, min(2 * servers + 8, sockets // 8))
         waiting = max(8, sockets // 8)
         calls = max(4, min(32, sockets // 16)) if operated else 0
@@ -179,14 +209,35 @@
             connect_time=connect_time,
             calls=calls,
             stop_time=min(time_limit, 3 * SECOND) + 400 * MS,
-            watch_pause_most=ask_within // 4,
-            overbooked_pause=ask_within // 2,
-            overbooked_pause_most=2 * ask_within,
-            first_call_spread=ask_within // 5 if ask_for_list else 0,
+            **_list_times(ask_within, ask_for_list),
             body=min(cls.body, int(memory * (1 << 20)) // 64),
         )
 
 
+def _list_times(ask_within: int, ask_for_list: bool) -> dict[str, int]:
+    """Returns the times of the list watch, as shares of the time when a change counts as known.
+
+    Where lists are asked for, a change counts as known four times `ask_within` after a failed call,
+    if that is less than `LIST_DEADLINE`. Where they are pushed, one counts as known as soon as the
+    agent on this machine has it, so that the pause after any failure is shorter than the grace
+    period of a drain; the agent answers at once and at no cost.
+    """
+    deadline = min(LIST_DEADLINE, max(4 * ask_within, SECOND)) if ask_for_list else LIST_DEADLINE
+    interval = deadline * 5 // 8
+    longest_pause = interval * 2 // 3 if ask_for_list else Limits.watch_stall
+    return dict(
+        watch_wait=deadline // 2,
+        watch_slack=deadline * 3 // 8,
+        watch_interval=interval,
+        watch_pause_most=min(ask_within // 4, longest_pause) if ask_for_list else longest_pause,
+        overbooked_pause=min(max(ask_within // 2, Limits.watch_pause), longest_pause)
+        if ask_for_list
+        else longest_pause,
+        overbooked_pause_most=longest_pause,
+        first_call_spread=min(ask_within // 5, deadline // 3) if ask_for_list else 0,
+    )
+
+
 def raise_descriptor_limit(wanted: int) -> int:
     """Raises the soft limit of descriptors as far as needed and allowed.
 
--- a/corklift/net/monitoring.py
+++ b/corklift/net/monitoring.py
@@ -103,17 +103,19 @@
         """
         for server, queue in self._queues.items():
             if not queue and self._tasks[server].pending_exception is None:
-                self._scheduler.interrupt(self._tasks[server], Gone())
+                self._counters["probe connections that made way"] += 1
+                self._scheduler.interrupt(self._tasks[server], ProbingStoppedError())
                 return True
         return False
 
     def _probe_task(self, server: int) -> None:
-        queue, dropped_outcome = self._queues[server], Outcome.BROKEN
+        queue = self._queues[server]
         try:
             while True:
                 while queue:
-                    self._probe(server, queue[0].address)
-                    queue.popleft()
+                    result = self._probe(server, queue[0].address)
+                    queue.popleft()  # before the report, which may raise: one result per probe
+                    self._facade.probe_finished(server, *result)
                 until = self._scheduler.now() + self._idle_time
                 stream = self._connections.get(server)
                 self._scheduler.wait({stream.fd: READ} if stream is not None else {}, until)
@@ -124,23 +126,25 @@
                     self._close_connection(server)
                 elif self._scheduler.now() >= until:
                     return
-        except Gone:
-            self._counters["probe connections that made way"] += 1
         except ProbingStoppedError:
-            dropped_outcome = Outcome.NOT_SENT
+            pass
         finally:
             self._close_connection(server)
             del self._tasks[server], self._queues[server]
+            # This process has ended these probes, which says nothing about the server.
             for _ in queue:
-                self._facade.probe_finished(server, dropped_outcome, 0, None)
+                self._facade.probe_finished(server, Outcome.NOT_SENT, 0, None)
 
     def _close_connection(self, server: int) -> None:
         stream = self._connections.pop(server, None)
         if stream is not None:
             stream.close()
 
-    def _probe(self, server: int, address: tuple[str, int]) -> None:
-        started_at = self._scheduler.now()
+    def _probe(
+        self, server: int, address: tuple[str, int]
+    ) -> tuple[Outcome, int, dict[str, float] | None]:
+        """Returns the outcome of a probe, how long it took, and the load report."""
+        started_at = attempt_at = self._scheduler.now()
         until = started_at + self._limits.probe_time
         outcome, values = Outcome.BROKEN, None
         stream = self._connections.get(server)
@@ -152,7 +156,7 @@
                         self._scheduler,
                         self._limits,
                         address,
-                        min(until, started_at + self._limits.connect_time),
+                        min(until, attempt_at + self._limits.connect_time),
                     )
                     self._connections[server] = stream
                     self._counters["probe connections"] += 1
@@ -175,9 +179,11 @@
                 if is_new:
                     break
                 # The server may have closed an idle connection; that says nothing about its health.
-                stream, is_new = None, True
+                # The new connection has all of the time.
+                stream, is_new, attempt_at = None, True, self._scheduler.now()
+                until = attempt_at + self._limits.probe_time
         self._counters[f"probes {outcome.value}"] += 1
-        self._facade.probe_finished(server, outcome, self._scheduler.now() - started_at, values)
+        return outcome, self._scheduler.now() - started_at, values
 
     def _request_report(
         self, stream: Stream, until: int
@@ -230,6 +236,7 @@
         self._index = known_index
         self._rng = rng
         self._failures = 0  # consecutive
+        self._called_at = 0  # start of the latest call
         self._set_backoff(limits)
         self.has_answered = False  # whether discovery has answered since the start
         self._task: Task | None = None
@@ -294,12 +301,17 @@
                     )
                 if isinstance(problem, Malformed):
                     self._index = None  # request the full list again
-                backoff = (
-                    self._overload_backoff
-                    if isinstance(problem, Overbooked)
-                    else self._fault_backoff
-                )
-                self._scheduler.sleep(backoff.next_delay())
+                self._scheduler.sleep(self._delay_after(problem))
+
+    def _delay_after(self, problem: Exception) -> int:
+        """Returns the delay before the next call.
+
+        It counts from the start of the failed call: a change that came while this one hung has to
+        be known in time as well.
+        """
+        backoff = self._overload_backoff if isinstance(problem, Overbooked) else self._fault_backoff
+        remaining = self._called_at + self._limits.watch_interval - self._scheduler.now()
+        return backoff.next_delay(max(remaining, self._limits.shortest_watch_pause))
 
     def _close_stream(self) -> None:
         if self._stream is not None:
@@ -307,35 +319,17 @@
             self._stream = None
 
     def _fetch_update(self) -> None:
-        now = self._scheduler.now()
+        now = self._called_at = self._scheduler.now()
         path, until = LIST_PATH, now + self._limits.watch_slack
         if self._index is not None:
-            # The first call does not wait for a change: it confirms the list known at start.
-            wait = self._limits.watch_wait if self.has_answered else 0
+            # The first call does not wait for a change: it confirms the list known at start. Nor
+            # does a call after a failure: it tells at once whether discovery is back.
+            wait = self._limits.watch_wait if self.has_answered and not self._failures else 0
             path = f"{LIST_PATH}?index={self._index}&wait={wait // 1_000_000}"
             until += wait
-        if self._stream is None:
-            self._stream = connect(
-                self._scheduler, self._limits, self._address, now + self._limits.watch_slack
-            )
-        stream = self._stream
+        stream = self._connected_stream(now + self._limits.watch_slack)
         send_all(self._scheduler, stream, format_http_get(path, "%s:%d" % self._address), until)
-        response = HttpResponse(self._limits.body)
-        while not response.done:
-            stream.receive()
-            if len(stream.receive_buffer):
-                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
-                # A response that stalls may contain a drain that discovery considers delivered. It
-                # is given up early and requested again at once.
-                until = self._scheduler.now() + self._limits.watch_stall
-            elif stream.peer_closed and not stream.broken:
-                response.connection_closed()
-            elif stream.broken:
-                raise Gone
-            elif self._scheduler.now() >= until:
-                raise Late
-            else:
-                self._scheduler.wait({stream.fd: READ}, until)
+        response = self._receive_response(stream, until)
         if not response.keep_alive:
             self._close_stream()
         if response.status in (429, 503):
@@ -343,8 +337,56 @@
             # would request the full list from a discovery that is overloaded already.
             raise Overbooked(f"status {response.status}")
         content = parse_listing(response.json())
+        if content.version < self._index if self._index is not None else not content.is_full:
+            # It does not follow the known list: an earlier answer that comes late, or discovery has
+            # started anew. Only the full list, from a new connection, tells what holds.
+            raise Malformed("an earlier version, or changes of no known one")
         self._counters["discovery answers"] += 1
         if content.unreadable_count:
             self._counters["discovery entries that can't be read"] += content.unreadable_count
         self._facade.apply_listing(Scope.FULL if content.is_full else Scope.DELTA, content)
         self._index, self.has_answered = content.version, True
+
+    def _connected_stream(self, until: int) -> Stream:
+        """Returns the kept connection, or a new one if that was closed or has unexpected data.
+
+        Such data would be taken for the answer to the next call.
+        """
+        if self._stream is not None:
+            self._stream.receive()
+            if self._stream.peer_closed or self._stream.broken or len(self._stream.receive_buffer):
+                self._close_stream()
+        if self._stream is None:
+            self._stream = connect(self._scheduler, self._limits, self._address, until)
+        return self._stream
+
+    def _receive_response(self, stream: Stream, until: int) -> HttpResponse:
+        """Returns the complete response, which has to begin before `until`."""
+        response, ends_at = HttpResponse(self._limits.body), 0
+        while not response.done:
+            stream.receive()
+            if len(stream.receive_buffer):
+                response.feed(stream.receive_buffer.read(len(stream.receive_buffer)))
+                ends_at = ends_at or self._response_ends_at()
+                if not response.done and self._scheduler.now() >= ends_at:
+                    raise Late
+                # A response that stalls may contain a drain that discovery considers delivered. It
+                # is given up early and requested again at once. After each failure the next may
+                # stall for longer, so that a slow but complete one is taken.
+                stall = self._limits.watch_stall << min(self._failures, 8)
+                until = min(ends_at, self._scheduler.now() + stall)
+            elif stream.broken or (stream.peer_closed and not response.ends_with_connection):
+                raise Gone
+            elif stream.peer_closed:
+                response.connection_closed()
+            elif self._scheduler.now() >= until:
+                raise Late
+            else:
+                self._scheduler.wait({stream.fd: READ}, until)
+        return response
+
+    def _response_ends_at(self) -> int:
+        """Returns until when a response that begins now has to be complete, however it comes."""
+        if self._failures:
+            return self._called_at + self._limits.watch_interval - self._limits.shortest_watch_pause
+        return self._scheduler.now() + self._limits.watch_slack
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 from random import Random
 
 import pytest
-from harness import MS, BalancerHarness, PolicyHarness
+from harness import MS, BalancerHarness, PolicyHarness, reserve_port
 
 from corklift.handover import (
     Handover,
@@ -188,11 +188,11 @@
         placed["new"].append(new.login(number, group=77, came_back=True))
         placed["stranger"].append(stranger.login(number, group=77, came_back=True))
     assert set(placed["new"]) <= homes and None in placed["stranger"]
-    draw = new.balancer._draw
+    groups = new.balancer._groups
     new.balancer.other_processes_ended()
     assert (
-        draw.total_load == 0
-        and not draw.group_load
+        groups.total_load == 0
+        and not groups.group_load
         and not any(s.groups for s in new.balancer._registry.ready)
     )
 
@@ -335,10 +335,9 @@
         connection.close()
         return status
 
-    ports = []
-    for _ in range(4):
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            ports.append(free.getsockname()[1])
+    # Each port stays bound, but not listening, so that no connect and no other program is given it.
+    reserved = [reserve_port() for _ in range(4)]
+    ports = [sock.getsockname()[1] for sock in reserved]
     processes, clients = (
         [start(ports[0])],
         [LoadClient(listener.getsockname()[1], number) for number in range(12)],
@@ -382,6 +381,8 @@
             assert "exception" not in process.stderr.read()
         peers.terminate()
         peers.wait(5)
+        for sock in reserved:
+            sock.close()
     results = [
         end
         for client in clients
