--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -68,6 +68,7 @@
         self.workload = workload  # as in the settings when the login came
         # When servers may no longer recognise a repeat of a tagged login that may have run.
         self.repeat_before: int | None = None
+        self.is_sent = False  # whether a byte of the present hand-off may have been sent
         self.decision: HandOffTarget | Rejection | None = None
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
@@ -314,7 +315,9 @@
         """Ends the handling of a login; one without a final answer counts as left by its client."""
         self.login_finished(handle.number, None)
         if self._logins.pop(handle.number, None) is not None:
-            self._balancer.login_dropped(self._scheduler.now(), handle.number)
+            self._balancer.login_dropped(
+                self._scheduler.now(), handle.number, nothing_sent=not handle.is_sent
+            )
 
     def answer_all_until(self, time_limit_at: int) -> None:
         """Gives every login, present or future, this time limit if its own is later."""
@@ -625,7 +628,7 @@
         cut_at = min(cut_at or handle.time_limit_at, handle.time_limit_at)
         send_before = min(cut_at, handle.repeat_before or cut_at)
         target = HandOffTarget(server, self._addresses[server], cut_at, send_before)
-        handle.target, handle.decision = target, target
+        handle.target, handle.decision, handle.is_sent = target, target, False
         handle.hand_off_count += 1
         handle.sent_at = self._scheduler.now()
         self._scheduler.wake(handle.task)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -325,7 +325,7 @@
         answer, result_name = FAILED, "failed"
         try:
             while isinstance(decision := self._await_decision(client, handle), HandOffTarget):
-                result = self._hand_off(client, decision, request)
+                result = self._hand_off(client, decision, request, handle)
                 if result.server is not None:
                     try:
                         self._facade.report_connected(handle)
@@ -397,7 +397,11 @@
     # A hand-off
 
     def _hand_off(
-        self, client: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None = None,
     ) -> HandOffResult:
         try:
             server = Stream.connect(target.address, self._limits)
@@ -407,7 +411,7 @@
             return HandOffResult(None, b"", Outcome.NOT_SENT)
         is_connected = False
         try:
-            result = self._attempt(client, server, target, request)
+            result = self._attempt(client, server, target, request, handle)
             is_connected = result.server is not None
             return result
         finally:
@@ -415,7 +419,12 @@
                 server.close()
 
     def _attempt(
-        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        server: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None,
     ) -> HandOffResult:
         """Connects to the server, sends the login request and waits for the server's answer."""
         self._counters["hand-offs"] += 1
@@ -425,14 +434,19 @@
                 return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
         if server.connect_failed():
             return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
-        outcome = self._send_request(client, server, target, request)
+        outcome = self._send_request(client, server, target, request, handle)
         if outcome is not None:
             return HandOffResult(None, b"", outcome)
         self._counters["hand-offs written"] += 1
         return self._read_answer(client, server, target)
 
     def _send_request(
-        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        server: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None,
     ) -> Outcome | None:
         """Sends the login request; returns an outcome if its last byte was not sent.
 
@@ -446,6 +460,8 @@
         server.receive()
         has_ended = server.peer_closed and not len(server.receive_buffer)
         if not has_ended:
+            if handle is not None:
+                handle.is_sent = True
             server.write(request.with_time_limit(target.cut_at - self._now()))
         while has_ended or len(server.send_buffer):
             if has_ended or server.broken or self._now() >= target.cut_at:
--- a/corklift/policy/balancer.py
+++ b/corklift/policy/balancer.py
@@ -142,6 +142,7 @@
         self._draw.configure(grouped, zone, crossing_price, message_limit, reserves)
         self._retry_policy.configure(max_hand_offs)
         self._probes_allowed = probes_allowed
+        self._failures.configure(probes_allowed)
         self._probe_scheduler.configure(probes_allowed and not self._cold_budget.standby)
         if ask_for_list and self._list_watch is None:
             self._after(
@@ -258,6 +259,8 @@
         if state is None:
             return
         if attempt < len(state.attempts):
+            if outcome is Outcome.NOT_SENT:
+                self._give_back(now, state)
             state.attempts[attempt].outcome = outcome
         if closed:
             if outcome is not Outcome.FULFILLED:
@@ -269,9 +272,14 @@
         if state.attempts[-1].outcome is not None:
             self._place(now, state)
 
-    def login_dropped(self, now: int, login: int) -> None:
-        """The client has gone before its login was answered."""
+    def login_dropped(self, now: int, login: int, nothing_sent: bool = False) -> None:
+        """The client has gone before its login was answered.
+
+        `nothing_sent`: of the hand-off in progress, no byte has reached the server.
+        """
         if (state := self._active_logins.get(login)) is not None:
+            if nothing_sent and not state.is_open:
+                self._give_back(now, state)
             if (
                 self._cancel_allowed
                 and not state.is_open
@@ -537,6 +545,13 @@
         state.query_round, state.queried_rounds, state.home_sample, state.candidates = 0, 0, [], []
         self._host.hand_off(login, server.id, cut_at)
 
+    def _give_back(self, now: int, state: LoginState) -> None:
+        """Gives back what the hand-off in progress has spent of a cold server's budget."""
+        for attempt in state.attempts[-1:]:
+            server = self._registry.servers.get(attempt.server)
+            if server is not None and attempt.outcome is None:
+                self._cold_budget.give_back(now, server, max(1.0, state.load), attempt.sent_at)
+
     def _connection_holder(self, now: int, state: LoginState) -> Server | None:
         """The server of the open connection whose packets now arrive here, if known and ready."""
         if not state.login.mid_flow or state.attempts:
--- a/corklift/policy/cold_budget.py
+++ b/corklift/policy/cold_budget.py
@@ -120,3 +120,14 @@
         if self.is_cold(now, server):
             self._refill(now, server)
             server.cold_spent += load
+
+    def give_back(self, now: int, server: Server, load: float, spent_at: int) -> None:
+        """Takes back what was spent on a hand-off of which nothing was sent.
+
+        What the server has drained since then stays spent, as other hand-offs may have used it.
+        """
+        if self.is_cold(now, server) and server.started_at <= spent_at:
+            self._refill(now, server)
+            _, budget = self._budget(now, server)
+            drained = budget * (now - spent_at) / max(1, self._rule.span)
+            server.cold_spent = max(0.0, server.cold_spent - max(0.0, load - drained))
--- a/corklift/policy/failures.py
+++ b/corklift/policy/failures.py
@@ -33,17 +33,26 @@
 
     def __init__(self, host: Host, rng: Random, load_reports: LoadReports) -> None:
         self._host, self._rng, self._load_reports = host, rng, load_reports
+        self._probes_allowed = True
+
+    def configure(self, probes_allowed: bool) -> None:
+        self._probes_allowed = probes_allowed
 
     def is_eligible(self, now: int, server: Server) -> bool:
         """Whether the server may take part in the draw.
 
-        With subset probing, unanswered probes count only while a probe is pending and for
-        MAX_REPORT_AGE after the last probe.
+        Without probes, only a trial login can show that a server is back. With subset probing,
+        unanswered probes count only while a probe is pending and for MAX_REPORT_AGE after the last
+        probe.
         """
-        if server.unanswered >= UNANSWERED_TO_EXCLUDE and (
-            not self._load_reports.probes_subset
-            or server.pending_probe_at
-            or now - server.probed_at <= MAX_REPORT_AGE
+        if (
+            self._probes_allowed
+            and server.unanswered >= UNANSWERED_TO_EXCLUDE
+            and (
+                not self._load_reports.probes_subset
+                or server.pending_probe_at
+                or now - server.probed_at <= MAX_REPORT_AGE
+            )
         ):
             return False
         return server.failures < FAILURES_TO_EXCLUDE or (
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -3,6 +3,7 @@
 A balancer process on loopback sockets in virtual time; stand-ins decide the order of events.
 """
 
+from collections.abc import Callable
 from itertools import permutations
 
 import pytest
@@ -18,9 +19,9 @@
     until_end_seen,
     write_partly,
 )
-from harness import MS
+from harness import MS, PolicyHarness
 
-from corklift.interface import Scope
+from corklift.interface import ColdRule, Outcome, Report, Scope
 from corklift.net.limits import SECOND
 from corklift.net.parsers import parse_listing
 from corklift.net.stream import Stream
@@ -335,6 +336,103 @@
     assert scene.process.facade.connection_count == 0 and not scene.counters["exceptions"]
 
 
+@pytest.mark.parametrize("probes", [False, True])
+def test_server_is_drawn_again_after_two_late_connects(probes):
+    harness = PolicyHarness(probes_allowed=probes)
+    harness.list_servers(1, 2)
+    harness.auto = {1: Report(5.0, 0.3), 2: Report(5.0, 0.3)}
+    number, late = 0, 0
+    while late < 2:
+        number += 1
+        if harness.login(number) == 1:
+            late += 1
+            harness.end_hand_off(number, Outcome.NOT_CONNECTED)
+    harness.run(20_000)
+    servers = [harness.login(later) for later in range(number + 1, number + 40)]
+    assert 1 in servers and 2 in servers
+    back = number + 1 + servers.index(1)
+    harness.open_connection(back)
+    harness.run(100)
+    servers = [harness.login(later) for later in range(number + 41, number + 80)]
+    assert servers.count(1) > 1  # as usual again, not one trial at a time
+
+
+COLD = ColdRule(0.3, 9000 * MS, 3.0, 1000 * MS)
+
+
+def with_cold_server() -> tuple[PolicyHarness, Callable[[], float]]:
+    """Returns a scene whose only server has just started, and what is spent of its budget."""
+    harness = PolicyHarness(cold=COLD)
+    harness.run(10)
+    harness.list_servers(1, started_at=harness.now)
+    budget, server = harness.balancer._cold_budget, harness.balancer._registry.servers[1]
+    return harness, lambda: budget.spent(harness.now, server)
+
+
+@pytest.mark.parametrize("waited_ms", [0, 200])
+def test_cold_budget_is_given_back_if_the_client_left_before_a_byte(waited_ms):
+    harness, spent = with_cold_server()
+    assert harness.login(1) == 1 and spent() == 1.0
+    harness.run(waited_ms)
+    harness.balancer.login_dropped(harness.now, 1, nothing_sent=True)
+    assert spent() == pytest.approx(0.0)
+    harness.balancer.login_dropped(harness.now, 1, nothing_sent=True)  # gives back once
+    assert spent() == pytest.approx(0.0)
+
+
+def test_cold_budget_is_given_back_once_if_others_used_what_drained():
+    # Another hand-off has used what the server drained meanwhile: that is not given back again.
+    harness, spent = with_cold_server()
+    assert harness.login(1) == 1
+    harness.run(1000)
+    server = harness.balancer._registry.servers[1]
+    harness.balancer._cold_budget.spend(harness.now, server, 1.0)
+    harness.balancer.login_dropped(harness.now, 1, nothing_sent=True)
+    assert spent() >= 1.0
+
+
+def test_cold_budget_is_given_back_if_a_hand_off_was_not_sent():
+    harness, spent = with_cold_server()
+    assert harness.login(1) == 1
+    harness.end_hand_off(1, Outcome.NOT_SENT)
+    assert harness.hand_offs == [(1, 1), (1, 1)] and spent() == pytest.approx(1.0)
+
+
+def test_cold_budget_stays_spent_if_the_login_was_sent():
+    harness, spent = with_cold_server()
+    assert harness.login(1) == 1
+    harness.balancer.login_dropped(harness.now, 1)
+    assert spent() == 1.0
+
+
+@pytest.mark.parametrize("sent", [False, True])
+def test_leaving_gives_back_the_cold_budget_unless_a_byte_was_sent(monkeypatch, sent):
+    scene = Scene("scripted", probes=False)
+    entry = scene.list_entry("s1") | {"since_ms": scene.now // MS}
+    scene.process.facade.apply_listing(
+        Scope.DELTA, parse_listing({"index": 2, "snapshot": False, "endpoints": [entry]})
+    )
+    balancer = scene.process.facade._balancer
+    (server,) = balancer._registry.servers.values()
+    client = ScriptedClient(scene, "c1")
+    at_connect = []
+
+    def connected() -> None:
+        at_connect.append(balancer._cold_budget.spent(scene.now, server))
+        if not sent:
+            client.leave("end")
+
+    on_server_connect(monkeypatch, scene, lambda stream: connected())
+    scene.run_until(lambda: at_connect)
+    if sent:
+        scene.server_stream()
+        client.leave("end")
+    scene.run_until(scene.is_idle)
+    assert at_connect == [1.0]
+    left = balancer._cold_budget.spent(scene.now, server)
+    assert left > 0.5 if sent else left == 0.0
+
+
 def test_login_line_of_the_scene_is_well_formed():
     scene = Scene()
     scene.client("c1", OPEN)
