--- a/corklift/control/program.py
+++ b/corklift/control/program.py
@@ -278,7 +278,7 @@
                     cold,
                 ):
                     changed.append(workload.name)
-            shares = self.weights.shares(workload.name)
+            shares = self.weights.shares(workload.name) if cold else {}
             self.grants.publish(now, workload.name, {n: shares[n] for n in cold & shares.keys()})
         if not self.subscriptions.has_snapshot:
             self.subscriptions.update_snapshot(now, self._build_snapshot())
--- a/corklift/control/weights.py
+++ b/corklift/control/weights.py
@@ -173,10 +173,10 @@
     def record_report(self, now: int, workload: str, server: str, count: int) -> None:
         """Counts logins that a proxy has placed; the oldest grants are the first to be included."""
         self.record_arrivals(now, workload, count)
-        grants = self._grants.get(server, ())
-        while count > 0 and grants:
-            included = min(float(count), grants[0][1])
-            count, grants[0][1] = count - included, grants[0][1] - included
+        grants, left = self._grants.get(server, ()), float(count)
+        while left > 0 and grants:
+            included = min(left, grants[0][1])
+            left, grants[0][1] = left - included, grants[0][1] - included
             if grants[0][1] <= 0:
                 grants.popleft()
 
@@ -191,6 +191,9 @@
     def outstanding(self, now: int, server: str) -> float:
         """Returns the logins that are held for this server."""
         self._advance(now)
+        return self._held(server)
+
+    def _held(self, server: str) -> float:
         return sum(logins for _, logins in self._grants.get(server, ()))
 
     def forget(self, server: str) -> None:
@@ -207,13 +210,14 @@
         The other candidates get it in proportion. If there is no other one, these logins are
         refused, unless the decision module refuses none: then it has bounded no server.
         """
+        self._advance(now)
         logins = sum(self._rates(now).values()) * interval / SECOND
         total = sum(probabilities.values())
         others = sum(p for name, p in probabilities.items() if name not in cold)
         if logins <= 0 or (others <= 0 and total > 1.0 - 1e-9):
             return dict(probabilities)
         reduced = {
-            name: max(0.0, p - self.outstanding(now, name) / logins) if name in cold else p
+            name: max(0.0, p - self._held(name) / logins) if name in cold else p
             for name, p in probabilities.items()
         }
         freed = total - sum(reduced.values())
@@ -239,6 +243,8 @@
     def _advance(self, now: int) -> None:
         """Adds what the published shares have granted since the last call."""
         elapsed, self._granted_until = now - self._granted_until, now
+        if not elapsed:
+            return
         rates = self._rates(now) if any(self._shares.values()) else {}
         for workload, shares in self._shares.items():
             for server, share in shares.items():
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -450,10 +450,8 @@
         service = fleet.service()
         fleet.wait_for_servers(fleet.proxy(service), *ALL_SERVERS)
         with grpc.insecure_channel(f"127.0.0.1:{service.port}") as channel:
-            for count, code in (
-                (6000, grpc.StatusCode.INVALID_ARGUMENT),
-                (1, grpc.StatusCode.DEADLINE_EXCEEDED),
-            ):
+
+            def report_servers(count):
                 report = lrs_pb2.LoadStatsRequest()
                 stats = report.cluster_stats.add(cluster_name="plain")
                 for index in range(count):
@@ -465,14 +463,27 @@
                     ).locality.sub_zone = "never listed"
                 done = threading.Event()
 
-                def requests(content=report.SerializeToString(), done=done):
-                    yield content
-                    done.wait(5)
+                def requests():
+                    yield report.SerializeToString()
+                    done.wait(10)
 
-                with pytest.raises(grpc.RpcError) as error:
-                    list(channel.stream_stream(LRS, **RAW_BYTES)(requests(), timeout=0.7))
-                done.set()
-                assert error.value.code() is code
+                stream = channel.stream_stream(LRS, **RAW_BYTES)(requests(), timeout=10)
+                return stream, done
+
+            stream, done = report_servers(6000)
+            with pytest.raises(grpc.RpcError) as error:
+                list(stream)
+            done.set()
+            assert error.value.code() is grpc.StatusCode.INVALID_ARGUMENT
+            assert service.program.counters["load reports"] == 0
+            stream, done = report_servers(1)
+            next(stream)  # the interval at which to report
+            wait_for(lambda: service.program.counters["load reports"] == 1)
+            # Of the two servers, only the possible count is taken.
+            assert service.program.counters["logins placed by proxies"] == 5
+            assert stream.is_active()
+            stream.cancel()
+            done.set()
         assert "exceptions" not in service.program.counters and fleet.weights(fleet.proxies[0])
 
 
