--- a/corklift/net/facade.py
+++ b/corklift/net/facade.py
@@ -34,6 +34,8 @@
 _SERVER_NUMBER = re.compile(r"server (\d+)")
 # A zone or machine type that the settings don't name.
 UNKNOWN_INDEX = 0xFFFF
+# The id of no server: `stable_id` is never negative.
+NO_SERVER = -1
 # Clients state their expected load in microseconds of work per second, the Balancer takes
 # nanoseconds.
 COST_UNIT_NS = 1_000
@@ -66,6 +68,7 @@
         self.workload = workload  # as in the settings when the login came
         # When servers may no longer recognise a repeat of a tagged login that may have run.
         self.repeat_before: int | None = None
+        self.is_sent = False  # whether a byte of the present hand-off may have been sent
         self.decision: HandOffTarget | Rejection | None = None
         self.target: HandOffTarget | None = None
         self.hand_off_count = 0
@@ -312,7 +315,9 @@
         """Ends the handling of a login; one without a final answer counts as left by its client."""
         self.login_finished(handle.number, None)
         if self._logins.pop(handle.number, None) is not None:
-            self._balancer.login_dropped(self._scheduler.now(), handle.number)
+            self._balancer.login_dropped(
+                self._scheduler.now(), handle.number, nothing_sent=not handle.is_sent
+            )
 
     def answer_all_until(self, time_limit_at: int) -> None:
         """Gives every login, present or future, this time limit if its own is later."""
@@ -394,6 +399,10 @@
             self._scheduler.now(), self._server_id(name), placed, failed
         )
 
+    def rejected_by_others(self, count: int) -> None:
+        """Reports how many logins others refused; they count in the rate of logins only."""
+        self._balancer.placed_by_others(self._scheduler.now(), NO_SERVER, count, 0)
+
     # Called by peer membership
 
     def set_balancer_count(self, count: int) -> None:
@@ -524,6 +533,8 @@
         servers = []
         for entry in content.entries:
             server = self._server_id(entry.name)
+            if self._addresses.get(server, entry.address) != entry.address:
+                self.close_probe_connection(server)  # it leads to the process of before
             self._names[server], self._addresses[server] = entry.name, entry.address
             servers.append(
                 ListedServer(
@@ -550,6 +561,8 @@
         in_use = {
             handle.target.server for handle in self._logins.values() if handle.target is not None
         }
+        for server in gone & self._addresses.keys():
+            self.close_probe_connection(server)
         # Forgets servers that are gone, so that memory does not grow with every former server.
         for server in gone - in_use - self._out_of_service.keys():
             for mapping in (self._names, self._addresses):
@@ -615,7 +628,7 @@
         cut_at = min(cut_at or handle.time_limit_at, handle.time_limit_at)
         send_before = min(cut_at, handle.repeat_before or cut_at)
         target = HandOffTarget(server, self._addresses[server], cut_at, send_before)
-        handle.target, handle.decision = target, target
+        handle.target, handle.decision, handle.is_sent = target, target, False
         handle.hand_off_count += 1
         handle.sent_at = self._scheduler.now()
         self._scheduler.wake(handle.task)
--- a/corklift/net/relay.py
+++ b/corklift/net/relay.py
@@ -325,7 +325,7 @@
         answer, result_name = FAILED, "failed"
         try:
             while isinstance(decision := self._await_decision(client, handle), HandOffTarget):
-                result = self._hand_off(client, decision, request)
+                result = self._hand_off(client, decision, request, handle)
                 if result.server is not None:
                     try:
                         self._facade.report_connected(handle)
@@ -397,7 +397,11 @@
     # A hand-off
 
     def _hand_off(
-        self, client: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None = None,
     ) -> HandOffResult:
         try:
             server = Stream.connect(target.address, self._limits)
@@ -407,7 +411,7 @@
             return HandOffResult(None, b"", Outcome.NOT_SENT)
         is_connected = False
         try:
-            result = self._attempt(client, server, target, request)
+            result = self._attempt(client, server, target, request, handle)
             is_connected = result.server is not None
             return result
         finally:
@@ -415,7 +419,12 @@
                 server.close()
 
     def _attempt(
-        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        server: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None,
     ) -> HandOffResult:
         """Connects to the server, sends the login request and waits for the server's answer."""
         self._counters["hand-offs"] += 1
@@ -425,14 +434,19 @@
                 return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
         if server.connect_failed():
             return HandOffResult(None, b"", Outcome.NOT_CONNECTED)
-        outcome = self._send_request(client, server, target, request)
+        outcome = self._send_request(client, server, target, request, handle)
         if outcome is not None:
             return HandOffResult(None, b"", outcome)
         self._counters["hand-offs written"] += 1
         return self._read_answer(client, server, target)
 
     def _send_request(
-        self, client: Stream, server: Stream, target: HandOffTarget, request: LoginRequest
+        self,
+        client: Stream,
+        server: Stream,
+        target: HandOffTarget,
+        request: LoginRequest,
+        handle: LoginHandle | None,
     ) -> Outcome | None:
         """Sends the login request; returns an outcome if its last byte was not sent.
 
@@ -446,6 +460,8 @@
         server.receive()
         has_ended = server.peer_closed and not len(server.receive_buffer)
         if not has_ended:
+            if handle is not None:
+                handle.is_sent = True
             server.write(request.with_time_limit(target.cut_at - self._now()))
         while has_ended or len(server.send_buffer):
             if has_ended or server.broken or self._now() >= target.cut_at:
@@ -549,19 +565,22 @@
         report_at = 0  # when the unanswered line is reported next
         close_at = 0  # when the wait for the other side's close ends; 0 while both are open
         while True:
-            try:
-                lines = self._forward_lines(server, client)
-            except LineTooLongError:
-                # The server sends garbage; the client is told to log in again.
-                self._counters["bad lines of servers (over-long)"] += 1
-                return Outcome.ERROR, MOVE
-            for line in lines:
+            server_lines: list[bytes] = []
+            client_lines: list[bytes] = []
+            is_garbage = not self._forward_lines(server, client, server_lines)
+            for line in server_lines:
                 if line.startswith(b"LOAD "):
                     self._report_measurement(handle, line)
                     continue
                 last_keyword = line.rstrip(b"\r\n").split(b" ")[0].decode("latin-1")
                 unanswered_since = 0
-            if self._forward_lines(client, server) and not unanswered_since:
+            if is_garbage:
+                # The client is told to log in again, unless the server has ended the connection.
+                self._counters["bad lines of servers (over-long)"] += 1
+                return Outcome.ERROR, b"" if last_keyword in OUTCOME_BY_LAST_LINE else MOVE
+            if not self._forward_lines(client, server, client_lines):
+                raise LineTooLongError
+            if client_lines and not unanswered_since:
                 unanswered_since = self._now()
                 report_at = unanswered_since + self._limits.unanswered_line_time
             if unanswered_since and report_at <= self._now():
@@ -571,6 +590,9 @@
             if client.broken:
                 server.abort()
                 return Outcome.CANCELLED, b""
+            if (server.broken or handle.to_move) and last_keyword in OUTCOME_BY_LAST_LINE:
+                # The client has read the server's ending: no reset or MOVE may follow it.
+                return OUTCOME_BY_LAST_LINE[last_keyword], b""
             if server.broken:
                 client.abort()
                 return Outcome.BROKEN, b""
@@ -585,6 +607,8 @@
             timed_out = (
                 unanswered_since and self._now() >= unanswered_since + self._limits.silent_time
             )
+            if timed_out and last_keyword in OUTCOME_BY_LAST_LINE:
+                return OUTCOME_BY_LAST_LINE[last_keyword], b""
             if (handle.to_move or timed_out) and client.send_buffer.free_bytes >= len(MOVE):
                 self._counters["clients moved from silence" if timed_out else "clients moved"] += 1
                 return Outcome.TIMED_OUT if timed_out else Outcome.CANCELLED, MOVE
@@ -592,7 +616,11 @@
                 close_at = self._now() + self._limits.end_time
             if close_at and self._now() >= close_at:
                 return Outcome.CANCELLED, b""
-            until = close_at or (report_at if unanswered_since else None)
+            until = close_at or (
+                min(report_at, unanswered_since + self._limits.silent_time)
+                if unanswered_since
+                else None
+            )
             fds = {}
             for stream in (client, server):
                 mask = READ if stream.receive_buffer.free_bytes and not stream.peer_closed else 0
@@ -609,15 +637,19 @@
                 elif events:
                     stream.receive()
 
-    def _forward_lines(self, source: Stream, sink: Stream) -> list[bytes]:
-        """Forwards the complete lines that fit into the sink's send buffer, and returns them."""
-        lines = []
+    def _forward_lines(self, source: Stream, sink: Stream, lines: list[bytes]) -> bool:
+        """Forwards the complete lines that fit into the sink's send buffer, and appends them.
+
+        Returns False if the next line exceeds the limit.
+        """
+        within_limit = True
         while True:
             length = source.receive_buffer.line_length()
             if length > self._limits.line or (
                 not length and len(source.receive_buffer) >= self._limits.line
             ):
-                raise LineTooLongError
+                within_limit = False
+                break
             if not length and source.peer_closed:
                 length = len(source.receive_buffer)  # the rest, without a line end
             if not length or sink.send_buffer.free_bytes < length:
@@ -626,7 +658,7 @@
             sink.send_buffer.append(line)
             lines.append(line)
         sink.flush()
-        return lines
+        return within_limit
 
     def _report_measurement(self, handle: LoginHandle, line: bytes) -> None:
         try:
