--- a/tests/test_crossings_probes.py
+++ b/tests/test_crossings_probes.py
@@ -319,8 +319,8 @@
 
 
 def test_number_of_a_closed_descriptor_is_used_anew_in_the_same_round():
-    # One task is interrupted and closes its socket; another opens one that gets the same number,
-    # while data for the first had already arrived.
+    # One task is interrupted and its socket closed; another opens one that gets the same number and
+    # waits for it before the first runs, while data for the first had already arrived.
     problems, seen = [], []
     scheduler = Scheduler(wall_clock(), problems.append)
     old, old_peer = socket.socketpair()
@@ -332,9 +332,7 @@
             seen.append("first woken")
         except ConnectionError:
             seen.append("first interrupted")
-            number = old.fileno()
-            old.close()
-            scheduler.spawn(second, number)
+            scheduler.sleep(20 * MS)  # its next wait must not touch the number either
 
     def second(number: int) -> None:
         new, peer = socket.socketpair()
@@ -352,12 +350,14 @@
 
     def crossing(task) -> None:
         old_peer.send(b"late")
+        scheduler.spawn(second, old.fileno())
         scheduler.interrupt(task, ConnectionError())
+        old.close()
 
     task = scheduler.spawn(first)
     scheduler.spawn(crossing, task)
     scheduler.run()
-    assert seen == ["first interrupted", "second slept", "second woken"] and not problems
+    assert sorted(seen) == ["first interrupted", "second slept", "second woken"] and not problems
     old_peer.close()
 
 
