--- a/corklift/membership/peers.py
+++ b/corklift/membership/peers.py
@@ -122,24 +122,18 @@
         try:
             call.send_nowait(request)
             call.half_close()
-            reply = call.receive()  # ends at the call's deadline
+            reply = call.receive(until)
         except RpcError as problem:
             if problem.code is Code.DEADLINE_EXCEEDED and self._links.get(address) is link:
                 # Guards against a connection on which everything is lost: the next call opens a new
-                # one. Calls in progress may be only slow, and go on.
+                # one.
                 del self._links[address]
-                self._scheduler.spawn(self._abort_when_idle, link)
+                link.abort()
             raise
         if reply is None:
             raise RpcError(Code.INTERNAL, "the call ended without a reply")
         return reply
 
-    def _abort_when_idle(self, link: RpcConnection) -> None:
-        until = self._scheduler.now() + self._limits.stall_timeout
-        while link.session.call_count and self._scheduler.now() < until:
-            self._scheduler.sleep(self._limits.close_timeout)
-        link.abort()
-
     def _connected(self, address: str, until: int) -> RpcConnection:
         try:
             stream = Stream.connect(split(address), self._limits)
--- a/corklift/rpc/session.py
+++ b/corklift/rpc/session.py
@@ -440,14 +440,12 @@
 
     def finish(self, now: int, call: Call, error: RpcError | None = None) -> None:
         """Ends a server's call with its status; half-closes a client's call, or resets it."""
-        if call.ended:
-            return
-        if self._client and error is not None:
-            self._reset(call, error)  # a call that is half-closed too: its reply is not waited for
-            return
-        if call.finishing:
+        if call.ended or call.finishing:
             return
         if self._client:
+            if error is not None:
+                self._reset(call, error)
+                return
             call.finishing = True
         else:
             code, text = (error.code, error.message) if error else (Code.OK, "")
