--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -119,6 +119,7 @@
     scene.run_until(lambda: client.receive())
     scene.run(200)
     assert client.receive() == b"BUSY\r\n" and scene.counters["hand-offs"] == len(seen) == 3
+    assert scene.counters["hand-offs full"] == (3 if how == "answer and end" else 0)
     lines = [] if how == "reset" else [received(server) for server in seen]
     assert how != "end" or lines == [b""] * 3
     assert not scene.counters["exceptions"]
--- a/tests/test_crossings_lines.py
+++ b/tests/test_crossings_lines.py
@@ -171,6 +171,8 @@
 def narrow(monkeypatch) -> tuple[Scene, ScriptedClient, Stream]:
     """As `established`, with small buffers in the kernel, so that they are soon full."""
     scene = Scene("scripted", probes=False)
+    scene.upstreams = []  # the balancer's streams to the server
+    on_server_connect(monkeypatch, scene, scene.upstreams.append)
     on_server_connect(monkeypatch, scene, shrink_buffers)
     for listener in (scene.listeners["s1"], *scene.process.relay._listeners):
         for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
@@ -211,15 +213,21 @@
 
 
 def read_to_the_end(scene: Scene, stream: Stream) -> bytes:
+    """Reads a little at a time, so that the balancer's buffers stay full for long."""
     content = b""
-    for _ in range(500):
+    for _ in range(1000):
         scene.run(1)
-        stream.receive()
-        content += stream.receive_buffer.read(len(stream.receive_buffer))
-        if stream.peer_closed or stream.broken:
-            break
-    assert stream.peer_closed or stream.broken
-    return content
+        try:
+            part = stream._sock.recv(200)
+        except BlockingIOError:
+            continue
+        except ConnectionResetError:
+            stream.broken = True
+            return content
+        if not part:
+            return content
+        content += part
+    raise AssertionError("no end")
 
 
 @pytest.mark.parametrize("how", ["end", "reset"])
@@ -235,6 +243,26 @@
         assert got == sent and not client.stream.broken
 
 
+def test_servers_end_behind_lines_that_wait_for_the_client(monkeypatch):
+    # The end is read while the last lines still wait in the balancer for room towards the client.
+    scene, client, server = narrow(monkeypatch)
+    sent, waiting = b"", scene.upstreams[0].receive_buffer
+    while not len(waiting):
+        assert len(sent) < 1_000_000, "the buffers are never full"
+        part = b"".join(b"%07d\r\n" % (len(sent) // 9 + number) for number in range(100))
+        server.write(part)
+        sent += part
+        scene.run(3)
+    server.write(b"BYE\r\n")
+    server.shutdown_write()
+    until_delivered(server)
+    scene.run(20)
+    assert scene.upstreams[0].peer_closed and len(waiting)
+    assert read_to_the_end(scene, client.stream) == sent + b"BYE\r\n"
+    client.stream.close()
+    check_ended(scene, "fulfilled")
+
+
 def test_clients_end_with_a_full_buffer_towards_the_server(monkeypatch):
     scene, client, server = narrow(monkeypatch)
     sent = fill(scene, client.stream)
