--- a/tests/crossings.py
+++ b/tests/crossings.py
@@ -3,8 +3,10 @@
 What a test does between two runs of the scene happens before the balancer's next poll, in one turn.
 """
 
+import contextlib
 import fcntl
 import select
+import socket
 import termios
 import time
 
@@ -198,3 +200,26 @@
     listener = scene.listeners["s1"]
     select.select([listener], [], [], 10)
     return Stream(listener.accept()[0], scene.limits)
+
+
+def late_server(scene: Scene) -> tuple[socket.socket, list[Stream]]:
+    """Moves `s1` to a socket whose queue is full, so that connects stand only when it accepts.
+
+    Returns the socket, and the connections that fill it and have to be kept.
+    """
+    late = Scene._listener()
+    late.listen(0)
+    scene.ports["s1"] = late.getsockname()[1]
+    scene.change_list(scene.list_entry("s1"))
+    fillers = [Stream.connect(late.getsockname(), scene.limits) for _ in range(2)]
+    scene.run(100)
+    return late, fillers
+
+
+def lines_of_all(scene: Scene, listener: socket.socket) -> list[bytes]:
+    """Accepts all that wait in the queue; returns what each has sent."""
+    lines = []
+    with contextlib.suppress(BlockingIOError):
+        while True:
+            lines.append(received(Stream(listener.accept()[0], scene.limits)))
+    return lines
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -13,6 +13,8 @@
     ScriptedClient,
     accept_now,
     has_ended,
+    late_server,
+    lines_of_all,
     on_server_connect,
     received,
     until_delivered,
@@ -125,6 +127,19 @@
     assert not scene.counters["exceptions"]
 
 
+def test_connect_that_stands_only_after_it_was_given_up():
+    # Never sent, so a once-only login is tried again and then bounced; nothing comes later.
+    scene = Scene(probes=False, workload=ONCE_ONLY, connect_ms=200)
+    late, _fillers = late_server(scene)
+    client = ScriptedClient(scene, "c1")
+    scene.run_until(lambda: client.receive())
+    scene.run(1000)
+    lines = lines_of_all(scene, late)
+    assert client.receive() == b"BUSY\r\n" and lines == [b""] * len(lines) and lines
+    assert scene.counters["hand-offs not connected"] == 3
+    late.close()
+
+
 @pytest.mark.parametrize("how", ["end", "reset"])
 def test_once_only_login_may_have_run_if_the_server_ended_after_its_line(how):
     scene = Scene("scripted", probes=False, workload=ONCE_ONLY)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -3,8 +3,6 @@
 A balancer process on loopback sockets in virtual time; stand-ins decide the order of events.
 """
 
-import contextlib
-
 import pytest
 from crossings import (
     LEAVINGS,
@@ -12,13 +10,13 @@
     Scene,
     ScriptedClient,
     has_ended,
+    late_server,
+    lines_of_all,
     on_server_connect,
     received,
     write_partly,
 )
 
-from corklift.net.stream import Stream
-
 
 @pytest.mark.parametrize("how", LEAVINGS)
 def test_leaving_ends_the_wait_for_a_decision(how):
@@ -77,24 +75,14 @@
 def test_leaving_ends_a_late_connect(how):
     # The queue of the server's socket is full, so the connect stands only when it accepts.
     scene = Scene(probes=False)
-    late = Scene._listener()
-    late.listen(0)
-    scene.ports["s1"] = late.getsockname()[1]
-    scene.change_list(scene.list_entry("s1"))
-    fillers = [Stream.connect(late.getsockname(), scene.limits) for _ in range(2)]
-    scene.run(100)
+    late, _fillers = late_server(scene)
     client = ScriptedClient(scene, "c1")
     scene.run_until(lambda: scene.counters["hand-offs"])
     assert not scene.counters["hand-offs written"]
     client.leave(how)
     scene.check_given_up()
-    lines = []
-    with contextlib.suppress(BlockingIOError):
-        while True:
-            accepted = Stream(late.accept()[0], scene.limits)
-            accepted.receive()
-            lines.append(accepted.read_line())
-    assert lines == [None] * len(lines) and lines and fillers
+    lines = lines_of_all(scene, late)
+    assert lines == [b""] * len(lines) and lines
     assert not scene.counters["hand-offs written"]
     late.close()
 
--- a/tests/test_crossings_lines.py
+++ b/tests/test_crossings_lines.py
@@ -247,12 +247,15 @@
     # The end is read while the last lines still wait in the balancer for room towards the client.
     scene, client, server = narrow(monkeypatch)
     sent, waiting = b"", scene.upstreams[0].receive_buffer
-    while not len(waiting):
+    still = 0  # how long lines have waited, in turns
+    while still < 20:
         assert len(sent) < 1_000_000, "the buffers are never full"
-        part = b"".join(b"%07d\r\n" % (len(sent) // 9 + number) for number in range(100))
-        server.write(part)
-        sent += part
+        if not len(waiting):
+            part = b"".join(b"%07d\r\n" % (len(sent) // 9 + number) for number in range(100))
+            server.write(part)
+            sent += part
         scene.run(3)
+        still = still + 1 if len(waiting) else 0
     server.write(b"BYE\r\n")
     server.shutdown_write()
     until_delivered(server)
